--- a/crates/hazelgrade/tests/common/mod.rs
+++ b/crates/hazelgrade/tests/common/mod.rs
@@ -19,6 +19,7 @@
     Say(f64),
     Health(bool),
     Wake(Time, u64),
+    Limited(JobId),
 }
 
 #[derive(Default)]
@@ -51,6 +52,9 @@
         self.0.push(Act::Wake(at, token));
     }
     fn note(&mut self, _: &str) {}
+    fn short(&mut self, id: &JobId) {
+        self.0.push(Act::Limited(id.clone()));
+    }
 }
 
 /// Settings of a plain deployment; tests change what they are about.
@@ -108,6 +112,7 @@
     }
 }
 
+#[allow(dead_code)] // as above
 pub fn job(id: &str, reached: Time) -> Job {
     Job {
         id: id.into(),
--- /dev/null
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -0,0 +1,523 @@
+//! Seeded histories are played against the controller and every decision it writes, in order, goes into a digest. The
+//! digests stand in `recorded/decisions.txt`: a change of names or of shape leaves them as they are, a change of what is
+//! decided does not. `RECORD=1 cargo test -p hazelgrade --test decisions` writes the file anew.
+
+mod common;
+
+use common::*;
+use hazelgrade::chance::Chance;
+use hazelgrade::control::{Control, Inflow};
+use hazelgrade::desk::*;
+use hazelgrade::time::{Span, Time};
+use sha2::{Digest, Sha256};
+use std::collections::BTreeMap;
+use std::fmt::Write;
+
+const TICK_MS: f64 = 10.0;
+const RECORDED: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/recorded/decisions.txt");
+
+/// What one history is about; everything else is drawn from its seed.
+#[derive(Clone)]
+struct History {
+    name: &'static str,
+    seed: u64,
+    setup: Setup,
+    tenants: Vec<Customer>,
+    lasts_ms: f64,
+    /// Jobs a second at a load factor of one.
+    rate: f64,
+    /// Part of the calls that never come back.
+    silent_calls: f64,
+    /// The controller is given a lease of calls, renewed four times a second.
+    leased: bool,
+    /// When the drain begins, and how long it lasts.
+    drain_ms: Option<(f64, f64)>,
+    /// When new settings take effect.
+    updates_ms: Vec<f64>,
+    /// When the process stands still, and for how long.
+    stalls_ms: Vec<(f64, f64)>,
+    /// Jobs lie unread for up to this long.
+    unread_ms: f64,
+    job_kb: f64,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum At {
+    Queued,
+    Running { left_ms: f64 },
+    AtCall,
+    Calling { made: Time, ends: Time, outcome: Outcome },
+    Original,
+}
+
+struct Tracked {
+    job: Job,
+    at: At,
+    answered: bool,
+    calls_left: u32,
+    began: Time,
+    cancelled: bool,
+}
+
+/// A rejected request that its caller sends again.
+struct Retry {
+    due: Time,
+    job: Job,
+}
+
+struct World<'a> {
+    history: &'a History,
+    random: Chance,
+    jobs: BTreeMap<JobId, Tracked>,
+    retries: Vec<Retry>,
+    timers: Vec<(Time, u64)>,
+    made: u64,
+    events: u64,
+    decisions: u64,
+    digest: Sha256,
+}
+
+impl<'a> World<'a> {
+    fn new(history: &'a History) -> World<'a> {
+        World {
+            history,
+            random: Chance::new(history.seed),
+            jobs: BTreeMap::new(),
+            retries: Vec::new(),
+            timers: Vec::new(),
+            made: 0,
+            events: 0,
+            decisions: 0,
+            digest: Sha256::new(),
+        }
+    }
+
+    fn between(&mut self, least: f64, most: f64) -> f64 {
+        least + (most - least) * self.random.draw()
+    }
+
+    fn happens(&mut self, probability: f64) -> bool {
+        self.random.draw() < probability
+    }
+
+    /// A quiet start, a long overload, a quiet spell, a burst, and so on.
+    fn load(&self, now_ms: f64) -> f64 {
+        match (now_ms / 3000.0) as u64 % 5 {
+            0 => 0.4,
+            1 | 2 => 2.2,
+            3 => 0.7,
+            _ => 4.0,
+        }
+    }
+
+    fn new_job(&mut self, now: Time) -> Job {
+        self.made += 1;
+        let classes = self.history.setup.use_cases.len() as f64;
+        let tenants = self.history.tenants.len().max(1) as f64;
+        let unread = self.history.unread_ms * self.random.draw() * self.random.draw();
+        let reached = now - ms(unread);
+        let skew = self.random.draw();
+        Job {
+            id: format!("j{}", self.made).into(),
+            use_case: (self.random.draw() * classes) as usize,
+            customer: (skew * skew * tenants) as usize,
+            reached,
+            waits_until: self.happens(0.3).then(|| reached + ms(self.history.lasts_ms.min(2500.0))),
+            work: self.happens(0.4).then(|| ms(80.0)),
+            held_kb: self.history.job_kb * (0.5 + self.random.draw()),
+            rank: self.random.draw(),
+            again: false,
+            repeats: None,
+            known: !self.happens(0.05),
+            beyond: self.happens(0.05),
+            short: self.happens(0.02).then(|| ms(150.0)),
+        }
+    }
+
+    /// The same request again; its caller may say so, and the host may find the job that it repeats.
+    fn retry_of(&mut self, job: &Job, now: Time) -> Job {
+        self.made += 1;
+        let linked = self.happens(0.6);
+        Job {
+            id: format!("r{}", self.made).into(),
+            reached: now,
+            again: self.history.setup.callers.mark_again && self.happens(0.9),
+            repeats: linked.then(|| job.id.clone()),
+            waits_until: None,
+            short: None,
+            ..job.clone()
+        }
+    }
+
+    fn arrivals(&mut self, now: Time) -> Vec<Job> {
+        let expected = self.history.rate * self.load(now.as_ms()) * TICK_MS / 1000.0;
+        let mut jobs = Vec::new();
+        let mut left = expected + self.random.draw();
+        while left >= 1.0 {
+            jobs.push(self.new_job(now));
+            left -= 1.0;
+        }
+        let (due, later) = std::mem::take(&mut self.retries).into_iter().partition(|retry| retry.due <= now);
+        self.retries = later;
+        let due: Vec<Retry> = due;
+        jobs.extend(due.iter().map(|retry| self.retry_of(&retry.job, now)).collect::<Vec<_>>());
+        if self.happens(0.02) && !jobs.is_empty() {
+            // Two of the same in one batch name each other.
+            let mut twin = self.retry_of(&jobs[0].clone(), now);
+            twin.repeats = Some(jobs[0].id.clone());
+            jobs[0].repeats = Some(twin.id.clone());
+            jobs.push(twin);
+        }
+        jobs
+    }
+
+    /// Tells the controller all that happens in this tick.
+    fn feed(&mut self, now: Time, inflow: &mut Inflow) {
+        for job in self.arrivals(now) {
+            let calls_left = (self.random.draw() * 3.0) as u32;
+            inflow.arrived(job.clone());
+            self.events += 1;
+            let tracked =
+                Tracked { job, at: At::Queued, answered: false, calls_left, began: now, cancelled: false };
+            self.jobs.insert(tracked.job.id.clone(), tracked);
+        }
+        self.progress(now, inflow);
+        self.disconnects(inflow);
+        let timers = std::mem::take(&mut self.timers);
+        for (at, token) in timers {
+            if at > now {
+                self.timers.push((at, token));
+                continue;
+            }
+            let used = self.happens(0.8).then(|| 0.5 + 0.5 * self.random.draw());
+            inflow.woke(token, used);
+            self.events += 1;
+        }
+        let quarter = (now.as_ms() / TICK_MS) as u64 % 25 == 0;
+        if self.history.leased && quarter {
+            let calls = self.between(0.0, 6.0).floor();
+            let until = now + ms(self.between(100.0, 600.0));
+            let longest = ms(self.between(300.0, 2000.0));
+            inflow.allowed(Allowance { calls, until, alone: 1.0, longest, more_in: ms(250.0) });
+            self.events += 1;
+        }
+        if let Some((at, lasts)) = self.history.drain_ms
+            && now.as_ms() >= at
+            && now.as_ms() < at + TICK_MS
+        {
+            inflow.leaving(now + ms(lasts));
+            self.events += 1;
+        }
+    }
+
+    /// Runs and calls go on, and end.
+    fn progress(&mut self, now: Time, inflow: &mut Inflow) {
+        let running = self.jobs.values().filter(|job| matches!(job.at, At::Running { .. })).count() as f64;
+        let step = TICK_MS * (self.history.setup.machine.cores / running.max(1.0)).min(1.0);
+        let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
+        for id in ids {
+            let Some(tracked) = self.jobs.get(&id) else { continue };
+            let class = self.history.setup.use_cases[tracked.job.use_case].clone();
+            match tracked.at {
+                At::Running { left_ms } if left_ms > step && !tracked.cancelled => {
+                    self.jobs.get_mut(&id).expect("tracked").at = At::Running { left_ms: left_ms - step };
+                }
+                At::Running { .. } => self.run_step_over(&id, now, class.calls, inflow),
+                At::Calling { made, ends, outcome } if ends <= now => {
+                    inflow.call_ended(&id, outcome, now.since(made));
+                    self.events += 1;
+                    let left_ms = self.between(5.0, 60.0);
+                    let tracked = self.jobs.get_mut(&id).expect("tracked");
+                    tracked.at = match outcome {
+                        Outcome::Completed => At::Running { left_ms },
+                        _ => At::AtCall,
+                    };
+                }
+                _ => {}
+            }
+        }
+    }
+
+    fn run_step_over(&mut self, id: &JobId, now: Time, calls: bool, inflow: &mut Inflow) {
+        let ends = self.happens(0.03);
+        let preempted = self.happens(0.01);
+        let tracked = self.jobs.get_mut(id).expect("tracked");
+        self.events += 1;
+        if tracked.cancelled || preempted {
+            inflow.run_ended(id, Outcome::Stopped, now.since(tracked.began));
+            let pauses = !tracked.answered;
+            tracked.at = At::Queued;
+            tracked.cancelled = false;
+            if !pauses {
+                self.jobs.remove(id);
+            }
+        } else if calls && tracked.calls_left > 0 {
+            tracked.calls_left -= 1;
+            tracked.at = At::AtCall;
+            inflow.at_call(id);
+        } else {
+            let outcome = if ends { Outcome::Errored } else { Outcome::Completed };
+            inflow.run_ended(id, outcome, now.since(tracked.began));
+            self.jobs.remove(id);
+        }
+    }
+
+    fn disconnects(&mut self, inflow: &mut Inflow) {
+        if !self.happens(0.05) || self.jobs.is_empty() {
+            return;
+        }
+        let place = (self.random.draw() * self.jobs.len() as f64) as usize;
+        let Some(id) = self.jobs.keys().nth(place).cloned() else { return };
+        let Some(tracked) = self.jobs.get_mut(&id).filter(|tracked| !tracked.answered) else { return };
+        tracked.answered = true;
+        let waits = matches!(tracked.at, At::Queued | At::Original);
+        inflow.caller_gone(&id);
+        self.events += 1;
+        if waits {
+            self.jobs.remove(&id);
+        }
+    }
+
+    fn call_outcome(&mut self, now: Time, within: Span) -> (Time, Outcome) {
+        let over = now + within;
+        let took = ms(self.between(20.0, 120.0) * if self.happens(0.1) { 6.0 } else { 1.0 });
+        let fate = self.random.draw();
+        let (ends, outcome) = match fate {
+            fate if fate < self.history.silent_calls => (over, Outcome::Overdue),
+            fate if fate > 0.99 => (now + ms(10.0), Outcome::Full),
+            fate if fate > 0.98 => (now + ms(10.0), Outcome::Unreachable),
+            fate if fate > 0.96 => (now + took, Outcome::Severed),
+            fate if fate > 0.94 => (now + took, Outcome::Errored),
+            fate if fate > 0.93 => (now + took, Outcome::Moot),
+            _ => (now + took, Outcome::Completed),
+        };
+        if ends >= over { (over, Outcome::Overdue) } else { (ends, outcome) }
+    }
+
+    fn answered(&mut self, id: &JobId, back_in: Option<Span>, now: Time) {
+        let retries = self.happens(0.5);
+        let Some(tracked) = self.jobs.get_mut(id) else { return };
+        tracked.answered = true;
+        if let Some(back_in) = back_in.filter(|_| retries) {
+            self.retries.push(Retry { due: now + back_in + ms(20.0), job: tracked.job.clone() });
+        }
+        if matches!(tracked.at, At::Queued | At::Original) {
+            self.jobs.remove(id);
+        }
+    }
+
+    fn apply(&mut self, act: &Act, now: Time) {
+        self.decisions += 1;
+        let line = written(act);
+        self.digest.update(line.as_bytes());
+        let left_ms = self.between(10.0, 140.0);
+        match act {
+            Act::Run(id) => {
+                let Some(tracked) = self.jobs.get_mut(id) else { return };
+                (tracked.at, tracked.began) = (At::Running { left_ms }, now);
+            }
+            Act::Bounce(id, back_in, _) => self.answered(id, Some(*back_in), now),
+            Act::WriteOff(id) => self.answered(id, None, now),
+            Act::Call(id, within) => {
+                let (ends, outcome) = self.call_outcome(now, *within);
+                let Some(tracked) = self.jobs.get_mut(id) else { return };
+                tracked.at = At::Calling { made: now, ends, outcome };
+            }
+            Act::Skip(id) => {
+                let Some(tracked) = self.jobs.get_mut(id) else { return };
+                tracked.at = At::Running { left_ms };
+            }
+            Act::Stop(id) => {
+                let Some(tracked) = self.jobs.get_mut(id) else { return };
+                tracked.cancelled = true;
+            }
+            Act::Share(id) => {
+                let Some(tracked) = self.jobs.get_mut(id) else { return };
+                tracked.at = At::Original;
+            }
+            Act::Wake(at, token) => self.timers.push((*at, *token)),
+            Act::Remember(..) | Act::Forget(_) | Act::Say(_) | Act::Health(_) | Act::Limited(_) => {}
+        }
+    }
+}
+
+/// A decision as one line, in words of this file alone.
+fn written(act: &Act) -> String {
+    match act {
+        Act::Run(id) => format!("run {id}\n"),
+        Act::Bounce(id, back_in, not_elsewhere) => {
+            format!("reject {id} {} {not_elsewhere}\n", back_in.as_ms())
+        }
+        Act::WriteOff(id) => format!("fail {id}\n"),
+        Act::Call(id, within) => format!("call {id} {}\n", within.as_ms()),
+        Act::Skip(id) => format!("skip {id}\n"),
+        Act::Stop(id) => format!("cancel {id}\n"),
+        Act::Share(id) => format!("original {id}\n"),
+        Act::Remember(id, span) => format!("record {id} {}\n", span.as_ms()),
+        Act::Forget(id) => format!("forget {id}\n"),
+        Act::Say(value) => format!("signal {value}\n"),
+        Act::Health(good) => format!("health {good}\n"),
+        Act::Wake(at, token) => format!("timer {} {token}\n", at.as_ms()),
+        Act::Limited(id) => format!("limited {id}\n"),
+    }
+}
+
+/// New figures for the classes that stand, and one more class each time.
+fn update(history: &History, number: usize) -> Revision {
+    let classes = history.setup.use_cases.iter().cycle().take(history.setup.use_cases.len() + number + 1);
+    let faster = 1.0 - 0.2 * number as f64;
+    let placed = classes.enumerate().map(|(index, class)| Placed {
+        figures: UseCase { goal: class.goal * faster, earnings: class.earnings + 0.5, ..class.clone() },
+        in_use: index != number,
+    });
+    let mut tenants = history.tenants.clone();
+    tenants.push(Customer { quota: 5.0 });
+    Revision {
+        use_cases: placed.collect(),
+        customers: tenants,
+        promises: history.setup.promises.clone(),
+        anew_use_cases: vec![0],
+        anew_customers: vec![0],
+    }
+}
+
+fn play(history: &History) -> String {
+    let Setup { use_cases, machine, promises, below, callers } = history.setup.clone();
+    let tenants = history.tenants.clone();
+    let random = Chance::new(history.seed + 1);
+    let mut control = Control::new(use_cases, tenants, machine, promises, below, callers, random);
+    let mut world = World::new(history);
+    let (mut now_ms, mut updates) = (0.0, 0);
+    while now_ms < history.lasts_ms {
+        let now = at(now_ms);
+        let decided = round(&mut control, now, |inflow| world.feed(now, inflow));
+        for act in &decided {
+            world.apply(act, now);
+        }
+        let need = control.need(now);
+        world.digest.update(format!("need {} {}\n", need.in_hand, need.wants).as_bytes());
+        if history.updates_ms.get(updates).is_some_and(|due| *due <= now_ms) {
+            let taken = control.revise(now, update(history, updates));
+            world.digest.update(format!("update {taken}\n").as_bytes());
+            updates += 1;
+        }
+        let stall = history.stalls_ms.iter().find(|(from, _)| *from <= now_ms && now_ms < *from + TICK_MS);
+        now_ms += stall.map_or(TICK_MS, |(_, lasts)| *lasts);
+    }
+    let digest = world.digest.finalize().iter().take(8).fold(String::new(), |mut text, byte| {
+        let _ = write!(text, "{byte:02x}");
+        text
+    });
+    format!("{} events {} decisions {} {digest}", history.name, world.events, world.decisions)
+}
+
+fn class(repeats: Repeats, earnings: f64) -> UseCase {
+    UseCase { repeats, earnings, ..setup().use_cases[0].clone() }
+}
+
+/// One class of each kind: idempotent, keyed, run at most once, one whose call may be left out, one that never calls.
+fn classes() -> Vec<UseCase> {
+    vec![
+        UseCase { late_part: 0.3, goal_per_work: 1.0, ..class(Repeats::Reissuable, 1.0) },
+        UseCase { window: ms(4000.0), ..class(Repeats::Numbered, 3.0) },
+        class(Repeats::AtMostOnce, 2.0),
+        UseCase { part_without_call: 0.6, goal: ms(1200.0), ..class(Repeats::Reissuable, 0.5) },
+        UseCase { calls: false, ..class(Repeats::Reissuable, 1.5) },
+    ]
+}
+
+fn plain(name: &'static str, seed: u64) -> History {
+    let mut setup = setup();
+    setup.use_cases = classes();
+    History {
+        name,
+        seed,
+        setup,
+        tenants: vec![Customer { quota: 20.0 }, Customer { quota: 4.0 }, Customer { quota: f64::INFINITY }],
+        lasts_ms: 40_000.0,
+        rate: 35.0,
+        silent_calls: 0.02,
+        leased: false,
+        drain_ms: None,
+        updates_ms: vec![],
+        stalls_ms: vec![],
+        unread_ms: 30.0,
+        job_kb: 20.0,
+    }
+}
+
+fn histories() -> Vec<History> {
+    let mut all = Vec::new();
+
+    let mut overload = plain("overload", 11);
+    overload.drain_ms = Some((36_000.0, 3_500.0));
+    all.push(overload);
+
+    let mut limited = plain("call-limit", 12);
+    limited.setup.below.share = Some(6.0);
+    limited.setup.callers.signal = Signal::Credit;
+    limited.silent_calls = 0.1;
+    limited.drain_ms = Some((30_000.0, 6_000.0));
+    all.push(limited);
+
+    let mut fraction = plain("call-limit-below-one", 13);
+    fraction.setup.below.share = Some(0.7);
+    fraction.setup.callers.signal = Signal::Level;
+    all.push(fraction);
+
+    let mut leased = plain("leased-calls", 14);
+    leased.leased = true;
+    leased.setup.callers.signal = Signal::Silent;
+    leased.updates_ms = vec![15_000.0];
+    all.push(leased);
+
+    let mut memory = plain("memory", 15);
+    memory.job_kb = 300.0;
+    memory.setup.machine.memory_kb = 12_000.0;
+    memory.setup.machine.stopping = Stopping::Pauses;
+    all.push(memory);
+
+    let mut cold = plain("cold-start", 16);
+    cold.setup.machine.cold = true;
+    cold.setup.promises.crowd_per_core = 2.0;
+    cold.setup.machine.stopping = Stopping::Never;
+    all.push(cold);
+
+    let mut unmarked = plain("unmarked-retries", 17);
+    unmarked.setup.callers.mark_again = false;
+    unmarked.setup.callers.longest_back_in = ms(4_000.0);
+    unmarked.setup.use_cases = vec![classes()[1].clone(), classes()[2].clone(), classes()[0].clone()];
+    unmarked.unread_ms = 900.0;
+    all.push(unmarked);
+
+    let mut stalls = plain("stalls-and-many-callers", 18);
+    stalls.setup.callers.count = 500.0;
+    stalls.setup.callers.longest_back_in = ms(10_000.0);
+    stalls.unread_ms = 4_000.0;
+    stalls.rate = 30.0;
+    stalls.stalls_ms = vec![(9_000.0, 2_500.0), (20_000.0, 700.0)];
+    all.push(stalls);
+
+    let mut updates = plain("settings-updates", 19);
+    updates.updates_ms = vec![8_000.0, 16_000.0, 24_000.0];
+    updates.drain_ms = Some((38_000.0, 1_800.0));
+    all.push(updates);
+
+    let mut slow = plain("slow-dependency", 20);
+    slow.silent_calls = 0.5;
+    slow.setup.use_cases = vec![classes()[3].clone(), classes()[0].clone(), classes()[3].clone()];
+    all.push(slow);
+
+    all
+}
+
+#[test]
+fn the_same_events_give_the_same_decisions_as_recorded() {
+    let played: Vec<String> = histories().iter().map(play).collect();
+    let text = played.join("\n") + "\n";
+    if std::env::var_os("RECORD").is_some() {
+        std::fs::write(RECORDED, &text).expect("the recorded digests can be written");
+    }
+    let recorded = std::fs::read_to_string(RECORDED).expect("recorded digests");
+    assert_eq!(text, recorded, "a decision differs from the recorded one");
+}
