--- a/crates/hazelgrade-budget/tests/histories.rs
+++ b/crates/hazelgrade-budget/tests/histories.rs
@@ -2,7 +2,7 @@
 //! what is in use at each instant; and how the division follows what happens.
 
 use hazelgrade::chance::Chance;
-use hazelgrade_standins::fleet::{Fault, Fleet, Setting};
+use hazelgrade_fakes::fleet::{Fault, Fleet, Setting};
 
 /// A history of trouble by seed; gives the fleet, its faults over, some leases later.
 fn history(seed: u64, nodes: usize, sites: usize, faults: usize) -> Fleet {
--- a/crates/hazelgrade-demo/src/measure/budgets.rs
+++ b/crates/hazelgrade-demo/src/measure/budgets.rs
@@ -4,11 +4,11 @@
 use crate::SELF;
 use crate::parts::{failed, program};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
-use hazelgrade_rig::group::Group;
-use hazelgrade_rig::plan::{Disk, Fault as Trouble};
-use hazelgrade_rig::shared::Setting as Shared;
-use hazelgrade_standins::callers::Fate;
-use hazelgrade_standins::fleet::{By, Fault, Fleet, Setting};
+use hazelgrade_fakes::callers::Fate;
+use hazelgrade_fakes::fleet::{By, Fault, Fleet, Setting};
+use hazelgrade_fault_injection::group::Group;
+use hazelgrade_fault_injection::plan::{Disk, Fault as Trouble};
+use hazelgrade_fault_injection::shared::Setting as Shared;
 use std::time::{Duration, Instant};
 
 const SEEDS: u64 = 9;
--- a/crates/hazelgrade-demo/src/measure/streaming.rs
+++ b/crates/hazelgrade-demo/src/measure/streaming.rs
@@ -10,12 +10,12 @@
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::operator::Trial;
 use hazelgrade_config::{Document, Kind, Version};
+use hazelgrade_fakes::callers::{Fate, Told};
+use hazelgrade_fakes::documents::{BOOK, READ, document, text};
+use hazelgrade_fakes::executor::Work;
+use hazelgrade_fakes::world::{World, callers};
+use hazelgrade_fakes::{comes_true, free_address, node::settings};
 use hazelgrade_net::bell::Bell;
-use hazelgrade_standins::callers::{Fate, Told};
-use hazelgrade_standins::documents::{BOOK, READ, document, text};
-use hazelgrade_standins::executor::Work;
-use hazelgrade_standins::world::{World, callers};
-use hazelgrade_standins::{comes_true, free_address, node::settings};
 use hazelgrade_store::Store;
 use hazelgrade_stream::admission::Admission;
 use hazelgrade_stream::backoff::Backoff;
@@ -379,7 +379,7 @@
     }
     node.kill();
     drop(control);
-    let ready = |plan: &hazelgrade_standins::node::Plan| -> Result<f64, String> {
+    let ready = |plan: &hazelgrade_fakes::node::Plan| -> Result<f64, String> {
         world.executor.restart();
         let began = Instant::now();
         let node = plan.start().map_err(failed)?;
@@ -399,7 +399,7 @@
     let stream = format!("document = {file:?}\n{trial}");
     let mut plan = world.plan("filed", &program()?, &[SELF], gone, &stream);
     plan.log = "off".into();
-    let fresh = |plan: &hazelgrade_standins::node::Plan| {
+    let fresh = |plan: &hazelgrade_fakes::node::Plan| {
         let _ = std::fs::remove_file(plan.store());
         ready(plan)
     };
--- a/crates/hazelgrade-demo/src/measure/trouble.rs
+++ b/crates/hazelgrade-demo/src/measure/trouble.rs
@@ -3,9 +3,9 @@
 use crate::SELF;
 use crate::parts::{failed, program};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
-use hazelgrade_rig::edge::Edge;
-use hazelgrade_rig::plan::Plan;
-use hazelgrade_rig::play::play;
+use hazelgrade_fault_injection::edge::Edge;
+use hazelgrade_fault_injection::plan::Plan;
+use hazelgrade_fault_injection::play::play;
 use hdrhistogram::Histogram;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/hazelgrade-demo/src/parts.rs
+++ b/crates/hazelgrade-demo/src/parts.rs
@@ -2,7 +2,7 @@
 
 use crate::SELF;
 use hazelgrade_config::Document;
-use hazelgrade_standins::service::Service;
+use hazelgrade_fakes::service::Service;
 use std::path::PathBuf;
 
 pub fn failed(error: impl std::fmt::Display) -> String {
--- a/crates/hazelgrade-demo/src/scenes/budgets.rs
+++ b/crates/hazelgrade-demo/src/scenes/budgets.rs
@@ -4,9 +4,9 @@
 use crate::SELF;
 use crate::parts::{failed, program};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
-use hazelgrade_rig::group::Group;
-use hazelgrade_rig::plan::{Disk, Fault};
-use hazelgrade_rig::shared::Setting;
+use hazelgrade_fault_injection::group::Group;
+use hazelgrade_fault_injection::plan::{Disk, Fault};
+use hazelgrade_fault_injection::shared::Setting;
 use std::time::{Duration, Instant};
 
 const WITHIN: Duration = Duration::from_secs(20);
--- a/crates/hazelgrade-demo/src/scenes/streaming.rs
+++ b/crates/hazelgrade-demo/src/scenes/streaming.rs
@@ -4,13 +4,13 @@
 use crate::SELF;
 use crate::parts::{control as control_service, failed, program};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
-use hazelgrade_standins::callers::{Callers, Fate, Told};
-use hazelgrade_standins::documents::{BOOK, READ, document, text};
-use hazelgrade_standins::executor::Work;
-use hazelgrade_standins::node::Node;
-use hazelgrade_standins::service::Service;
-use hazelgrade_standins::world::{World, callers};
-use hazelgrade_standins::{comes_true, rules};
+use hazelgrade_fakes::callers::{Callers, Fate, Told};
+use hazelgrade_fakes::documents::{BOOK, READ, document, text};
+use hazelgrade_fakes::executor::Work;
+use hazelgrade_fakes::node::Node;
+use hazelgrade_fakes::service::Service;
+use hazelgrade_fakes::world::{World, callers};
+use hazelgrade_fakes::{comes_true, rules};
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
--- a/crates/hazelgrade-demo/src/trouble.rs
+++ b/crates/hazelgrade-demo/src/trouble.rs
@@ -4,10 +4,10 @@
 use crate::SELF;
 use crate::parts::{failed, program};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
-use hazelgrade_rig::plan::Plan;
-use hazelgrade_rig::play::{Played, play as play_plan};
-use hazelgrade_rig::shrink::shrink;
-use hazelgrade_standins::callers::Fate;
+use hazelgrade_fakes::callers::Fate;
+use hazelgrade_fault_injection::plan::Plan;
+use hazelgrade_fault_injection::play::{Played, play as play_plan};
+use hazelgrade_fault_injection::shrink::shrink;
 use pico_args::Arguments;
 use std::collections::BTreeMap;
 use std::ffi::OsString;
--- a/crates/hazelgrade-standins/src/documents.rs
+++ b/crates/hazelgrade-fakes/src/documents.rs
@@ -25,6 +25,6 @@
 
 /// The same, read.
 pub fn document(cases: &[Case], customers: usize, rest: &str) -> Result<Document, String> {
-    let read = Document::read(&text(cases, customers, rest), "a stand-in's document");
+    let read = Document::read(&text(cases, customers, rest), "a fake document");
     read.map_err(|faults| hazelgrade_config::fault::lines(&faults, 5))
 }
--- a/crates/hazelgrade-rig/src/account.rs
+++ b/crates/hazelgrade-fault-injection/src/account.rs
@@ -3,7 +3,7 @@
 //! saw, so that a group that is wrong about itself is found out.
 
 use hazelgrade::time::{Span, Time};
-use hazelgrade_standins::callers::Fate;
+use hazelgrade_fakes::callers::Fate;
 use std::collections::BTreeMap;
 use std::fmt::{Display, Formatter};
 
--- a/crates/hazelgrade-rig/src/shared.rs
+++ b/crates/hazelgrade-fault-injection/src/shared.rs
@@ -3,8 +3,8 @@
 use crate::edge::{Edge, Way};
 use crate::plan::{Disk, Ways};
 use hazelgrade_config::Document;
-use hazelgrade_standins::dependency::Dependency;
-use hazelgrade_standins::service::{Service, publish_as};
+use hazelgrade_fakes::dependency::Dependency;
+use hazelgrade_fakes::service::{Service, publish_as};
 use rustix::process::Signal;
 use serde_json::Value;
 use std::io;
--- a/crates/hazelgrade-rig/tests/edges.rs
+++ b/crates/hazelgrade-fault-injection/tests/edges.rs
@@ -1,7 +1,7 @@
 //! Edges on real sockets: each fault, and that without any the bytes are those that were sent.
 
-use hazelgrade_rig::edge::{Edge, Way, ms};
-use hazelgrade_standins::comes_true;
+use hazelgrade_fakes::comes_true;
+use hazelgrade_fault_injection::edge::{Edge, Way, ms};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream, UdpSocket};
 use std::time::{Duration, Instant};
--- a/crates/hazelgrade-rig/tests/pure.rs
+++ b/crates/hazelgrade-fault-injection/tests/pure.rs
@@ -1,13 +1,13 @@
-//! What decides in the rig, without processes: a way's order and timing, plans, the shrinker, and the checkers, each with
+//! What decides in fault injection, without processes: a way's order and timing, plans, the shrinker, and the checkers, each with
 //! a history that breaks its rule.
 
 use hazelgrade::chance::Chance;
 use hazelgrade::time::{Span, Time};
-use hazelgrade_rig::account::{Account, Job, Seen, Trouble};
-use hazelgrade_rig::lane::{Datagrams, Next, Rules, Stream};
-use hazelgrade_rig::plan::{Cue, Fault, Plan, Step};
-use hazelgrade_rig::shrink::shrink;
-use hazelgrade_standins::callers::Fate;
+use hazelgrade_fakes::callers::Fate;
+use hazelgrade_fault_injection::account::{Account, Job, Seen, Trouble};
+use hazelgrade_fault_injection::lane::{Datagrams, Next, Rules, Stream};
+use hazelgrade_fault_injection::plan::{Cue, Fault, Plan, Step};
+use hazelgrade_fault_injection::shrink::shrink;
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeMap;
 
--- a/crates/hazelgrade-server/src/program/command.rs
+++ b/crates/hazelgrade-server/src/program/command.rs
@@ -3,7 +3,7 @@
 use super::streaming::read_document;
 use super::{budgets, configuration, control, identity, keys, logging, serve};
 use hazelgrade_config::{Operator, fault};
-use hazelgrade_site::Site;
+use hazelgrade_settings::Site;
 use hazelgrade_stream::keeping;
 use hazelgrade_stream::service::Setup;
 use pico_args::Arguments;
@@ -133,7 +133,7 @@
                 return Ok(ExitCode::SUCCESS);
             }
             let (deployment, _) = configured()?;
-            let (_, site) = hazelgrade_site::instance(&deployment.settings, deployment.seed)
+            let (_, site) = hazelgrade_settings::instance(&deployment.settings, deployment.seed)
                 .map_err(|fault| format!("settings: {}", fault.0))?;
             println!("{} would listen on {}", deployment.name, deployment.listen);
             let addresses = deployment.addresses;
--- a/crates/hazelgrade-server/src/program/serve.rs
+++ b/crates/hazelgrade-server/src/program/serve.rs
@@ -65,7 +65,7 @@
         deployment.within(sockets, memory_mb);
         deployment.without_use_cases();
     }
-    let (control, site) = hazelgrade_site::instance(&deployment.settings, deployment.seed)
+    let (control, site) = hazelgrade_settings::instance(&deployment.settings, deployment.seed)
         .map_err(|fault| format!("settings: {}", fault.0))?;
     let mut reads_again = false;
     let Some(listener) = listen(deployment.listen, &mut signals, &mut reads_again)? else {
--- a/crates/hazelgrade-server/src/protocol/jsonrpc.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc.rs
@@ -4,7 +4,7 @@
 use hazelgrade::desk::{Job, JobId, Repeats};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_identity::token::LONGEST_TOKEN;
-use hazelgrade_site::Site;
+use hazelgrade_settings::Site;
 use serde_json::{Map, Value, json};
 
 /// The longest line of a client: a body of 2 KiB in base64, every character of it escaped, and room for the rest.
--- a/crates/hazelgrade-server/src/routing/callers.rs
+++ b/crates/hazelgrade-server/src/routing/callers.rs
@@ -4,7 +4,7 @@
 use hazelgrade::time::Time;
 use hazelgrade_identity::desk::{Desk, Known};
 use hazelgrade_identity::{Identity, Refused};
-use hazelgrade_site::Site;
+use hazelgrade_settings::Site;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
--- a/crates/hazelgrade-server/src/routing/job.rs
+++ b/crates/hazelgrade-server/src/routing/job.rs
@@ -16,7 +16,7 @@
 use hazelgrade::desk::{JobId, Outcome};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_net::ending::ConnectionEnd;
-use hazelgrade_site::Site;
+use hazelgrade_settings::Site;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/crates/hazelgrade-server/tests/budgets/main.rs
+++ b/crates/hazelgrade-server/tests/budgets/main.rs
@@ -2,14 +2,14 @@
 //! counted there, and never more than the whole.
 
 use hazelgrade_budget::message::Word;
-use hazelgrade_rig::account::Account;
-use hazelgrade_rig::edge::{ms, now};
-use hazelgrade_rig::group::Group;
-use hazelgrade_rig::plan::{Disk, Fault, Link, Plan, Ways};
-use hazelgrade_rig::play::play;
-use hazelgrade_rig::shared::Setting;
-use hazelgrade_standins::executor::{Executor, Work};
-use hazelgrade_standins::{free_address, world};
+use hazelgrade_fakes::executor::{Executor, Work};
+use hazelgrade_fakes::{free_address, world};
+use hazelgrade_fault_injection::account::Account;
+use hazelgrade_fault_injection::edge::{ms, now};
+use hazelgrade_fault_injection::group::Group;
+use hazelgrade_fault_injection::plan::{Disk, Fault, Link, Plan, Ways};
+use hazelgrade_fault_injection::play::play;
+use hazelgrade_fault_injection::shared::Setting;
 use serde_json::Value;
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -135,7 +135,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let executor =
         Executor::start(Work { cores: 4, takes: Duration::from_millis(16), calls: true }).expect("it starts");
-    let plan = hazelgrade_standins::node::Plan {
+    let plan = hazelgrade_fakes::node::Plan {
         folder: folder.path().into(),
         listen: free_address(),
         executor: executor.address,
--- a/crates/hazelgrade-server/tests/group/control.rs
+++ b/crates/hazelgrade-server/tests/group/control.rs
@@ -1,11 +1,11 @@
 //! The control service in trouble, or cut off from some: killed, paused, with yesterday's counter, twice.
 
 use super::*;
-use hazelgrade_rig::edge::{Edge, Way};
-use hazelgrade_rig::light::Lights;
-use hazelgrade_rig::plan::{Disk, Link, Ways};
-use hazelgrade_standins::documents::{BOOK, READ, document};
-use hazelgrade_standins::service::Service;
+use hazelgrade_fakes::documents::{BOOK, READ, document};
+use hazelgrade_fakes::service::Service;
+use hazelgrade_fault_injection::edge::{Edge, Way};
+use hazelgrade_fault_injection::light::Lights;
+use hazelgrade_fault_injection::plan::{Disk, Link, Ways};
 use std::time::Instant;
 
 #[test]
--- a/crates/hazelgrade-server/tests/group/main.rs
+++ b/crates/hazelgrade-server/tests/group/main.rs
@@ -5,10 +5,10 @@
 mod nodes;
 mod store;
 
-use hazelgrade_rig::account::Account;
-use hazelgrade_rig::group::Group;
-use hazelgrade_rig::plan::{Cue, Fault, Plan, Step};
-use hazelgrade_rig::play::play;
+use hazelgrade_fault_injection::account::Account;
+use hazelgrade_fault_injection::group::Group;
+use hazelgrade_fault_injection::plan::{Cue, Fault, Plan, Step};
+use hazelgrade_fault_injection::play::play;
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
--- a/crates/hazelgrade-server/tests/group/nodes.rs
+++ b/crates/hazelgrade-server/tests/group/nodes.rs
@@ -1,8 +1,8 @@
 //! Nodes in trouble: cut off from what they stand on, stopped, killed and replaced, while the others go on.
 
 use super::*;
-use hazelgrade_rig::edge::{ms, now};
-use hazelgrade_rig::plan::{Disk, Link, Ways};
+use hazelgrade_fault_injection::edge::{ms, now};
+use hazelgrade_fault_injection::plan::{Disk, Link, Ways};
 use std::time::Instant;
 
 /// By how much the part of jobs served in their goal time may differ between the nodes that nothing was done to.
--- a/crates/hazelgrade-server/tests/group/store.rs
+++ b/crates/hazelgrade-server/tests/group/store.rs
@@ -1,7 +1,7 @@
 //! A real node that dies at each write of its store in turn, while versions come, and the disk it finds then.
 
 use super::*;
-use hazelgrade_rig::plan::Disk;
+use hazelgrade_fault_injection::plan::Disk;
 use std::collections::BTreeSet;
 
 /// Whatever write of its store kills it, a node starts again by a version that was good or that it had acknowledged, takes
--- a/crates/hazelgrade-server/tests/identity/main.rs
+++ b/crates/hazelgrade-server/tests/identity/main.rs
@@ -4,12 +4,12 @@
 mod tls;
 
 use hazelgrade_config::Document;
-use hazelgrade_standins::callers::{Fate, Token, Told};
-use hazelgrade_standins::documents::{BOOK, READ, document};
-use hazelgrade_standins::executor::Work;
-use hazelgrade_standins::node::{Node, Plan};
-use hazelgrade_standins::world::{World, callers_with};
-use hazelgrade_standins::{comes_true, free_address, rules, unix_ms};
+use hazelgrade_fakes::callers::{Fate, Token, Told};
+use hazelgrade_fakes::documents::{BOOK, READ, document};
+use hazelgrade_fakes::executor::Work;
+use hazelgrade_fakes::node::{Node, Plan};
+use hazelgrade_fakes::world::{World, callers_with};
+use hazelgrade_fakes::{comes_true, free_address, rules, unix_ms};
 use hazelgrade_stream::service;
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
--- a/crates/hazelgrade-server/tests/instance/common.rs
+++ b/crates/hazelgrade-server/tests/instance/common.rs
@@ -1,4 +1,4 @@
-//! The service instance as a process, with stand-ins on loopback for all that it talks to.
+//! The service instance as a process, with fakes on loopback for all that it talks to.
 
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
--- a/crates/hazelgrade-server/tests/instance/fleet.rs
+++ b/crates/hazelgrade-server/tests/instance/fleet.rs
@@ -1,10 +1,10 @@
 //! Twenty processes at a time: what holds for each has to hold for all of them together.
 
 use crate::common::*;
-use hazelgrade_rig::edge::Edge;
-use hazelgrade_standins::callers::{Callers, Fate, Plan};
-use hazelgrade_standins::dependency::Dependency;
-use hazelgrade_standins::executor::{Executor, Work};
+use hazelgrade_fakes::callers::{Callers, Fate, Plan};
+use hazelgrade_fakes::dependency::Dependency;
+use hazelgrade_fakes::executor::{Executor, Work};
+use hazelgrade_fault_injection::edge::Edge;
 use serde_json::json;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/hazelgrade-server/tests/streaming/control.rs
+++ b/crates/hazelgrade-server/tests/streaming/control.rs
@@ -1,9 +1,9 @@
 //! The real control service, with nodes: published by a file in a folder, restarted, and one too many.
 
 use super::*;
-use hazelgrade_standins::comes_true;
-use hazelgrade_standins::documents::{BOOK, READ};
-use hazelgrade_standins::service::Service;
+use hazelgrade_fakes::comes_true;
+use hazelgrade_fakes::documents::{BOOK, READ};
+use hazelgrade_fakes::service::Service;
 use hazelgrade_stream::service;
 use std::path::Path;
 use std::process::Command;
@@ -99,9 +99,8 @@
     assert!(refused, "{}", other.status());
     let callers = world.callers(&node, 100.0, &["read"]);
     assert!(comes_true(Duration::from_secs(5), || callers.count() >= 10));
-    let served = |told: &hazelgrade_standins::callers::Told| {
-        told.fate == hazelgrade_standins::callers::Fate::Satisfied
-    };
+    let served =
+        |told: &hazelgrade_fakes::callers::Told| told.fate == hazelgrade_fakes::callers::Fate::Satisfied;
     assert!(callers.stop().0.iter().all(served), "it serves by what it had");
 }
 
--- a/crates/hazelgrade-server/tests/streaming/node.rs
+++ b/crates/hazelgrade-server/tests/streaming/node.rs
@@ -1,10 +1,10 @@
 //! A node, and a control service that says what the test wants.
 
 use super::*;
-use hazelgrade_standins::callers::Fate;
-use hazelgrade_standins::control::version;
-use hazelgrade_standins::documents::{BOOK, READ};
-use hazelgrade_standins::{comes_true, rules};
+use hazelgrade_fakes::callers::Fate;
+use hazelgrade_fakes::control::version;
+use hazelgrade_fakes::documents::{BOOK, READ};
+use hazelgrade_fakes::{comes_true, rules};
 use hazelgrade_stream::protocol::Content;
 use std::process::Command;
 use std::time::Instant;
--- a/crates/hazelgrade-wirehost/src/main.rs
+++ b/crates/hazelgrade-simulator-adapter/src/main.rs
@@ -4,7 +4,7 @@
 mod wire;
 
 use hazelgrade::control::Control;
-use hazelgrade_site::Fault;
+use hazelgrade_settings::Fault;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -20,7 +20,7 @@
     match host(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("hazelgrade-wirehost: {message}");
+            eprintln!("hazelgrade-simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/hazelgrade-wirehost/src/wire.rs
+++ b/crates/hazelgrade-simulator-adapter/src/wire.rs
@@ -3,7 +3,7 @@
 use hazelgrade::control::{Control, Inflow};
 use hazelgrade::desk::*;
 use hazelgrade::time::{Span, Time};
-use hazelgrade_site::{Fault, fault};
+use hazelgrade_settings::{Fault, fault};
 use serde_json::Value;
 use std::fmt::Write;
 
@@ -212,7 +212,7 @@
     let Ok(settings) = serde_json::from_str::<Value>(text) else {
         return fault("settings", "a JSON object");
     };
-    let (control, site) = hazelgrade_site::instance(&settings, seed)?;
+    let (control, site) = hazelgrade_settings::instance(&settings, seed)?;
     Ok((control, Counts { use_cases: site.use_cases.len(), customers: site.customers.len() }))
 }
 
--- a/crates/hazelgrade-wirehost/tests/wire.rs
+++ b/crates/hazelgrade-simulator-adapter/tests/wire.rs
@@ -9,7 +9,7 @@
 );
 
 fn host(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_hazelgrade-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_hazelgrade-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
