--- a/crates/hazelgrade-config/src/document.rs
+++ b/crates/hazelgrade-config/src/document.rs
@@ -5,14 +5,14 @@
 use crate::fields::{self, Fields, Kind, Scalar};
 use crate::read::{Found, Reading};
 use crate::version::Digest;
-use hazelgrade::desk::{Customer, Promises, Repeats, UseCase};
+use hazelgrade::desk::{Customer, JobClass, Promises, Repeats};
 use hazelgrade::time::Span;
 use ipnet::IpNet;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Use cases in a document: those of a large site several times over, and few enough to go through at each job.
-pub const MOST_USE_CASES: usize = 64;
+/// Job classes in a document: those of a large site several times over, and few enough to go through at each job.
+pub const MAX_JOB_CLASSES: usize = 64;
 /// Customers in a document.
 pub const MOST_CUSTOMERS: usize = 4096;
 /// Budgets in a document: a node is bound by all of them at each job.
@@ -45,7 +45,7 @@
 /// What the decision module takes of a document, with the names that go with it.
 #[derive(Clone, Debug)]
 pub struct Serving {
-    pub use_cases: Vec<(String, UseCase)>,
+    pub job_classes: Vec<(String, JobClass)>,
     pub customers: Vec<(String, Customer)>,
     pub promises: Promises,
 }
@@ -79,19 +79,19 @@
     /// The document as a whole.
     fn whole(&mut self) {
         let fields = self.fields;
-        let use_cases = fields.names("use_case");
-        if use_cases.is_empty() {
+        let job_classes = fields.names("use_case");
+        if job_classes.is_empty() {
             self.fault("use_case", "expected at least one use case, like [use_case.slot-search]");
         }
         for (section, most) in
-            [("use_case", MOST_USE_CASES), ("customer", MOST_CUSTOMERS), ("node", MOST_NODES)]
+            [("use_case", MAX_JOB_CLASSES), ("customer", MOST_CUSTOMERS), ("node", MOST_NODES)]
         {
             let count = fields.names(section).len();
             if count > most {
                 self.fault(section, format!("expected {most} at most, not {count}"));
             }
         }
-        for name in &use_cases {
+        for name in &job_classes {
             let at = |field: &str| format!("use_case/{name}/{field}");
             for field in fields::FIELDS.iter().filter(|field| field.needed) {
                 let path = field.path.replace('*', name);
@@ -112,7 +112,7 @@
             }
         }
         let earns = |name: &&str| fields.number(&format!("use_case/{name}/earnings")).unwrap_or(1.0) > 0.0;
-        if !use_cases.is_empty() && !use_cases.iter().any(earns) {
+        if !job_classes.is_empty() && !job_classes.iter().any(earns) {
             self.fault("use_case", "expected at least one use case that earns something");
         }
     }
@@ -305,7 +305,7 @@
                     }
                 }
                 Found::Nothing if fields.0.contains_key(&path) => {}
-                // A use case with nothing in it lacks what it needs; another empty table says nothing.
+                // A job class with nothing in it lacks what it needs; another empty table says nothing.
                 Found::Nothing if path.starts_with("use_case/") && path.len() > "use_case/".len() => {
                     reading.fault(at, &path, "expected at least goal_ms and cut_off_ms");
                 }
@@ -391,7 +391,7 @@
     /// What the module takes. What the document leaves open in the promises is as in `usual`.
     pub fn serving(&self, usual: &Promises) -> Serving {
         let fields = &self.fields;
-        let use_case = |name: &&str| {
+        let job_class = |name: &&str| {
             let number = |field: &str, absent: f64| {
                 fields.number(&format!("use_case/{name}/{field}")).unwrap_or(absent)
             };
@@ -401,7 +401,7 @@
                 Some("at-most-once") => Repeats::AtMostOnce,
                 _ => Repeats::Reissuable,
             };
-            let case = UseCase {
+            let case = JobClass {
                 goal: span("goal_ms"),
                 goal_per_work: number("goal_per_work", 0.0),
                 cut_off: span("cut_off_ms"),
@@ -420,7 +420,7 @@
         };
         let span = |path: &str, usual: Span| fields.number(path).map_or(usual, Span::from_ms);
         Serving {
-            use_cases: fields.names("use_case").iter().map(use_case).collect(),
+            job_classes: fields.names("use_case").iter().map(job_class).collect(),
             customers: fields.names("customer").iter().map(customer).collect(),
             promises: Promises {
                 answer_slack: span("promises/answer_slack_ms", usual.answer_slack),
--- a/crates/hazelgrade-demo/src/measure/identity.rs
+++ b/crates/hazelgrade-demo/src/measure/identity.rs
@@ -48,7 +48,7 @@
     Time::from_ms(seconds * 1000.0)
 }
 
-/// A set of so many callers, each with a use case, a customer and two networks.
+/// A set of so many callers, each with a job class, a customer and two networks.
 fn set(signer: &Signer, callers: usize, longest: f64) -> Result<Document, String> {
     let mut fields = Fields::default();
     let (x, y) = signer.public();
--- a/crates/hazelgrade-fakes/src/callers.rs
+++ b/crates/hazelgrade-fakes/src/callers.rs
@@ -22,7 +22,7 @@
     /// Jobs a second in all.
     pub rate: f64,
     /// Asked for in turn.
-    pub use_cases: Vec<String>,
+    pub job_classes: Vec<String>,
     pub owner: String,
     /// The token to send with each job, as it is at the time.
     pub token: Option<Token>,
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug)]
 pub struct Told {
     pub id: String,
-    pub use_case: String,
+    pub job_class: String,
     pub sent: Instant,
     pub after: Duration,
     pub fate: Fate,
@@ -150,9 +150,9 @@
                 let _ = stream.shutdown(std::net::Shutdown::Both);
                 let ended = reading.join().unwrap_or_else(|_| Instant::now());
                 let lost = std::mem::take(&mut *lock(&open));
-                lock(&record.told).extend(lost.into_values().map(|(id, use_case, sent)| Told {
+                lock(&record.told).extend(lost.into_values().map(|(id, job_class, sent)| Told {
                     id,
-                    use_case,
+                    job_class,
                     sent,
                     after: ended.saturating_duration_since(sent),
                     fate: if ended.saturating_duration_since(sent) <= CROSSED {
@@ -187,15 +187,15 @@
             continue;
         }
         *count += 1;
-        let use_case = &plan.use_cases[*count as usize % plan.use_cases.len()];
+        let job_class = &plan.job_classes[*count as usize % plan.job_classes.len()];
         let id = format!("{:04x}{:04x}{:08x}", std::process::id() & 0xffff, place, *count);
-        let job = json!({"jsonrpc": "2.0", "id": *count, "method": use_case, "params": {"req": id, "ts": unix_ms(),
+        let job = json!({"jsonrpc": "2.0", "id": *count, "method": job_class, "params": {"req": id, "ts": unix_ms(),
             "via": place, "owner": plan.owner, "need": 12.5, "level": 0.5, "body": "aGVsbG8="}});
         let mut job = job;
         if let Some(token) = &plan.token {
             job["params"]["token"] = json!(*lock(token));
         }
-        lock(open).insert(*count, (id, use_case.clone(), Instant::now()));
+        lock(open).insert(*count, (id, job_class.clone(), Instant::now()));
         if stream.write_all(format!("{job}\n").as_bytes()).is_err() {
             // Nothing of it was read, or its answer is lost with the connection: told as lost by the caller.
             return;
@@ -224,8 +224,8 @@
             continue;
         }
         match answer["id"].as_u64().and_then(|call| lock(open).remove(&call)) {
-            Some((id, use_case, sent)) => {
-                let told = Told { id, use_case, sent, after: sent.elapsed(), fate: fate(&answer) };
+            Some((id, job_class, sent)) => {
+                let told = Told { id, job_class, sent, after: sent.elapsed(), fate: fate(&answer) };
                 lock(&record.told).push(told);
             }
             None => {
--- a/crates/hazelgrade-fakes/src/documents.rs
+++ b/crates/hazelgrade-fakes/src/documents.rs
@@ -2,13 +2,13 @@
 
 use hazelgrade_config::Document;
 
-/// A use case by its name, goal time, cut-off in ms, and earnings.
+/// A job class by its name, goal time, cut-off in ms, and earnings.
 pub type Case<'a> = (&'a str, u32, u32, u32);
 
 pub const READ: Case = ("read", 1000, 3000, 1);
 pub const BOOK: Case = ("book", 1000, 3000, 2);
 
-/// A document in TOML with these use cases, so many customers, and further lines at its end.
+/// A document in TOML with these job classes, so many customers, and further lines at its end.
 pub fn text(cases: &[Case], customers: usize, rest: &str) -> String {
     let mut text = String::new();
     for (name, goal, cut_off, earnings) in cases {
--- a/crates/hazelgrade-fakes/src/node.rs
+++ b/crates/hazelgrade-fakes/src/node.rs
@@ -39,7 +39,7 @@
     child: Child,
 }
 
-/// The settings without use cases: these are streamed.
+/// The settings without job classes: these are streamed.
 pub fn settings() -> Value {
     json!({
         "classes": [], "customers": [],
--- a/crates/hazelgrade-fakes/src/world.rs
+++ b/crates/hazelgrade-fakes/src/world.rs
@@ -57,13 +57,13 @@
     }
 }
 
-/// Four connections that ask a node for these use cases, as the first customer.
-pub fn callers(node: SocketAddr, rate: f64, use_cases: &[&str]) -> Callers {
-    callers_with(node, rate, use_cases, None)
+/// Four connections that ask a node for these job classes, as the first customer.
+pub fn callers(node: SocketAddr, rate: f64, job_classes: &[&str]) -> Callers {
+    callers_with(node, rate, job_classes, None)
 }
 
 /// The same, with a token.
-pub fn callers_with(node: SocketAddr, rate: f64, use_cases: &[&str], token: Option<Token>) -> Callers {
-    let use_cases = use_cases.iter().map(|name| (*name).to_owned()).collect();
-    Callers::start(&Calling { node, connections: 4, rate, use_cases, owner: "c0".into(), token })
+pub fn callers_with(node: SocketAddr, rate: f64, job_classes: &[&str], token: Option<Token>) -> Callers {
+    let job_classes = job_classes.iter().map(|name| (*name).to_owned()).collect();
+    Callers::start(&Calling { node, connections: 4, rate, job_classes, owner: "c0".into(), token })
 }
--- a/crates/hazelgrade-fault-injection/src/group.rs
+++ b/crates/hazelgrade-fault-injection/src/group.rs
@@ -73,7 +73,7 @@
     version.split(' ').nth(1).unwrap_or_default().to_owned()
 }
 
-/// A document that differs from all others by a use case of its own.
+/// A document that differs from all others by a job class of its own.
 fn numbered(count: u64, harmful: bool) -> Result<Document, String> {
     let mark = format!("v{count}");
     let own: Case = (&mark, 1000, 3000, 1);
@@ -516,7 +516,7 @@
         self.account.ends(node, Trouble::Gone, now());
     }
 
-    /// Whether callers of this node are served by the latest document, seen by a use case of its own.
+    /// Whether callers of this node are served by the latest document, seen by a job class of its own.
     pub fn serves_latest(&self, node: usize, within: Duration) -> bool {
         let latest = format!("v{}", self.published);
         let callers = world::callers(self.members[node].edge(Link::Callers).address, 50.0, &[&latest]);
@@ -685,7 +685,7 @@
         self.account
     }
 
-    /// What a node serves by is seen where it takes effect: jobs of the latest document's own use case are served.
+    /// What a node serves by is seen where it takes effect: jobs of the latest document's own job class are served.
     fn probe(&mut self) {
         for node in 0..self.members.len() {
             if self.members[node].running && !self.serves_latest(node, AT_LAST) {
--- a/crates/hazelgrade-identity/src/desk.rs
+++ b/crates/hazelgrade-identity/src/desk.rs
@@ -69,8 +69,8 @@
     }
 
     /// The site's names have other places.
-    pub fn compile(&mut self, use_cases: &BTreeMap<&str, usize>, customers: &BTreeMap<&str, usize>) {
-        self.identity.compile(use_cases, customers);
+    pub fn compile(&mut self, job_classes: &BTreeMap<&str, usize>, customers: &BTreeMap<&str, usize>) {
+        self.identity.compile(job_classes, customers);
     }
 
     /// Who shows this token.
@@ -121,12 +121,12 @@
         &self,
         now: Time,
         known: &Known,
-        use_case: usize,
+        job_class: usize,
         customer: Option<usize>,
         from: IpAddr,
     ) -> Result<usize, Refused> {
         let caller = self.caller(now, known)?;
-        self.identity.may(caller, use_case, customer, from)
+        self.identity.may(caller, job_class, customer, from)
     }
 
     /// The same for a job that is asked for now: whether its caller is beyond its ceiling too, a hint for the module.
@@ -134,12 +134,12 @@
         &mut self,
         now: Time,
         known: &Known,
-        use_case: usize,
+        job_class: usize,
         customer: Option<usize>,
         from: IpAddr,
     ) -> Result<(usize, bool), Refused> {
         let caller = self.caller(now, known)?;
-        let customer = self.identity.may(caller, use_case, customer, from)?;
+        let customer = self.identity.may(caller, job_class, customer, from)?;
         let Some(ceiling) = self.identity.jobs_per_s(caller) else { return Ok((customer, false)) };
         let fade = Span::from_ms(RATE_FADE_MS);
         // By name, so that another set of callers goes on from the same sums; bounded by the callers of a set.
--- a/crates/hazelgrade-identity/src/set.rs
+++ b/crates/hazelgrade-identity/src/set.rs
@@ -15,7 +15,7 @@
 
 /// How far clocks may lie apart, where a document does not say.
 const SKEW_S: f64 = 90.0;
-/// Stands for all use cases or customers.
+/// Stands for all job classes or customers.
 const ALL: &str = "*";
 
 /// A caller's place in its set.
@@ -38,7 +38,7 @@
 struct Caller {
     name: String,
     revoked: bool,
-    use_cases: Vec<String>,
+    job_classes: Vec<String>,
     customers: Vec<String>,
     networks: Vec<IpNet>,
     jobs_per_s: Option<f64>,
@@ -119,7 +119,7 @@
             callers.push(Caller {
                 name: name.to_owned(),
                 revoked: fields.truth(&format!("caller/{name}/revoked")) == Some(true),
-                use_cases: words("use_cases"),
+                job_classes: words("use_cases"),
                 customers: words("customers"),
                 networks: words("networks").iter().filter_map(|network| network.parse().ok()).collect(),
                 jobs_per_s: fields.number(&format!("caller/{name}/jobs_per_s")),
@@ -163,8 +163,8 @@
         self.revoked_certificates.extend(other.revoked_certificates.iter().cloned());
     }
 
-    /// Brings the rights to the places of the site: by name of each use case and customer that is in use.
-    pub fn compile(&mut self, use_cases: &BTreeMap<&str, usize>, customers: &BTreeMap<&str, usize>) {
+    /// Brings the rights to the places of the site: by name of each job class and customer that is in use.
+    pub fn compile(&mut self, job_classes: &BTreeMap<&str, usize>, customers: &BTreeMap<&str, usize>) {
         let bits = |names: &[String], places: &BTreeMap<&str, usize>| {
             let mut bits = FixedBitSet::with_capacity(places.values().max().map_or(0, |most| most + 1));
             let named =
@@ -173,7 +173,7 @@
             bits
         };
         for caller in &mut self.callers {
-            caller.may_ask = bits(&caller.use_cases, use_cases);
+            caller.may_ask = bits(&caller.job_classes, job_classes);
             caller.may_for = bits(&caller.customers, customers);
             caller.only = caller.may_for.ones().next().filter(|_| caller.may_for.count_ones(..) == 1);
         }
@@ -215,7 +215,7 @@
     pub fn may(
         &self,
         caller: CallerId,
-        use_case: usize,
+        job_class: usize,
         customer: Option<usize>,
         from: IpAddr,
     ) -> Result<usize, Refused> {
@@ -226,8 +226,8 @@
         if !caller.networks.is_empty() && !caller.networks.iter().any(|network| network.contains(&from)) {
             return Err(Refused::Network);
         }
-        if !caller.may_ask.contains(use_case) {
-            return Err(Refused::UseCase);
+        if !caller.may_ask.contains(job_class) {
+            return Err(Refused::JobClass);
         }
         let customer = customer.or(caller.only).ok_or(Refused::Customer)?;
         if caller.may_for.contains(customer) { Ok(customer) } else { Err(Refused::Customer) }
--- a/crates/hazelgrade-identity/src/token.rs
+++ b/crates/hazelgrade-identity/src/token.rs
@@ -32,7 +32,7 @@
     /// The key, the caller, the token or the certificate was revoked.
     Revoked,
     Network,
-    UseCase,
+    JobClass,
     Customer,
     /// Too many bad ones came from there lately: not looked at.
     Doubted,
@@ -53,7 +53,7 @@
         Refused::UnknownCaller,
         Refused::Revoked,
         Refused::Network,
-        Refused::UseCase,
+        Refused::JobClass,
         Refused::Customer,
         Refused::Doubted,
     ];
@@ -82,7 +82,7 @@
             Refused::UnknownCaller => "the caller is not known",
             Refused::Revoked => "revoked",
             Refused::Network => "not from this network",
-            Refused::UseCase => "the caller may not ask for this use case",
+            Refused::JobClass => "the caller may not ask for this use case",
             Refused::Customer => "the caller may not ask for this customer",
             Refused::Doubted => "too many bad tokens came from there",
         }
--- a/crates/hazelgrade-identity/tests/identity.rs
+++ b/crates/hazelgrade-identity/tests/identity.rs
@@ -201,7 +201,7 @@
 fn plain(
     text: &str,
     caller: &str,
-    use_case: &str,
+    job_class: &str,
     customer: Option<&str>,
     from: IpAddr,
 ) -> Result<String, Refused> {
@@ -216,8 +216,8 @@
     if !networks.is_empty() && !networks.iter().any(inside) {
         return Err(Refused::Network);
     }
-    if !any(&words("use_cases"), use_case) {
-        return Err(Refused::UseCase);
+    if !any(&words("use_cases"), job_class) {
+        return Err(Refused::JobClass);
     }
     let may: Vec<&str> =
         ["north", "south", "west"].into_iter().filter(|name| any(&words("customers"), name)).collect();
@@ -232,7 +232,7 @@
 #[test]
 fn compiled_rights_say_what_the_plain_ones_say() {
     fn holds(seed: u64) -> bool {
-        let (use_cases, customers) = (["a", "b", "c", "d"], ["north", "south", "west"]);
+        let (job_classes, customers) = (["a", "b", "c", "d"], ["north", "south", "west"]);
         let mut chance = Chance::new(seed);
         let mut some = |of: &[&str], part: f64| {
             let picked: Vec<String> =
@@ -255,20 +255,20 @@
         let place = |names: &[&'static str], from: usize| -> BTreeMap<&str, usize> {
             names.iter().enumerate().map(|(place, name)| (*name, from + 3 * place)).collect()
         };
-        let (case_at, customer_at) = (place(&use_cases, 2), place(&customers, 1));
+        let (case_at, customer_at) = (place(&job_classes, 2), place(&customers, 1));
         identity.compile(&case_at, &customer_at);
         let addresses: [IpAddr; 4] =
             ["10.1.2.3", "10.2.0.1", "127.0.0.5", "::1"].map(|text| text.parse().expect("an address"));
         (0..4).all(|caller| {
             let name = format!("c{caller}");
             let id = identity.caller(&name).expect("known");
-            use_cases.iter().all(|use_case| {
+            job_classes.iter().all(|job_class| {
                 [None, Some("north"), Some("south"), Some("west")].iter().all(|customer| {
                     addresses.iter().all(|from| {
-                        let wants = plain(&text, &name, use_case, *customer, *from);
+                        let wants = plain(&text, &name, job_class, *customer, *from);
                         let says = identity.may(
                             id,
-                            case_at[use_case],
+                            case_at[job_class],
                             customer.map(|name| customer_at[name]),
                             *from,
                         );
@@ -369,11 +369,11 @@
     let mut desk = Desk::new(compiled(&usual(&signer)), at(NOW_S)).expect("a set");
     let token = signer.sign("k1", &claims("front-desk")).expect("signed");
     let known = Known { token: desk.token(at(NOW_S), &token, HERE).ok(), certificate: None };
-    let may = |desk: &Desk, after: f64, use_case, customer| {
-        desk.may(at(NOW_S + after), &known, use_case, customer, HERE)
+    let may = |desk: &Desk, after: f64, job_class, customer| {
+        desk.may(at(NOW_S + after), &known, job_class, customer, HERE)
     };
     assert_eq!(may(&desk, 0.0, 0, None), Ok(0), "its only customer");
-    assert_eq!(may(&desk, 0.0, 2, None), Err(Refused::UseCase));
+    assert_eq!(may(&desk, 0.0, 2, None), Err(Refused::JobClass));
     assert_eq!(
         may(&desk, 0.0, 0, Some(1)),
         Err(Refused::Customer),
@@ -383,7 +383,7 @@
     assert_eq!(may(&desk, 391.0, 0, None), Err(Refused::Expired));
     let fewer = usual(&signer).replace("\"search\", \"hold\"", "\"hold\"");
     desk.replace(compiled(&fewer), at(NOW_S)).expect("a set");
-    assert_eq!(may(&desk, 1.0, 0, None), Err(Refused::UseCase));
+    assert_eq!(may(&desk, 1.0, 0, None), Err(Refused::JobClass));
     assert_eq!(may(&desk, 1.0, 1, None), Ok(0));
     assert_eq!(desk.may(at(NOW_S), &Known::default(), 0, None, HERE), Err(Refused::Nameless));
 }
@@ -526,7 +526,7 @@
 fn lines_of_refusals_are_bounded_whoever_is_refused() {
     let mut audit = hazelgrade_identity::audit::Audit::default();
     for caller in 0..1000 {
-        audit.refused(at(NOW_S), Some(&format!("c{caller}")), Refused::UseCase);
+        audit.refused(at(NOW_S), Some(&format!("c{caller}")), Refused::JobClass);
     }
     assert!(audit.due(at(NOW_S + 0.5)).is_empty());
     let lines = audit.due(at(NOW_S + 1.0));
--- a/crates/hazelgrade-server/src/program/command.rs
+++ b/crates/hazelgrade-server/src/program/command.rs
@@ -143,7 +143,7 @@
                 None => println!("no calls below"),
             }
             println!("client connections: {} at most", deployment.connections());
-            for case in &site.use_cases {
+            for case in &site.job_classes {
                 println!("use case {}: {:?}", case.name, case.repeats);
             }
             println!("customers: {}", customers(&site));
--- a/crates/hazelgrade-server/src/program/streaming.rs
+++ b/crates/hazelgrade-server/src/program/streaming.rs
@@ -6,9 +6,9 @@
 use crate::routing::job::Parts;
 use futures_lite::future::{BoxedLocal, FutureExt};
 use hazelgrade::chance::Chance;
-use hazelgrade::desk::{Customer, Placed, Promises, Revision, UseCase};
+use hazelgrade::desk::{Customer, JobClass, Placed, Promises, Revision};
 use hazelgrade::time::{Span, Time};
-use hazelgrade_config::document::{MOST_CUSTOMERS, MOST_USE_CASES};
+use hazelgrade_config::document::{MAX_JOB_CLASSES, MOST_CUSTOMERS};
 use hazelgrade_config::operator::Streamed;
 use hazelgrade_config::{Document, Kind, fault};
 use hazelgrade_settings::places::Places;
@@ -122,7 +122,7 @@
             surroundings,
             store,
             unread: Rc::new(RefCell::new(unread)),
-            use_cases: RefCell::new(Table::empty()),
+            job_classes: RefCell::new(Table::empty()),
             customers: RefCell::new(Table::empty()),
             told: Cell::default(),
         };
@@ -153,7 +153,7 @@
     surroundings: Surroundings,
     store: Result<Arc<Mutex<Store>>, String>,
     unread: Rc<RefCell<Option<Vec<u8>>>>,
-    use_cases: RefCell<Table<UseCase>>,
+    job_classes: RefCell<Table<JobClass>>,
     customers: RefCell<Table<Customer>>,
     /// Answered and satisfied, as told last.
     told: Cell<(u64, u64)>,
@@ -194,15 +194,15 @@
         let (parts, now) = (&around.parts, around.parts.rounds.clock.now());
         let serving = document.map(|document| document.serving(&around.promises));
         let (mut cases, customers, promises) = match serving {
-            Some(serving) => (serving.use_cases, serving.customers, serving.promises),
+            Some(serving) => (serving.job_classes, serving.customers, serving.promises),
             None => (Vec::new(), Vec::new(), around.promises.clone()),
         };
         cases.iter_mut().for_each(|(_, case)| case.calls &= around.calls_below);
-        let rest = |case: &UseCase| (case.cut_off + case.window) * REST;
+        let rest = |case: &JobClass| (case.cut_off + case.window) * REST;
         let longest = cases.iter().map(|(_, case)| rest(case)).max().unwrap_or(Span::ZERO);
-        let (use_cases, anew_use_cases) =
-            self.use_cases.borrow().revised(now, &cases, rest, MOST_USE_CASES, |place| {
-                parts.hand.names(|use_case, _| use_case == place)
+        let (job_classes, reset_classes) =
+            self.job_classes.borrow().revised(now, &cases, rest, MAX_JOB_CLASSES, |place| {
+                parts.hand.names(|job_class, _| job_class == place)
             })?;
         let (customers, anew_customers) = self.customers.borrow().revised(
             now,
@@ -214,21 +214,21 @@
         // The last that may fail goes first: after it all of the document takes effect.
         let places = document.map(|document| document.places(&around.name)).unwrap_or_default();
         around.reload.stream(places)?;
-        let in_use = |place: usize| use_cases.places.name(place).is_some_and(|(_, in_use)| in_use);
+        let in_use = |place: usize| job_classes.places.name(place).is_some_and(|(_, in_use)| in_use);
         let placed =
-            |(place, figures): (usize, &UseCase)| Placed { figures: figures.clone(), in_use: in_use(place) };
+            |(place, figures): (usize, &JobClass)| Placed { figures: figures.clone(), in_use: in_use(place) };
         let revision = Revision {
-            use_cases: use_cases.figures.iter().enumerate().map(placed).collect(),
+            job_classes: job_classes.figures.iter().enumerate().map(placed).collect(),
             customers: customers.figures.clone(),
             promises,
-            anew_use_cases,
+            reset_classes,
             anew_customers,
         };
         if !parts.rounds.revise(revision) {
             return Err("a place was taken away that jobs in hand may name".into());
         }
-        let named = |(place, case): (usize, &UseCase)| Named {
-            name: use_cases.places.name(place).map(|(name, _)| name.to_owned()).unwrap_or_default(),
+        let named = |(place, case): (usize, &JobClass)| Named {
+            name: job_classes.places.name(place).map(|(name, _)| name.to_owned()).unwrap_or_default(),
             repeats: case.repeats,
             cut_off: case.cut_off,
             in_use: in_use(place),
@@ -236,14 +236,14 @@
         let customer = |place| customers.places.name(place).filter(|(_, in_use)| *in_use);
         let before = parts.site.borrow().clone();
         parts.site.replace(Rc::new(Site {
-            use_cases: use_cases.figures.iter().enumerate().map(named).collect(),
+            job_classes: job_classes.figures.iter().enumerate().map(named).collect(),
             customers: (0..customers.places.count())
                 .map(|place| customer(place).map(|(name, _)| name.to_owned()))
                 .collect(),
             ..(*before).clone()
         }));
         parts.callers.compile(&parts.site.borrow());
-        self.use_cases.replace(use_cases);
+        self.job_classes.replace(job_classes);
         self.customers.replace(customers);
         parts.rounds.set_ready(document.is_some());
         let level = document.and_then(Document::log).and_then(|level| level.parse().ok());
--- a/crates/hazelgrade-server/src/protocol/executor.rs
+++ b/crates/hazelgrade-server/src/protocol/executor.rs
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub enum Command<'a> {
     Join { cursor: u64 },
-    Run { id: &'a str, use_case: &'a str, body: &'a str },
+    Run { id: &'a str, job_class: &'a str, body: &'a str },
     Stop { id: &'a str },
     Reply { id: &'a str, body: &'a str },
     SkipCall { id: &'a str, cursor: u64 },
@@ -42,8 +42,8 @@
 pub fn encode(command: &Command) -> String {
     let value = match command {
         Command::Join { cursor } => json!({"event": "JOIN", "cursor": cursor}),
-        Command::Run { id, use_case, body } => {
-            json!({"event": "EXEC", "handle": id, "entry": use_case, "arg": body})
+        Command::Run { id, job_class, body } => {
+            json!({"event": "EXEC", "handle": id, "entry": job_class, "arg": body})
         }
         Command::Stop { id } => json!({"event": "KILL", "handle": id}),
         Command::Reply { id, body } => json!({"event": "RETURN", "handle": id, "arg": body}),
--- a/crates/hazelgrade-server/src/protocol/jsonrpc.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc.rs
@@ -105,7 +105,7 @@
     }
 }
 
-/// Decodes a line. `site` gives the use cases and customers that a job may name.
+/// Decodes a line. `site` gives the job classes and customers that a job may name.
 pub fn decode(line: &[u8], site: &Site) -> Result<Incoming, Wrong> {
     let wrong = |call, code, message: &str| Wrong { call, not_here: false, code, message: message.into() };
     let value: Value = serde_json::from_slice(line)
@@ -141,15 +141,15 @@
         let token = token.ok_or_else(|| wrong(call, WRONG_PARAMS, "field token: expected a token"))?;
         return Ok(Incoming::Hello(number, token));
     }
-    let use_case = match site.use_case(&method) {
-        Some((use_case, true)) => use_case,
+    let job_class = match site.job_class(&method) {
+        Some((job_class, true)) => job_class,
         known => {
             let not_here = known.is_some() || !site.serves();
             let unknown = wrong(call, UNKNOWN_METHOD, "field method: expected a use case of this site");
             return Err(Wrong { not_here, ..unknown });
         }
     };
-    match asked(number, use_case, &mut params, site) {
+    match asked(number, job_class, &mut params, site) {
         Ok(asked) => Ok(Incoming::Job(Box::new(asked))),
         Err(message) => Err(wrong(call, WRONG_PARAMS, &message)),
     }
@@ -163,7 +163,7 @@
     }
 }
 
-fn asked(call: u64, use_case: usize, params: &mut Params, site: &Site) -> Result<Asked, String> {
+fn asked(call: u64, job_class: usize, params: &mut Params, site: &Site) -> Result<Asked, String> {
     let id = params.text("req", "a job's id")?;
     if !id.bytes().all(|byte| byte.is_ascii_graphic()) {
         return Err("field req: expected a job's id without spaces".into());
@@ -188,7 +188,7 @@
     let held_kb = params.number("need", |kb| kb > 0.0 && kb < 2000.0, "kilobytes, above 0 and under 2000")?;
     let rank = params.number("level", |rank| (0.0..1.0).contains(&rank), "from 0 to under 1")?;
     // The page of the protocol names no mark for numbered jobs; the site's list of names calls it `opkey`.
-    let (name, shown) = match site.use_cases[use_case].repeats {
+    let (name, shown) = match site.job_classes[job_class].repeats {
         Repeats::Reissuable => ("subject", "what a read is about"),
         _ => ("opkey", "the mark of a numbered job"),
     };
@@ -199,7 +199,7 @@
     };
     let job = Job {
         id: id.into(),
-        use_case,
+        job_class,
         customer,
         reached: Time::from_ms(reached),
         waits_until: None,
--- a/crates/hazelgrade-server/src/routing/callers.rs
+++ b/crates/hazelgrade-server/src/routing/callers.rs
@@ -43,8 +43,8 @@
         now: Time,
         back: bool,
     ) -> Result<(), &'static str> {
-        let (use_cases, customers) = places(site);
-        identity.compile(&use_cases, &customers);
+        let (job_classes, customers) = places(site);
+        identity.compile(&job_classes, &customers);
         let mut desk = self.desk.borrow_mut();
         match &mut *desk {
             Some(desk) if back => desk.go_back(identity, now),
@@ -71,8 +71,8 @@
     /// The site's names have other places.
     pub fn compile(&self, site: &Site) {
         if let Some(desk) = &mut *self.desk.borrow_mut() {
-            let (use_cases, customers) = places(site);
-            desk.compile(&use_cases, &customers);
+            let (job_classes, customers) = places(site);
+            desk.compile(&job_classes, &customers);
         }
     }
 
@@ -110,7 +110,7 @@
                 return Err(Refused::Revoked);
             }
             let own = token.map(|token| Known { token: Some(token), certificate: None });
-            desk.asks(now, own.as_ref().unwrap_or(&known), asked.job.use_case, customer, caller.from)
+            desk.asks(now, own.as_ref().unwrap_or(&known), asked.job.job_class, customer, caller.from)
         });
         match may {
             Ok((customer, beyond)) => {
@@ -135,10 +135,10 @@
 }
 
 fn places(site: &Site) -> (BTreeMap<&str, usize>, BTreeMap<&str, usize>) {
-    let use_cases = site.use_cases.iter().enumerate().filter(|(_, case)| case.in_use);
+    let job_classes = site.job_classes.iter().enumerate().filter(|(_, case)| case.in_use);
     let customers = site.customers.iter().enumerate();
     (
-        use_cases.map(|(place, case)| (case.name.as_str(), place)).collect(),
+        job_classes.map(|(place, case)| (case.name.as_str(), place)).collect(),
         customers.filter_map(|(place, name)| Some((name.as_deref()?, place))).collect(),
     )
 }
--- a/crates/hazelgrade-server/src/routing/front.rs
+++ b/crates/hazelgrade-server/src/routing/front.rs
@@ -137,7 +137,7 @@
         let now = parts.rounds.clock.now();
         let (cut_off, numbered) = {
             let site = parts.site.borrow();
-            let case = &site.use_cases[asked.job.use_case];
+            let case = &site.job_classes[asked.job.job_class];
             (case.cut_off, case.repeats != Repeats::Reissuable)
         };
         let over = reached + cut_off < now;
@@ -151,8 +151,8 @@
             return self.refuse(client, &jsonrpc::wrong_time(call));
         }
         let mark = asked.mark.take().filter(|_| numbered);
-        let (use_case, customer) = (asked.job.use_case, asked.job.customer);
-        let key = mark.map(|mark| parts.repeats.key(use_case, customer, mark, &asked.body));
+        let (job_class, customer) = (asked.job.job_class, asked.job.customer);
+        let key = mark.map(|mark| parts.repeats.key(job_class, customer, mark, &asked.body));
         if let Some((of, result)) = parts.repeats.kept(&id) {
             // It is over under this id: as long as that is known, it is not run again, and of another nothing was run.
             let bounced = Answer::Bounced { not_elsewhere: false, back_in: Span::ZERO };
--- a/crates/hazelgrade-server/src/routing/job.rs
+++ b/crates/hazelgrade-server/src/routing/job.rs
@@ -125,12 +125,12 @@
 pub async fn live(asked: Asked, turns: Receiver<Turn>, parts: Rc<Parts>) {
     let Asked { job, body, .. } = asked;
     let (id, repeats) = (job.id.clone(), job.repeats.clone());
-    let use_case = parts.site.borrow().use_cases[job.use_case].name.clone();
+    let job_class = parts.site.borrow().job_classes[job.job_class].name.clone();
 
     // It has arrived; the module hears of it, and its verdict comes as a turn. With `--log trace` a job can be followed
     // by its id through every instance that touched it.
     let unread_ms = parts.rounds.clock.now().since(job.reached).as_ms();
-    tracing::trace!(job = &*id, use_case, again = job.again, unread_ms, "arrived");
+    tracing::trace!(job = &*id, job_class, again = job.again, unread_ms, "arrived");
     parts.rounds.tell(Event::Arrived(job));
     let mut result = None;
     'in_hand: loop {
@@ -164,7 +164,7 @@
 
         // Run. An answer may be given before the run has ended; what it yields is dropped then.
         tracing::trace!(job = &*id, "run");
-        parts.send(&Command::Run { id: &id, use_case: &use_case, body: &body });
+        parts.send(&Command::Run { id: &id, job_class: &job_class, body: &body });
         let began = parts.rounds.clock.now();
         let (mut last, mut stopping, mut at_call) = (Some(Last::Run), false, None::<AtCall>);
         let mut sent = Instant::now();
@@ -230,7 +230,7 @@
                     // A reply that did arrive must not come again: the run may stand at its next call.
                     match last.as_ref().filter(|_| from <= sent && sent < to) {
                         Some(Last::Run) => {
-                            parts.send(&Command::Run { id: &id, use_case: &use_case, body: &body })
+                            parts.send(&Command::Run { id: &id, job_class: &job_class, body: &body })
                         }
                         Some(Last::Reply(body)) => parts.send(&Command::Reply { id: &id, body }),
                         Some(Last::SkipCall(cursor)) => {
--- a/crates/hazelgrade-server/tests/budgets/main.rs
+++ b/crates/hazelgrade-server/tests/budgets/main.rs
@@ -92,7 +92,7 @@
     group.service.word(word)
 }
 
-/// Of the use case that callers ask for.
+/// Of the job class that callers ask for.
 const GOAL_MS: f64 = 1000.0;
 
 /// Nodes die, leave, stand still past their lease, are cut off one way, have clocks that differ, and come twice under one name.
--- a/crates/hazelgrade-server/tests/identity/main.rs
+++ b/crates/hazelgrade-server/tests/identity/main.rs
@@ -121,8 +121,8 @@
         self.ask(&json!({"jsonrpc": "2.0", "id": 1, "method": "hello", "params": {"token": token}}))
     }
 
-    fn job(&mut self, call: u64, use_case: &str, owner: Option<&str>, token: Option<&str>) -> Value {
-        self.ask(&json!({"jsonrpc": "2.0", "id": call, "method": use_case, "params": {
+    fn job(&mut self, call: u64, job_class: &str, owner: Option<&str>, token: Option<&str>) -> Value {
+        self.ask(&json!({"jsonrpc": "2.0", "id": call, "method": job_class, "params": {
             "req": format!("j{call:04}{:08x}", unix_ms() as u32), "ts": unix_ms(), "via": 1, "owner": owner,
             "need": 12.5, "level": 0.5, "body": "aGVsbG8=", "token": token}}))
     }
--- a/crates/hazelgrade-server/tests/identity/tls.rs
+++ b/crates/hazelgrade-server/tests/identity/tls.rs
@@ -148,8 +148,8 @@
         serde_json::from_str(&line).ok()
     }
 
-    fn job(&mut self, call: u64, use_case: &str, token: Option<&str>) -> Value {
-        let answer = self.ask(&json!({"jsonrpc": "2.0", "id": call, "method": use_case, "params": {
+    fn job(&mut self, call: u64, job_class: &str, token: Option<&str>) -> Value {
+        let answer = self.ask(&json!({"jsonrpc": "2.0", "id": call, "method": job_class, "params": {
             "req": format!("t{call:04}{:08x}", unix_ms() as u32), "ts": unix_ms(), "via": 1,
             "need": 12.5, "level": 0.5, "body": "aGVsbG8=", "token": token}}));
         answer.expect("an answer")
--- a/crates/hazelgrade-server/tests/instance/common.rs
+++ b/crates/hazelgrade-server/tests/instance/common.rs
@@ -347,7 +347,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
 }
 
-pub fn job(call: u64, use_case: &str, id: &str) -> Value {
-    json!({"jsonrpc": "2.0", "id": call, "method": use_case, "params": {"req": id, "ts": unix_ms(), "via": 1,
+pub fn job(call: u64, job_class: &str, id: &str) -> Value {
+    json!({"jsonrpc": "2.0", "id": call, "method": job_class, "params": {"req": id, "ts": unix_ms(), "via": 1,
         "owner": "acme", "need": 12.5, "level": 0.5, "body": "aGVsbG8="}})
 }
--- a/crates/hazelgrade-server/tests/instance/fleet.rs
+++ b/crates/hazelgrade-server/tests/instance/fleet.rs
@@ -45,9 +45,9 @@
             (specifics["callsOver"], specifics["cores"]) = (json!(1000), json!(4));
         });
         let rate = 2.0 * SHARE as f64 / CALL.as_secs_f64();
-        let use_cases = vec!["read".to_owned()];
+        let job_classes = vec!["read".to_owned()];
         let node = instance.listen;
-        let plan = Plan { node, connections: 3, rate, use_cases, owner: "acme".into(), token: None };
+        let plan = Plan { node, connections: 3, rate, job_classes, owner: "acme".into(), token: None };
         Member { instance, executor, link, callers: Callers::start(&plan) }
     };
     (0..NODES).map(member).collect()
--- a/crates/hazelgrade-server/tests/instance/serving.rs
+++ b/crates/hazelgrade-server/tests/instance/serving.rs
@@ -17,8 +17,8 @@
 }
 
 /// Starts a job and hears that it is run.
-fn run_job(link: &mut Peer, client: &mut Peer, call: u64, use_case: &str, id: &str) {
-    client.say(&job(call, use_case, id));
+fn run_job(link: &mut Peer, client: &mut Peer, call: u64, job_class: &str, id: &str) {
+    client.say(&job(call, job_class, id));
     let run = link.command();
     assert_eq!((&run["event"], &run["handle"]), (&json!("EXEC"), &json!(id)), "{run}");
 }
--- a/crates/hazelgrade-server/tests/streaming/main.rs
+++ b/crates/hazelgrade-server/tests/streaming/main.rs
@@ -57,8 +57,8 @@
         (subscriber, have)
     }
 
-    fn callers(&self, node: &Node, rate: f64, use_cases: &[&str]) -> Callers {
-        world::callers(node.plan.listen, rate, use_cases)
+    fn callers(&self, node: &Node, rate: f64, job_classes: &[&str]) -> Callers {
+        world::callers(node.plan.listen, rate, job_classes)
     }
 }
 
--- a/crates/hazelgrade-settings/src/lib.rs
+++ b/crates/hazelgrade-settings/src/lib.rs
@@ -1,5 +1,5 @@
 //! The settings object that an instance is started with, decoded once for every host: into a `Control`, and
-//! into what the host itself goes by. `places.rs` says which place a name has when use cases and customers come and go.
+//! into what the host itself goes by. `places.rs` says which place a name has when job classes and customers come and go.
 
 pub mod places;
 
@@ -20,7 +20,7 @@
 /// What a host needs of the settings: names in the order of the places that the module goes by.
 #[derive(Clone, Debug)]
 pub struct Site {
-    pub use_cases: Vec<Named>,
+    pub job_classes: Vec<Named>,
     /// By place; none where the customer is gone.
     pub customers: Vec<Option<String>>,
     /// What the settings promise, for documents that leave it open.
@@ -51,15 +51,15 @@
 }
 
 impl Site {
-    /// The place of a use case, and whether it is in use.
-    pub fn use_case(&self, name: &str) -> Option<(usize, bool)> {
-        let place = self.use_cases.iter().position(|case| case.name == name)?;
-        Some((place, self.use_cases[place].in_use))
+    /// The place of a job class, and whether it is in use.
+    pub fn job_class(&self, name: &str) -> Option<(usize, bool)> {
+        let place = self.job_classes.iter().position(|case| case.name == name)?;
+        Some((place, self.job_classes[place].in_use))
     }
 
     /// Something can be asked for.
     pub fn serves(&self) -> bool {
-        self.use_cases.iter().any(|case| case.in_use)
+        self.job_classes.iter().any(|case| case.in_use)
     }
 }
 
@@ -125,12 +125,12 @@
     let (calls, skips) = (by_class("callsByClass"), by_class("classSkipWorth"));
     let below = specifics.word("below", "none")?;
     let calls_below = !matches!(below, "none" | "silent" | "");
-    let (mut use_cases, mut named) = (Vec::new(), Vec::new());
+    let (mut job_classes, mut named) = (Vec::new(), Vec::new());
     for (place, class) in list(settings, "classes")?.iter().enumerate() {
         let part = Part { value: Some(class), path: "classes" };
         let at = |list: Option<&Vec<Value>>| list.and_then(|list| list.get(place)).cloned();
         let cut_off = part.number("giveUp", 0.0)?;
-        use_cases.push(UseCase {
+        job_classes.push(JobClass {
             goal: part.span("aim", cut_off)?,
             goal_per_work: part.number("aimStretch", 0.0)?,
             cut_off: Span::from_ms(cut_off),
@@ -148,7 +148,7 @@
         });
         named.push(Named {
             name: part.word("name", "")?.into(),
-            repeats: use_cases[place].repeats,
+            repeats: job_classes[place].repeats,
             cut_off: Span::from_ms(cut_off),
             in_use: true,
         });
@@ -206,7 +206,7 @@
     };
     let gauges = list(specifics.value.unwrap_or(&Value::Null), "ownStats")?;
     let site = Site {
-        use_cases: named,
+        job_classes: named,
         customers: names,
         promises: promises.clone(),
         calls_below,
@@ -217,5 +217,5 @@
         shared_for: specifics.span("shareFor", 0.0)?,
         linger: below.linger,
     };
-    Ok((Control::new(use_cases, customers, machine, promises, below, callers, Chance::new(seed)), site))
+    Ok((Control::new(job_classes, customers, machine, promises, below, callers, Chance::new(seed)), site))
 }
--- a/crates/hazelgrade-simulator-adapter/src/wire.rs
+++ b/crates/hazelgrade-simulator-adapter/src/wire.rs
@@ -137,17 +137,17 @@
     Ok(())
 }
 
-/// How many use cases and customers an instance was told of: places in those lists must lie within.
+/// How many job classes and customers an instance was told of: places in those lists must lie within.
 #[derive(Clone, Copy, Debug)]
 pub struct Counts {
-    use_cases: usize,
+    job_classes: usize,
     customers: usize,
 }
 
 fn job(fields: &mut Fields, counts: Counts, now: Time) -> Result<Job, Fault> {
     let id = fields.id("handle")?;
-    let use_case = fields.whole("category")? as usize;
-    if use_case >= counts.use_cases {
+    let job_class = fields.whole("category")? as usize;
+    if job_class >= counts.job_classes {
         return fault("category", "a place in the list of classes");
     }
     let customer = fields.number("team", 0.0, Some(0.0))? as usize;
@@ -177,7 +177,7 @@
     let work = (bits & 1 != 0).then(|| Span::from_ms(cost));
     Ok(Job {
         id,
-        use_case,
+        job_class,
         customer,
         reached: now - lay,
         waits_until,
@@ -213,7 +213,7 @@
         return fault("settings", "a JSON object");
     };
     let (control, site) = hazelgrade_settings::instance(&settings, seed)?;
-    Ok((control, Counts { use_cases: site.use_cases.len(), customers: site.customers.len() }))
+    Ok((control, Counts { job_classes: site.job_classes.len(), customers: site.customers.len() }))
 }
 
 /// Writes the decisions of one instance as lines of the reply.
--- a/crates/hazelgrade/src/control.rs
+++ b/crates/hazelgrade/src/control.rs
@@ -54,7 +54,7 @@
 /// A job in hand: until its answer, and if it runs, until its run has ended.
 struct InHand {
     job: Job,
-    case: Rc<UseCase>, // as when it arrived: a revision changes nothing for what is in hand
+    case: Rc<JobClass>, // as when it arrived: a revision changes nothing for what is in hand
     quota: f64,
     order: u64,
     stage: Stage,
@@ -211,8 +211,8 @@
 }
 
 /// The shortest goal time, and the mean.
-fn goals<'a>(use_cases: impl Iterator<Item = &'a UseCase>) -> (Span, Span) {
-    let goals: Vec<Span> = use_cases.map(|case| case.goal).collect();
+fn goals<'a>(job_classes: impl Iterator<Item = &'a JobClass>) -> (Span, Span) {
+    let goals: Vec<Span> = job_classes.map(|case| case.goal).collect();
     let sum = goals.iter().fold(Span::ZERO, |sum, goal| sum + *goal);
     (goals.iter().min().copied().unwrap_or(Span::from_ms(1000.0)), sum * (1.0 / goals.len().max(1) as f64))
 }
@@ -250,7 +250,7 @@
 struct Entry {
     until: Time,
     named_until: Time, // read after `until`, a repeat may still name this job
-    use_case: usize,
+    job_class: usize,
     reached: Time, // repeats that reach the machine from here until `kept` are blind
     kept: Time,
     again: bool,
@@ -264,12 +264,12 @@
         let between = job.reached.since(self.reached) + self.reached.since(job.reached);
         let lie = if marked { self.again || job.again } else { between >= apart };
         let unread_together = self.kept != read && job.reached < self.kept && self.reached < read;
-        self.ran && self.use_case == job.use_case && unread_together && lie
+        self.ran && self.job_class == job.job_class && unread_together && lie
     }
 }
 
 pub struct Control {
-    use_cases: Vec<Rc<UseCase>>,
+    job_classes: Vec<Rc<JobClass>>,
     machine: Machine,
     promises: Promises,
     callers: Callers,
@@ -281,8 +281,8 @@
     quotas: Vec<(DecaySum, f64)>, // by customer: first tries, and quota a second over the fleet
     openness: Openness,
     chance: Chance,
-    on_cores: Vec<Pace>, // by use case: time on the cores
-    whole: Vec<Pace>,    // by use case: time from start to end
+    on_cores: Vec<Pace>, // by job class: time on the cores
+    whole: Vec<Pace>,    // by job class: time from start to end
     any: Pace,
     cores_used: Mean, // part of the cores that was busy while jobs waited
     unread: Pace,
@@ -309,7 +309,7 @@
 impl Inflow<'_> {
     pub fn arrived(&mut self, job: Job) {
         let (now, control) = (self.now, &mut *self.control);
-        let Some(case) = control.use_cases.get(job.use_case).cloned() else { return };
+        let Some(case) = control.job_classes.get(job.job_class).cloned() else { return };
         let counts = f64::from(u8::from(job.known)); // a stranger's may be made up, and are read late for it
         if job.known {
             let waited = now.since(job.reached);
@@ -361,7 +361,7 @@
             (held.stage, held.since) = (Stage::Held, now);
             control.jobs.insert(id.clone(), held);
         } else if outcome == Outcome::Completed {
-            let case = held.job.use_case;
+            let case = held.job.job_class;
             control.trial.done += f64::from(u8::from(control.trial.jobs_wait));
             control.on_cores[case].learn(now, held.on_cores);
             control.whole[case].learn(now, took);
@@ -428,7 +428,7 @@
 impl Control {
     /// A server that has just started; it knows nothing but this.
     pub fn new(
-        use_cases: Vec<UseCase>,
+        job_classes: Vec<JobClass>,
         customers: Vec<Customer>,
         machine: Machine,
         promises: Promises,
@@ -436,9 +436,9 @@
         callers: Callers,
         chance: Chance,
     ) -> Control {
-        let (shortest_goal, mean_goal) = goals(use_cases.iter());
+        let (shortest_goal, mean_goal) = goals(job_classes.iter());
         let fade = shortest_goal * MEMORY_IN_GOALS;
-        let paces = || use_cases.iter().map(|_| Pace::new(fade)).collect::<Vec<_>>();
+        let paces = || job_classes.iter().map(|_| Pace::new(fade)).collect::<Vec<_>>();
         Control {
             on_cores: paces(),
             whole: paces(),
@@ -475,31 +475,31 @@
             leaving: None,
             numbers: 0,
             alarm: None,
-            use_cases: use_cases.into_iter().map(Rc::new).collect(),
+            job_classes: job_classes.into_iter().map(Rc::new).collect(),
             machine,
             promises,
             callers: Callers { count: callers.count.max(1.0), ..callers },
         }
     }
 
-    /// Between two rounds: other figures for use cases, customers and promises, by place. What was learned
+    /// Between two rounds: other figures for job classes, customers and promises, by place. What was learned
     /// stays with its place, but for places that stand for something else now; jobs in hand keep the figures
     /// that they arrived under. Places may be added at the end; `false`, and no change, if any is taken away.
     pub fn revise(&mut self, now: Time, to: Revision) -> bool {
-        let Revision { use_cases, customers, promises, anew_use_cases, anew_customers } = to;
+        let Revision { job_classes, customers, promises, reset_classes, anew_customers } = to;
         // A place that a job in hand may still name must stand.
-        if use_cases.len() < self.use_cases.len() || customers.len() < self.quotas.len() {
+        if job_classes.len() < self.job_classes.len() || customers.len() < self.quotas.len() {
             return false;
         }
         let served =
-            use_cases.iter().enumerate().filter(|(_, case)| case.in_use).map(|(_, case)| &case.figures);
+            job_classes.iter().enumerate().filter(|(_, case)| case.in_use).map(|(_, case)| &case.figures);
         let (shortest_goal, mean_goal) = goals(served);
         (self.shortest_goal, self.unread_most) = (shortest_goal, mean_goal * UNREAD_PART);
         self.fade = shortest_goal * MEMORY_IN_GOALS;
-        self.on_cores.resize_with(use_cases.len(), || Pace::new(self.fade));
-        self.whole.resize_with(use_cases.len(), || Pace::new(self.fade));
+        self.on_cores.resize_with(job_classes.len(), || Pace::new(self.fade));
+        self.whole.resize_with(job_classes.len(), || Pace::new(self.fade));
         self.quotas.resize_with(customers.len(), || (DecaySum::new(self.fade), 0.0));
-        for place in anew_use_cases {
+        for place in reset_classes {
             let paces = [&mut self.on_cores, &mut self.whole].into_iter();
             paces.filter_map(|paces| paces.get_mut(place)).for_each(|pace| *pace = Pace::new(self.fade));
         }
@@ -515,7 +515,7 @@
         self.quotas.iter_mut().for_each(|(rate, _)| rate.refade(now, self.fade));
         [&mut self.tries, &mut self.tries_again].into_iter().for_each(|sum| sum.refade(now, self.fade));
         self.quotas.iter_mut().zip(customers).for_each(|((_, quota), customer)| *quota = customer.quota);
-        self.use_cases = use_cases.into_iter().map(|case| Rc::new(case.figures)).collect();
+        self.job_classes = job_classes.into_iter().map(|case| Rc::new(case.figures)).collect();
         self.promises = promises;
         true
     }
@@ -589,11 +589,11 @@
     /// finish, a mean core time at most. Guards against what makes calls late; hurts where they just made it.
     fn call_until(&mut self, now: Time, id: &JobId) -> Time {
         let Some(held) = self.jobs.get(id) else { return now };
-        let (until, use_case, held_case) = (self.useless_from(held), held.job.use_case, held.case.clone());
+        let (until, job_class, held_case) = (self.useless_from(held), held.job.job_class, held.case.clone());
         let slow = self.gate.best.zip(self.gate.latency.mean(now));
         let slow = slow.map_or(0.0, |(best, mean)| (mean.as_ms() / best.max(0.001) - 1.0).clamp(0.0, 1.0));
         let slow = if held_case.part_without_call > 0.0 { slow } else { 0.0 };
-        until - self.core_time(now, use_case) * slow
+        until - self.core_time(now, job_class) * slow
     }
 
     /// The wait that the call queue's budget and depth go by: no longer than an answer is worth anything.
@@ -664,13 +664,13 @@
                 out.remember(id, span);
             }
             let named_until = until.max(now) + case.cut_off;
-            let (use_case, reached, again) = (job.use_case, job.reached, job.again);
-            let entry = Entry { until, named_until, use_case, reached, kept: now, again, ran: false };
+            let (job_class, reached, again) = (job.job_class, job.reached, job.again);
+            let entry = Entry { until, named_until, job_class, reached, kept: now, again, ran: false };
             self.entries.insert(id.clone(), entry);
         }
         if let Some((notice, _)) = self.leaving
             && (job.reached > notice + self.promises.drain_grace
-                || now + self.whole[job.use_case].usual(now) > self.last_moment(&self.jobs[id]))
+                || now + self.whole[job.job_class].usual(now) > self.last_moment(&self.jobs[id]))
         {
             return self.give_up(now, id, true, Some(Span::ZERO), out);
         }
@@ -797,13 +797,13 @@
             let held = &self.jobs[&id];
             let late = if held.goal <= now { held.case.late_part } else { 1.0 };
             let earns = held.case.earnings * late;
-            let (use_case, beyond) = (held.job.use_case, self.callers.over_quota_part);
+            let (job_class, beyond) = (held.job.job_class, self.callers.over_quota_part);
             let scale = self.callers.fleet * 1000.0 / self.fade.as_ms();
             let (rate, quota) = (self.quotas.get_mut(held.job.customer), held.quota);
             let part = rate.map_or(1.0, |(sum, _)| part_in_quota(sum.read(now) * scale, quota, beyond));
             // A caller beyond its ceiling counts as a customer beyond its quota does.
             let part = if held.job.beyond { part * beyond } else { part };
-            hold.push((earns * part / self.core_time(now, use_case).as_ms().max(0.001), use_case, id));
+            hold.push((earns * part / self.core_time(now, job_class).as_ms().max(0.001), job_class, id));
         }
         // Stable: among equals the one read first.
         hold.sort_by(|a, b| b.0.total_cmp(&a.0));
@@ -815,7 +815,7 @@
         let limit = (self.trial.limit / unread.max(1.0)).max(self.machine.cores * 0.5).min(self.trial.limit);
         let (mut on_cores, mut crowd) = (self.crowd(Stage::OnCores), self.crowd(Stage::Calling));
         let (mut memory, mut ahead, mut waiting) = (self.used_kb(now), Span::ZERO, false);
-        for (_, use_case, id) in hold {
+        for (_, job_class, id) in hold {
             let held = &self.jobs[&id];
             let needs = held.job.held_kb * (self.machine.running_factor - 1.0);
             let (case, wait) = (held.case.clone(), self.call_wait(now, held));
@@ -841,9 +841,9 @@
                 continue;
             }
             waiting = true;
-            let core_time = self.core_time(now, use_case) * stretch;
+            let core_time = self.core_time(now, job_class) * stretch;
             let starts_in = ahead * (1.0 / limit);
-            let done = now + starts_in + self.whole[use_case].usual(now).max(core_time);
+            let done = now + starts_in + self.whole[job_class].usual(now).max(core_time);
             let patience = case.goal * HOLD_PART;
             if done > self.useless_from(&self.jobs[&id]) || starts_in > patience {
                 let back_in = self.hold_clears_in(now);
--- a/crates/hazelgrade/src/desk.rs
+++ b/crates/hazelgrade/src/desk.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub struct Job {
     pub id: JobId,
-    pub use_case: usize,
+    pub job_class: usize,
     pub customer: usize,
     /// When it reached the machine, which may be long before it was read.
     pub reached: Time,
@@ -35,7 +35,7 @@
     pub short: Option<Span>,
 }
 
-/// May a job of a use case run again?
+/// May a job of a job class run again?
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeats {
     Reissuable,
@@ -44,7 +44,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct UseCase {
+pub struct JobClass {
     pub goal: Span,
     /// The goal time grows by this part of the job's work.
     pub goal_per_work: f64,
@@ -163,21 +163,21 @@
     pub over_quota_part: f64,
 }
 
-/// A use case at its place; one that is no longer in use keeps its place while jobs in hand may name it.
+/// A job class at its place; one that is no longer in use keeps its place while jobs in hand may name it.
 #[derive(Clone, Debug)]
 pub struct Placed {
-    pub figures: UseCase,
+    pub figures: JobClass,
     pub in_use: bool,
 }
 
 /// Other figures to go by, by place: at least as many places as before.
 #[derive(Clone, Debug)]
 pub struct Revision {
-    pub use_cases: Vec<Placed>,
+    pub job_classes: Vec<Placed>,
     pub customers: Vec<Customer>,
     pub promises: Promises,
     /// Places that stand for something else than before: nothing that was learned of them counts.
-    pub anew_use_cases: Vec<usize>,
+    pub reset_classes: Vec<usize>,
     pub anew_customers: Vec<usize>,
 }
 
--- a/crates/hazelgrade/tests/common/mod.rs
+++ b/crates/hazelgrade/tests/common/mod.rs
@@ -60,7 +60,7 @@
 /// Settings of a plain deployment; tests change what they are about.
 #[derive(Clone)]
 pub struct Setup {
-    pub use_cases: Vec<UseCase>,
+    pub job_classes: Vec<JobClass>,
     pub machine: Machine,
     pub promises: Promises,
     pub below: Below,
@@ -86,7 +86,7 @@
     let (count, signal, heeded_for, longest_back_in) = (4.0, Signal::Weight, ms(1000.0), ms(1000.0));
     let (mark_again, fleet, over_quota_part) = (true, 5.0, 0.1);
     Setup {
-        use_cases: vec![UseCase {
+        job_classes: vec![JobClass {
             goal,
             goal_per_work,
             cut_off,
@@ -107,8 +107,8 @@
 impl Setup {
     #[allow(dead_code)] // not every test that includes this file makes one by it
     pub fn control(&self) -> Control {
-        let Setup { use_cases, machine, promises, below, callers } = self.clone();
-        Control::new(use_cases, vec![], machine, promises, below, callers, Chance::new(7))
+        let Setup { job_classes, machine, promises, below, callers } = self.clone();
+        Control::new(job_classes, vec![], machine, promises, below, callers, Chance::new(7))
     }
 }
 
@@ -116,7 +116,7 @@
 pub fn job(id: &str, reached: Time) -> Job {
     Job {
         id: id.into(),
-        use_case: 0,
+        job_class: 0,
         customer: 0,
         reached,
         waits_until: None,
--- a/crates/hazelgrade/tests/crowd.rs
+++ b/crates/hazelgrade/tests/crowd.rs
@@ -65,7 +65,7 @@
     caller: usize,
     made: f64,
     tries: u32,
-    use_case: usize,
+    job_class: usize,
     reached: f64,
     ran: bool,
 }
@@ -116,10 +116,10 @@
 fn server(setup: &Setup, number: usize, seed: u64, now: f64, cold: bool) -> Server {
     let mut setup = setup.clone();
     setup.machine.cold = cold;
-    let Setup { use_cases, machine, promises, below, callers } = setup;
+    let Setup { job_classes, machine, promises, below, callers } = setup;
     let chance = Chance::new(seed);
     Server {
-        control: Control::new(use_cases, vec![], machine, promises, below, callers, chance),
+        control: Control::new(job_classes, vec![], machine, promises, below, callers, chance),
         zone: number % ZONES,
         begun: if cold { now } else { now - WARM_UP },
         speed: 1.0,
@@ -139,9 +139,9 @@
 impl Crowd {
     fn new(seed: u64, (size, callers): (usize, usize), load: f64, seconds: f64) -> Crowd {
         let mut setup = setup();
-        let base = setup.use_cases[0].clone();
-        setup.use_cases = [(Repeats::Reissuable, 1.0), (Repeats::AtMostOnce, 3.0)]
-            .map(|(repeats, earnings)| UseCase { repeats, earnings, calls: false, ..base.clone() })
+        let base = setup.job_classes[0].clone();
+        setup.job_classes = [(Repeats::Reissuable, 1.0), (Repeats::AtMostOnce, 3.0)]
+            .map(|(repeats, earnings)| JobClass { repeats, earnings, calls: false, ..base.clone() })
             .to_vec();
         setup.machine.cores = CORES;
         setup.promises.warm_up = ms(WARM_UP);
@@ -272,7 +272,7 @@
         self.numbers += 1;
         let id: JobId = format!("{}", self.numbers).into();
         let mut sent = job(&id, at(now));
-        (sent.use_case, sent.again, asked.reached) = (asked.use_case, asked.tries > 0, now);
+        (sent.job_class, sent.again, asked.reached) = (asked.job_class, asked.tries > 0, now);
         let server = &mut self.servers[number];
         server.arrivals += 1;
         server.unread.push_back((sent, READING + greeting));
@@ -283,7 +283,7 @@
     fn again(&mut self, asked: Asked, after: f64) {
         let most = if self.callers[asked.caller].heeds == Heeds::Nothing { 6 } else { 3 };
         let (at, tries) = (self.now + after, asked.tries + 1);
-        let once_ran = asked.ran && asked.use_case == 1;
+        let once_ran = asked.ran && asked.job_class == 1;
         if tries < most && at < asked.made + 2000.0 && !once_ran {
             self.at(at, Event::Ask(Asked { tries, ran: false, ..asked }));
         }
@@ -399,7 +399,7 @@
             return;
         };
         let chance = self.chance.draw();
-        if bounced.is_some() && asked.ran && asked.use_case == 1 {
+        if bounced.is_some() && asked.ran && asked.job_class == 1 {
             self.flag("bounced what ran", id);
         }
         let caller = &mut self.callers[asked.caller];
@@ -435,12 +435,12 @@
             asks += self.rate * TICK;
             while asks >= 1.0 {
                 asks -= 1.0;
-                let (caller, use_case) =
+                let (caller, job_class) =
                     ((self.chance.draw() * self.callers.len() as f64) as usize, self.chance.draw());
-                let use_case = usize::from(use_case < 0.2);
+                let job_class = usize::from(job_class < 0.2);
                 let (made, at) = (self.now, self.now + 1.0 + TICK * self.chance.draw());
                 Self::count(&mut self.seen.made, made);
-                let asked = Asked { caller, made, tries: 0, use_case, reached: made, ran: false };
+                let asked = Asked { caller, made, tries: 0, job_class, reached: made, ran: false };
                 self.at(at, Event::Ask(asked));
             }
             while let Some(first) =
@@ -651,12 +651,12 @@
 fn modules_in_the_same_case_do_not_act_in_step() {
     let mut setup = setup();
     (setup.callers.count, setup.callers.fleet) = (150.0, 300.0);
-    setup.use_cases[0].calls = false;
+    setup.job_classes[0].calls = false;
     let (mut off_for, mut back_in) = (vec![], vec![]);
     for seed in 0..300 {
-        let Setup { use_cases, machine, promises, below, callers } = setup.clone();
+        let Setup { job_classes, machine, promises, below, callers } = setup.clone();
         let mut control =
-            Control::new(use_cases, vec![], machine, promises, below, callers, Chance::new(seed));
+            Control::new(job_classes, vec![], machine, promises, below, callers, Chance::new(seed));
         let (mut off, mut told, mut runs) = (None, None, VecDeque::new());
         for step in 0..600 {
             let now = at(f64::from(step) * 10.0);
--- a/crates/hazelgrade/tests/decisions.rs
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -112,14 +112,14 @@
 
     fn new_job(&mut self, now: Time) -> Job {
         self.made += 1;
-        let classes = self.history.setup.use_cases.len() as f64;
+        let classes = self.history.setup.job_classes.len() as f64;
         let tenants = self.history.tenants.len().max(1) as f64;
         let unread = self.history.unread_ms * self.random.draw() * self.random.draw();
         let reached = now - ms(unread);
         let skew = self.random.draw();
         Job {
             id: format!("j{}", self.made).into(),
-            use_case: (self.random.draw() * classes) as usize,
+            job_class: (self.random.draw() * classes) as usize,
             customer: (skew * skew * tenants) as usize,
             reached,
             waits_until: self.happens(0.3).then(|| reached + ms(self.history.lasts_ms.min(2500.0))),
@@ -217,7 +217,7 @@
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
         for id in ids {
             let Some(tracked) = self.jobs.get(&id) else { continue };
-            let class = self.history.setup.use_cases[tracked.job.use_case].clone();
+            let class = self.history.setup.job_classes[tracked.job.job_class].clone();
             match tracked.at {
                 At::Running { left_ms } if left_ms > step && !tracked.cancelled => {
                     self.jobs.get_mut(&id).expect("tracked").at = At::Running { left_ms: left_ms - step };
@@ -364,28 +364,28 @@
 
 /// New figures for the classes that stand, and one more class each time.
 fn update(history: &History, number: usize) -> Revision {
-    let classes = history.setup.use_cases.iter().cycle().take(history.setup.use_cases.len() + number + 1);
+    let classes = history.setup.job_classes.iter().cycle().take(history.setup.job_classes.len() + number + 1);
     let faster = 1.0 - 0.2 * number as f64;
     let placed = classes.enumerate().map(|(index, class)| Placed {
-        figures: UseCase { goal: class.goal * faster, earnings: class.earnings + 0.5, ..class.clone() },
+        figures: JobClass { goal: class.goal * faster, earnings: class.earnings + 0.5, ..class.clone() },
         in_use: index != number,
     });
     let mut tenants = history.tenants.clone();
     tenants.push(Customer { quota: 5.0 });
     Revision {
-        use_cases: placed.collect(),
+        job_classes: placed.collect(),
         customers: tenants,
         promises: history.setup.promises.clone(),
-        anew_use_cases: vec![0],
+        reset_classes: vec![0],
         anew_customers: vec![0],
     }
 }
 
 fn play(history: &History) -> String {
-    let Setup { use_cases, machine, promises, below, callers } = history.setup.clone();
+    let Setup { job_classes, machine, promises, below, callers } = history.setup.clone();
     let tenants = history.tenants.clone();
     let random = Chance::new(history.seed + 1);
-    let mut control = Control::new(use_cases, tenants, machine, promises, below, callers, random);
+    let mut control = Control::new(job_classes, tenants, machine, promises, below, callers, random);
     let mut world = World::new(history);
     let (mut now_ms, mut updates) = (0.0, 0);
     while now_ms < history.lasts_ms {
@@ -411,24 +411,24 @@
     format!("{} events {} decisions {} {digest}", history.name, world.events, world.decisions)
 }
 
-fn class(repeats: Repeats, earnings: f64) -> UseCase {
-    UseCase { repeats, earnings, ..setup().use_cases[0].clone() }
+fn class(repeats: Repeats, earnings: f64) -> JobClass {
+    JobClass { repeats, earnings, ..setup().job_classes[0].clone() }
 }
 
 /// One class of each kind: idempotent, keyed, run at most once, one whose call may be left out, one that never calls.
-fn classes() -> Vec<UseCase> {
+fn classes() -> Vec<JobClass> {
     vec![
-        UseCase { late_part: 0.3, goal_per_work: 1.0, ..class(Repeats::Reissuable, 1.0) },
-        UseCase { window: ms(4000.0), ..class(Repeats::Numbered, 3.0) },
+        JobClass { late_part: 0.3, goal_per_work: 1.0, ..class(Repeats::Reissuable, 1.0) },
+        JobClass { window: ms(4000.0), ..class(Repeats::Numbered, 3.0) },
         class(Repeats::AtMostOnce, 2.0),
-        UseCase { part_without_call: 0.6, goal: ms(1200.0), ..class(Repeats::Reissuable, 0.5) },
-        UseCase { calls: false, ..class(Repeats::Reissuable, 1.5) },
+        JobClass { part_without_call: 0.6, goal: ms(1200.0), ..class(Repeats::Reissuable, 0.5) },
+        JobClass { calls: false, ..class(Repeats::Reissuable, 1.5) },
     ]
 }
 
 fn plain(name: &'static str, seed: u64) -> History {
     let mut setup = setup();
-    setup.use_cases = classes();
+    setup.job_classes = classes();
     History {
         name,
         seed,
@@ -486,7 +486,7 @@
     let mut unmarked = plain("unmarked-retries", 17);
     unmarked.setup.callers.mark_again = false;
     unmarked.setup.callers.longest_back_in = ms(4_000.0);
-    unmarked.setup.use_cases = vec![classes()[1].clone(), classes()[2].clone(), classes()[0].clone()];
+    unmarked.setup.job_classes = vec![classes()[1].clone(), classes()[2].clone(), classes()[0].clone()];
     unmarked.unread_ms = 900.0;
     all.push(unmarked);
 
@@ -505,7 +505,7 @@
 
     let mut slow = plain("slow-dependency", 20);
     slow.silent_calls = 0.5;
-    slow.setup.use_cases = vec![classes()[3].clone(), classes()[0].clone(), classes()[3].clone()];
+    slow.setup.job_classes = vec![classes()[3].clone(), classes()[0].clone(), classes()[3].clone()];
     all.push(slow);
 
     all
--- a/crates/hazelgrade/tests/failures.rs
+++ b/crates/hazelgrade/tests/failures.rs
@@ -102,7 +102,7 @@
 #[test]
 fn a_blind_repeat_of_a_numbered_job_is_written_off() {
     let mut setup = setup();
-    setup.use_cases[0].repeats = Repeats::Numbered;
+    setup.job_classes[0].repeats = Repeats::Numbered;
     let mut control = setup.control();
     assert_eq!(runs(&round(&mut control, at(500.0), |inflow| inflow.arrived(job("first", at(0.0))))), 1);
     let mut again = job("again", at(400.0));
@@ -164,7 +164,7 @@
 #[test]
 fn a_job_whose_call_is_slow_keeps_one_mean_core_time_to_finish() {
     let mut setup = setup();
-    setup.use_cases[0].part_without_call = 0.5;
+    setup.job_classes[0].part_without_call = 0.5;
     let mut control = setup.control();
     for step in 0..40 {
         let (id, start) = (format!("t{step}"), 400.0 * f64::from(step));
@@ -189,7 +189,7 @@
 #[test]
 fn a_call_that_may_be_left_out_is_not_tried_when_it_would_be_in_vain() {
     let mut setup = setup();
-    setup.use_cases[0].part_without_call = 0.5;
+    setup.job_classes[0].part_without_call = 0.5;
     let mut control = setup.control();
     at_calls(&mut control, 0.0, 0, 4);
     (0..4).for_each(|number| drop(call_done(&mut control, &format!("c{number}"), 400.0)));
@@ -207,7 +207,7 @@
 #[test]
 fn after_calls_that_took_longer_than_goals_one_at_a_time_is_tried() {
     let mut setup = setup();
-    setup.use_cases[0].part_without_call = 0.5;
+    setup.job_classes[0].part_without_call = 0.5;
     let mut control = setup.control();
     at_calls(&mut control, 0.0, 0, 1);
     call_done(&mut control, "c0", 5000.0);
@@ -290,7 +290,7 @@
 fn runs_go_up_while_cores_idle_and_down_while_they_are_busy() {
     let run_at_last = |used: f64| {
         let mut setup = setup();
-        setup.use_cases[0].calls = false;
+        setup.job_classes[0].calls = false;
         let (mut control, mut last) = (setup.control(), vec![]);
         for step in 1..60 {
             let now = at(100.0 * f64::from(step));
@@ -312,7 +312,7 @@
 /// A server whose jobs, up to step `last` of 10 ms, lay unread for two seconds; what it said of its health.
 fn health_when_lagging(callers: f64, last: u32) -> Vec<bool> {
     let mut setup = setup();
-    (setup.callers.count, setup.use_cases[0].calls) = (callers, false);
+    (setup.callers.count, setup.job_classes[0].calls) = (callers, false);
     let (mut control, mut said, mut wakes, mut ran) = (setup.control(), vec![], vec![], vec![]);
     for step in 0..2000 {
         let now = at(5000.0 + 10.0 * f64::from(step));
@@ -352,7 +352,7 @@
 /// A server of `cores` cores without calls that has learned that jobs take 350 ms, by `at(2200.0)`.
 fn taught(cores: f64, mark_again: bool) -> Control {
     let mut setup = setup();
-    (setup.machine.cores, setup.use_cases[0].calls, setup.callers.mark_again) = (cores, false, mark_again);
+    (setup.machine.cores, setup.job_classes[0].calls, setup.callers.mark_again) = (cores, false, mark_again);
     let mut control = setup.control();
     for step in 0..6 {
         let (id, now) = (format!("t{step}"), 350.0 * f64::from(step));
--- a/crates/hazelgrade/tests/revisions.rs
+++ b/crates/hazelgrade/tests/revisions.rs
@@ -5,20 +5,20 @@
 use common::*;
 use hazelgrade::desk::*;
 
-fn revision(setup: &Setup, use_cases: &[(UseCase, bool)], anew: Vec<usize>) -> Revision {
+fn revision(setup: &Setup, job_classes: &[(JobClass, bool)], anew: Vec<usize>) -> Revision {
     let placed =
-        use_cases.iter().map(|(figures, in_use)| Placed { figures: figures.clone(), in_use: *in_use });
+        job_classes.iter().map(|(figures, in_use)| Placed { figures: figures.clone(), in_use: *in_use });
     Revision {
-        use_cases: placed.collect(),
+        job_classes: placed.collect(),
         customers: vec![],
         promises: setup.promises.clone(),
-        anew_use_cases: anew,
+        reset_classes: anew,
         anew_customers: vec![],
     }
 }
 
-fn of_case(id: &str, reached: hazelgrade::time::Time, use_case: usize) -> Job {
-    Job { use_case, ..job(id, reached) }
+fn of_case(id: &str, reached: hazelgrade::time::Time, job_class: usize) -> Job {
+    Job { job_class, ..job(id, reached) }
 }
 
 #[test]
@@ -31,7 +31,7 @@
     });
     let held = 12 - first.iter().filter(|act| matches!(act, Act::Run(_))).count();
     assert!(held > 0);
-    let hasty = UseCase { goal: ms(50.0), cut_off: ms(100.0), ..setup.use_cases[0].clone() };
+    let hasty = JobClass { goal: ms(50.0), cut_off: ms(100.0), ..setup.job_classes[0].clone() };
     assert!(control.revise(at(10.0), revision(&setup, &[(hasty, true)], vec![])));
     round(&mut control, at(20.0), |inflow| inflow.arrived(job("b", at(20.0))));
     // Long past the new cut-off, well within the old goal time.
@@ -51,8 +51,8 @@
     let setup = setup();
     let mut control = setup.control();
     round(&mut control, at(0.0), |inflow| inflow.arrived(job("a", at(0.0))));
-    let other = UseCase { earnings: 2.0, ..setup.use_cases[0].clone() };
-    let gone = [(setup.use_cases[0].clone(), false), (other, true)];
+    let other = JobClass { earnings: 2.0, ..setup.job_classes[0].clone() };
+    let gone = [(setup.job_classes[0].clone(), false), (other, true)];
     assert!(control.revise(at(10.0), revision(&setup, &gone, vec![])));
     assert!(!control.revise(at(11.0), revision(&setup, &gone[..1], vec![])), "a job in hand may name it");
     let acts = round(&mut control, at(20.0), |inflow| {
@@ -77,7 +77,7 @@
             });
         }
         let now = at(10_000.0);
-        let same = [(setup.use_cases[0].clone(), true)];
+        let same = [(setup.job_classes[0].clone(), true)];
         assert!(control.revise(now, revision(&setup, &same, anew)));
         round(&mut control, now, |inflow| {
             (0..60).for_each(|n| inflow.arrived(job(&format!("b{n}"), now)));
@@ -91,10 +91,10 @@
 
 #[test]
 fn a_module_without_use_cases_serves_by_a_first_revision() {
-    let setup = Setup { use_cases: vec![], ..setup() };
+    let setup = Setup { job_classes: vec![], ..setup() };
     let mut control = setup.control();
     assert!(round(&mut control, at(0.0), |_| {}).iter().all(|act| !matches!(act, Act::Run(_))));
-    let case = common::setup().use_cases[0].clone();
+    let case = common::setup().job_classes[0].clone();
     assert!(control.revise(at(10.0), revision(&setup, &[(case, true)], vec![])));
     let acts = round(&mut control, at(20.0), |inflow| inflow.arrived(job("a", at(20.0))));
     assert!(acts.contains(&Act::Run("a".into())), "{acts:?}");
--- a/crates/hazelgrade/tests/rules.rs
+++ b/crates/hazelgrade/tests/rules.rs
@@ -84,7 +84,7 @@
         };
         let (work, fate, below) = (self.pick(50.0, 900.0), self.chance.draw(), self.pick(20.0, 1500.0));
         let Some(known) = self.jobs.get(id) else { return self.flag(true, "unknown job", id) };
-        let case = self.setup.use_cases[known.job.use_case].clone();
+        let case = self.setup.job_classes[known.job.job_class].clone();
         let (stage, request, reached, doubt) = (known.at, known.request, known.job.reached, known.call_doubt);
         let (ran_ever, repeats) = (known.ran_ever, known.job.repeats.is_some());
         let ran_before = match case.repeats {
@@ -201,9 +201,9 @@
 fn world(seed: u64) -> World {
     let mut chance = Chance::new(seed);
     let mut setup = setup();
-    let base = setup.use_cases[0].clone();
-    setup.use_cases = [Repeats::Reissuable, Repeats::Numbered, Repeats::AtMostOnce]
-        .map(|repeats| UseCase {
+    let base = setup.job_classes[0].clone();
+    setup.job_classes = [Repeats::Reissuable, Repeats::Numbered, Repeats::AtMostOnce]
+        .map(|repeats| JobClass {
             repeats,
             late_part: if chance.draw() < 0.5 { 0.0 } else { 0.3 },
             part_without_call: if chance.draw() < 0.5 { 0.0 } else { 0.4 },
@@ -255,17 +255,17 @@
         // New jobs, and further tries of numbered ones, reach the machine; some wait long unread.
         while world.chance.draw() < rate && now.since(begun) < ms(17_000.0) {
             count += 1;
-            let use_case = (world.chance.draw() * 3.0) as usize;
+            let job_class = (world.chance.draw() * 3.0) as usize;
             let old: Vec<(usize, JobId)> =
                 world.jobs.values().map(|k| (k.request, k.job.id.clone())).collect();
-            let again = use_case == 1 && !old.is_empty() && world.chance.draw() < 0.4;
+            let again = job_class == 1 && !old.is_empty() && world.chance.draw() < 0.4;
             let (mut request, mut id_before) = (count, None);
             if again {
                 let (number, id) = old[(world.chance.draw() * old.len() as f64) as usize].clone();
                 // A caller waits a while for one try before it sends the next.
                 let last = world.jobs.values().filter(|k| k.request == number).map(|k| k.job.reached).max();
                 let waited = last.is_some_and(|last| now.since(last) > ms(400.0));
-                if world.jobs[&id].job.use_case == 1 && waited {
+                if world.jobs[&id].job.job_class == 1 && waited {
                     (request, id_before) = (number, Some(id));
                 }
             }
@@ -275,9 +275,9 @@
             let wait =
                 if world.chance.draw() < 0.1 { world.pick(0.0, 3000.0) } else { world.pick(0.0, 20.0) };
             let mut job = job(&id, now);
-            (job.use_case, job.again) = (use_case, id_before.is_some() && world.setup.callers.mark_again);
+            (job.job_class, job.again) = (job_class, id_before.is_some() && world.setup.callers.mark_again);
             (job.repeats, job.held_kb) = (linked, world.pick(5.0, 40.0));
-            let due = now + world.setup.use_cases[use_case].cut_off;
+            let due = now + world.setup.job_classes[job_class].cut_off;
             let known = Known {
                 job,
                 request,
@@ -318,7 +318,7 @@
     for id in ids {
         let (luck, leaving, work) =
             (world.chance.draw(), world.chance.draw() < 0.0005, world.pick(20.0, 1500.0));
-        let calls = world.setup.use_cases[world.jobs[&id].job.use_case].calls;
+        let calls = world.setup.job_classes[world.jobs[&id].job.job_class].calls;
         let linger = world.setup.below.linger;
         let Some(known) = world.jobs.get_mut(&id) else { continue };
         match known.at {
@@ -370,7 +370,7 @@
     let requests: Vec<usize> = arrived.iter().map(|job| world.jobs[&job.id].request).collect();
     for mine in 0..arrived.len() {
         let other = (0..arrived.len()).find(|other| *other != mine && requests[*other] == requests[mine]);
-        if let Some(other) = other.filter(|_| arrived[mine].repeats.is_none() && arrived[mine].use_case == 1)
+        if let Some(other) = other.filter(|_| arrived[mine].repeats.is_none() && arrived[mine].job_class == 1)
         {
             arrived[mine].repeats = Some(arrived[other].id.clone());
             let (id, named) = (arrived[mine].id.clone(), arrived[mine].repeats.clone());
