--- a/crates/hazelgrade-budget/src/terms.rs
+++ b/crates/hazelgrade-budget/src/terms.rs
@@ -10,7 +10,7 @@
 pub enum Measure {
     /// Calls below that are in hand at once.
     InHand,
-    /// A customer's jobs a second, so many together after some quiet.
+    /// A tenant's jobs a second, so many together after some quiet.
     Rate { burst: Units },
     /// Further tries that may come together; each first try earns a thousandth part of one, times `per_mille`.
     Tries { per_mille: Units },
@@ -31,7 +31,7 @@
     /// How long what was begun under a lease may go on after it: the longest call, and its linger.
     pub longest_use: Span,
     /// Whose jobs are meant, for a rate.
-    pub customer: Option<String>,
+    pub tenant: Option<String>,
 }
 
 /// A lease, where the document names none: a death costs it and the longest use; some ten asks a lease get through any
@@ -64,7 +64,7 @@
             floor: units("floor", 1),
             lease: Span::from_ms(number("lease_ms", LEASE_MS)),
             longest_use: Span::from_ms(number("longest_use_ms", LONGEST_USE_MS)),
-            customer: fields.word(&at("customer")).map(str::to_owned),
+            tenant: fields.word(&at("customer")).map(str::to_owned),
         }
     };
     fields.names("budget").into_iter().map(|name| (name.to_owned(), one(name))).collect()
--- a/crates/hazelgrade-budget/tests/pure.rs
+++ b/crates/hazelgrade-budget/tests/pure.rs
@@ -199,7 +199,7 @@
         floor: 1,
         lease: Span::from_ms(1000.0),
         longest_use: Span::from_ms(1000.0),
-        customer: None,
+        tenant: None,
     };
     [("calls".to_owned(), terms)].into()
 }
--- a/crates/hazelgrade-budget/tests/states.rs
+++ b/crates/hazelgrade-budget/tests/states.rs
@@ -87,7 +87,7 @@
         floor: 1,
         lease: Span::from_ms(LEASE as f64 * STEP),
         longest_use: Span::from_ms(LONGEST_USE as f64 * STEP),
-        customer: None,
+        tenant: None,
     };
     [(BUDGET.to_owned(), terms)].into()
 }
--- a/crates/hazelgrade-config/src/document.rs
+++ b/crates/hazelgrade-config/src/document.rs
@@ -5,7 +5,7 @@
 use crate::fields::{self, Fields, Kind, Scalar};
 use crate::read::{Found, Reading};
 use crate::version::Digest;
-use hazelgrade::desk::{Customer, JobClass, Promises, Repeats};
+use hazelgrade::desk::{JobClass, Promises, Repeats, Tenant};
 use hazelgrade::time::Span;
 use ipnet::IpNet;
 use std::collections::BTreeMap;
@@ -13,8 +13,8 @@
 
 /// Job classes in a document: those of a large site several times over, and few enough to go through at each job.
 pub const MAX_JOB_CLASSES: usize = 64;
-/// Customers in a document.
-pub const MOST_CUSTOMERS: usize = 4096;
+/// Tenants in a document.
+pub const MAX_TENANTS: usize = 4096;
 /// Budgets in a document: a node is bound by all of them at each job.
 pub const MOST_BUDGETS: usize = 64;
 /// Nodes that have addresses of their own in a document.
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug)]
 pub struct Serving {
     pub job_classes: Vec<(String, JobClass)>,
-    pub customers: Vec<(String, Customer)>,
+    pub tenants: Vec<(String, Tenant)>,
     pub promises: Promises,
 }
 
@@ -84,7 +84,7 @@
             self.fault("use_case", "expected at least one use case, like [use_case.slot-search]");
         }
         for (section, most) in
-            [("use_case", MAX_JOB_CLASSES), ("customer", MOST_CUSTOMERS), ("node", MOST_NODES)]
+            [("use_case", MAX_JOB_CLASSES), ("customer", MAX_TENANTS), ("node", MOST_NODES)]
         {
             let count = fields.names(section).len();
             if count > most {
@@ -185,7 +185,7 @@
             self.fault("budget", format!("expected {MOST_BUDGETS} at most, not {}", names.len()));
         }
         let (mut in_hand, mut tries) = (Vec::new(), Vec::new());
-        let mut customers = BTreeMap::new();
+        let mut tenants = BTreeMap::new();
         for name in names {
             let at = |field: &str| format!("budget/{name}/{field}");
             for field in ["measure", "whole"] {
@@ -225,8 +225,8 @@
             }
             if measure == "rate" {
                 self.needed(&at("customer"));
-                let customer = fields.word(&at("customer")).unwrap_or_default();
-                if let Some(other) = customers.insert(customer, name) {
+                let tenant = fields.word(&at("customer")).unwrap_or_default();
+                if let Some(other) = tenants.insert(tenant, name) {
                     self.fault(
                         &at("customer"),
                         format!("is that of budget {other} too: one of them would not count"),
@@ -282,8 +282,8 @@
         let mut reading = Reading::of(text, file);
         let (mut fields, mut places) = (Fields::default(), BTreeMap::new());
         for (path, (found, at)) in std::mem::take(&mut reading.found) {
-            let customer = path.strip_prefix("customer/").and_then(|rest| rest.split('/').next());
-            if let Some(name) = customer.filter(|name| !name.is_empty()) {
+            let tenant = path.strip_prefix("customer/").and_then(|rest| rest.split('/').next());
+            if let Some(name) = tenant.filter(|name| !name.is_empty()) {
                 fields.0.insert(format!("customer/{name}/"), Scalar::Truth(true));
                 places.entry(format!("customer/{name}/")).or_insert(at);
             }
@@ -414,14 +414,14 @@
             };
             ((*name).to_owned(), case)
         };
-        let customer = |name: &&str| {
+        let tenant = |name: &&str| {
             let quota = fields.number(&format!("customer/{name}/quota_per_s")).unwrap_or(f64::INFINITY);
-            ((*name).to_owned(), Customer { quota })
+            ((*name).to_owned(), Tenant { quota })
         };
         let span = |path: &str, usual: Span| fields.number(path).map_or(usual, Span::from_ms);
         Serving {
             job_classes: fields.names("use_case").iter().map(job_class).collect(),
-            customers: fields.names("customer").iter().map(customer).collect(),
+            tenants: fields.names("customer").iter().map(tenant).collect(),
             promises: Promises {
                 answer_slack: span("promises/answer_slack_ms", usual.answer_slack),
                 cold_from: fields.number("promises/cold_from").unwrap_or(usual.cold_from),
--- a/crates/hazelgrade-config/src/fields.rs
+++ b/crates/hazelgrade-config/src/fields.rs
@@ -112,7 +112,7 @@
     }
 }
 
-/// One line of the table. In `path`, `*` stands for the name of a job class, a customer or a node.
+/// One line of the table. In `path`, `*` stands for the name of a job class, a tenant or a node.
 #[derive(Clone, Copy, Debug)]
 pub struct Field {
     pub path: &'static str,
@@ -163,7 +163,7 @@
     field("use_case/*/calls", Truth, Live),
     field("use_case/*/part_without_call", Number(0.0, 1.0), Live),
     field("customer/*/quota_per_s", Number(0.0, 1e9), Live),
-    // Says that a customer exists, of which nothing else need be said.
+    // Says that a tenant exists, of which nothing else need be said.
     field("customer/*/", Truth, Live),
 ];
 
@@ -219,7 +219,7 @@
 /// What a document is about. Each kind is versioned, tried and kept by itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// Job classes, customers, promises, limits, addresses.
+    /// Job classes, tenants, promises, limits, addresses.
     #[default]
     Serving,
     /// Keys, callers, rights.
@@ -258,7 +258,7 @@
     }
 }
 
-/// The longest name of a job class, customer or node, in bytes.
+/// The longest name of a job class, tenant or node, in bytes.
 pub const LONGEST_NAME: usize = 64;
 
 pub fn is_name(name: &str) -> bool {
@@ -327,7 +327,7 @@
         }
     }
 
-    /// The names under `job_class`, `customer` or `node`, in order.
+    /// The names under `job_class`, `tenant` or `node`, in order.
     pub fn names(&self, section: &str) -> Vec<&str> {
         let from = format!("{section}/");
         let under = self.0.range(from.clone()..).take_while(|(path, _)| path.starts_with(&from));
--- a/crates/hazelgrade-config/src/lib.rs
+++ b/crates/hazelgrade-config/src/lib.rs
@@ -18,5 +18,5 @@
 pub use operator::Operator;
 pub use version::{Digest, Version};
 
-/// The longest document, in bytes of TOML: 4,000 customers and 64 job classes with all their fields fit twice.
+/// The longest document, in bytes of TOML: 4,000 tenants and 64 job classes with all their fields fit twice.
 pub const LONGEST_DOCUMENT: usize = 1024 * 1024;
--- a/crates/hazelgrade-demo/src/measure/identity.rs
+++ b/crates/hazelgrade-demo/src/measure/identity.rs
@@ -48,7 +48,7 @@
     Time::from_ms(seconds * 1000.0)
 }
 
-/// A set of so many callers, each with a job class, a customer and two networks.
+/// A set of so many callers, each with a job class, a tenant and two networks.
 fn set(signer: &Signer, callers: usize, longest: f64) -> Result<Document, String> {
     let mut fields = Fields::default();
     let (x, y) = signer.public();
@@ -71,10 +71,10 @@
 
 fn compiled(document: &Document) -> Result<Identity, String> {
     let mut identity = Identity::of(document)?;
-    let names: Vec<String> = (0..50).map(|customer| format!("c{customer}")).collect();
-    let customers: BTreeMap<&str, usize> =
+    let names: Vec<String> = (0..50).map(|tenant| format!("c{tenant}")).collect();
+    let tenants: BTreeMap<&str, usize> =
         names.iter().enumerate().map(|(at, name)| (name.as_str(), at)).collect();
-    identity.compile(&BTreeMap::from([("read", 0), ("book", 1)]), &customers);
+    identity.compile(&BTreeMap::from([("read", 0), ("book", 1)]), &tenants);
     Ok(identity)
 }
 
--- a/crates/hazelgrade-demo/src/measure/streaming.rs
+++ b/crates/hazelgrade-demo/src/measure/streaming.rs
@@ -249,9 +249,9 @@
 fn bytes() -> Result<Table, String> {
     let mut table =
         table(["customers", "whole, bytes", "one field changed", "a customer more", "all quotas changed"]);
-    for customers in [5, 50, 500] {
+    for tenants in [5, 50, 500] {
         let cases = [READ, BOOK];
-        let before = document(&cases, customers, "")?;
+        let before = document(&cases, tenants, "")?;
         let length = |content: Content| {
             let version = Version { number: 1000, digest: before.digest() };
             Published::Offer(Offer { nonce: 1000, lineage: "measure".into(), version, content })
@@ -263,12 +263,12 @@
             let difference = before.fields().difference(after.fields());
             length(Content::Change { base, difference }).to_string()
         };
-        let field = document(&[READ, ("book", 1500, 3000, 2)], customers, "")?;
-        let more = document(&cases, customers + 1, "")?;
-        let all = text(&cases, customers, "").replace("quota_per_s = ", "quota_per_s = 1");
+        let field = document(&[READ, ("book", 1500, 3000, 2)], tenants, "")?;
+        let more = document(&cases, tenants + 1, "")?;
+        let all = text(&cases, tenants, "").replace("quota_per_s = ", "quota_per_s = 1");
         let all = Document::read(&all, "all").map_err(|faults| faults[0].to_string())?;
         let whole = length(Content::Whole(before.to_toml())).to_string();
-        table.add_row([customers.to_string(), whole, change(&field), change(&more), change(&all)]);
+        table.add_row([tenants.to_string(), whole, change(&field), change(&more), change(&all)]);
     }
     Ok(table)
 }
--- a/crates/hazelgrade-fakes/src/documents.rs
+++ b/crates/hazelgrade-fakes/src/documents.rs
@@ -8,23 +8,23 @@
 pub const READ: Case = ("read", 1000, 3000, 1);
 pub const BOOK: Case = ("book", 1000, 3000, 2);
 
-/// A document in TOML with these job classes, so many customers, and further lines at its end.
-pub fn text(cases: &[Case], customers: usize, rest: &str) -> String {
+/// A document in TOML with these job classes, so many tenants, and further lines at its end.
+pub fn text(cases: &[Case], tenants: usize, rest: &str) -> String {
     let mut text = String::new();
     for (name, goal, cut_off, earnings) in cases {
         text.push_str(&format!(
             "[use_case.{name}]\ngoal_ms = {goal}\ncut_off_ms = {cut_off}\nearnings = {earnings}\npart_without_call = 0.5\n\n"
         ));
     }
-    for customer in 0..customers {
-        text.push_str(&format!("[customer.c{customer}]\nquota_per_s = {}\n\n", 100 + customer));
+    for tenant in 0..tenants {
+        text.push_str(&format!("[customer.c{tenant}]\nquota_per_s = {}\n\n", 100 + tenant));
     }
     text.push_str(rest);
     text
 }
 
 /// The same, read.
-pub fn document(cases: &[Case], customers: usize, rest: &str) -> Result<Document, String> {
-    let read = Document::read(&text(cases, customers, rest), "a fake document");
+pub fn document(cases: &[Case], tenants: usize, rest: &str) -> Result<Document, String> {
+    let read = Document::read(&text(cases, tenants, rest), "a fake document");
     read.map_err(|faults| hazelgrade_config::fault::lines(&faults, 5))
 }
--- a/crates/hazelgrade-fakes/src/fleet.rs
+++ b/crates/hazelgrade-fakes/src/fleet.rs
@@ -776,6 +776,6 @@
         floor: 1,
         lease: Span::from_ms(setting.lease_ms),
         longest_use: Span::from_ms(setting.longest_use_ms),
-        customer: None,
+        tenant: None,
     }
 }
--- a/crates/hazelgrade-fakes/src/world.rs
+++ b/crates/hazelgrade-fakes/src/world.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// Four connections that ask a node for these job classes, as the first customer.
+/// Four connections that ask a node for these job classes, as the first tenant.
 pub fn callers(node: SocketAddr, rate: f64, job_classes: &[&str]) -> Callers {
     callers_with(node, rate, job_classes, None)
 }
--- a/crates/hazelgrade-identity/src/desk.rs
+++ b/crates/hazelgrade-identity/src/desk.rs
@@ -69,8 +69,8 @@
     }
 
     /// The site's names have other places.
-    pub fn compile(&mut self, job_classes: &BTreeMap<&str, usize>, customers: &BTreeMap<&str, usize>) {
-        self.identity.compile(job_classes, customers);
+    pub fn compile(&mut self, job_classes: &BTreeMap<&str, usize>, tenants: &BTreeMap<&str, usize>) {
+        self.identity.compile(job_classes, tenants);
     }
 
     /// Who shows this token.
@@ -116,17 +116,17 @@
         self.identity.certified(names).ok_or(Refused::UnknownCaller)
     }
 
-    /// The customer that a job is for, if whoever asks may ask for that.
+    /// The tenant that a job is for, if whoever asks may ask for that.
     pub fn may(
         &self,
         now: Time,
         known: &Known,
         job_class: usize,
-        customer: Option<usize>,
+        tenant: Option<usize>,
         from: IpAddr,
     ) -> Result<usize, Refused> {
         let caller = self.caller(now, known)?;
-        self.identity.may(caller, job_class, customer, from)
+        self.identity.may(caller, job_class, tenant, from)
     }
 
     /// The same for a job that is asked for now: whether its caller is beyond its ceiling too, a hint for the module.
@@ -135,12 +135,12 @@
         now: Time,
         known: &Known,
         job_class: usize,
-        customer: Option<usize>,
+        tenant: Option<usize>,
         from: IpAddr,
     ) -> Result<(usize, bool), Refused> {
         let caller = self.caller(now, known)?;
-        let customer = self.identity.may(caller, job_class, customer, from)?;
-        let Some(ceiling) = self.identity.jobs_per_s(caller) else { return Ok((customer, false)) };
+        let tenant = self.identity.may(caller, job_class, tenant, from)?;
+        let Some(ceiling) = self.identity.jobs_per_s(caller) else { return Ok((tenant, false)) };
         let fade = Span::from_ms(RATE_FADE_MS);
         // By name, so that another set of callers goes on from the same sums; bounded by the callers of a set.
         if !self.rates.contains_key(self.identity.name(caller)) {
@@ -149,9 +149,9 @@
             }
             self.rates.insert(self.identity.name(caller).to_owned(), DecaySum::new(fade));
         }
-        let Some(rate) = self.rates.get_mut(self.identity.name(caller)) else { return Ok((customer, false)) };
+        let Some(rate) = self.rates.get_mut(self.identity.name(caller)) else { return Ok((tenant, false)) };
         rate.add(now, 1.0);
-        Ok((customer, rate.read(now) > ceiling * RATE_FADE_MS / 1000.0))
+        Ok((tenant, rate.read(now) > ceiling * RATE_FADE_MS / 1000.0))
     }
 
     /// Notes a refusal.
--- a/crates/hazelgrade-identity/src/set.rs
+++ b/crates/hazelgrade-identity/src/set.rs
@@ -15,7 +15,7 @@
 
 /// How far clocks may lie apart, where a document does not say.
 const SKEW_S: f64 = 90.0;
-/// Stands for all job classes or customers.
+/// Stands for all job classes or tenants.
 const ALL: &str = "*";
 
 /// A caller's place in its set.
@@ -39,13 +39,13 @@
     name: String,
     revoked: bool,
     job_classes: Vec<String>,
-    customers: Vec<String>,
+    tenants: Vec<String>,
     networks: Vec<IpNet>,
     jobs_per_s: Option<f64>,
     /// By place of the site, see `compile`.
     may_ask: FixedBitSet,
     may_for: FixedBitSet,
-    /// The one customer it may ask for, if there is just one.
+    /// The one tenant it may ask for, if there is just one.
     only: Option<usize>,
 }
 
@@ -120,7 +120,7 @@
                 name: name.to_owned(),
                 revoked: fields.truth(&format!("caller/{name}/revoked")) == Some(true),
                 job_classes: words("use_cases"),
-                customers: words("customers"),
+                tenants: words("customers"),
                 networks: words("networks").iter().filter_map(|network| network.parse().ok()).collect(),
                 jobs_per_s: fields.number(&format!("caller/{name}/jobs_per_s")),
                 may_ask: FixedBitSet::new(),
@@ -163,8 +163,8 @@
         self.revoked_certificates.extend(other.revoked_certificates.iter().cloned());
     }
 
-    /// Brings the rights to the places of the site: by name of each job class and customer that is in use.
-    pub fn compile(&mut self, job_classes: &BTreeMap<&str, usize>, customers: &BTreeMap<&str, usize>) {
+    /// Brings the rights to the places of the site: by name of each job class and tenant that is in use.
+    pub fn compile(&mut self, job_classes: &BTreeMap<&str, usize>, tenants: &BTreeMap<&str, usize>) {
         let bits = |names: &[String], places: &BTreeMap<&str, usize>| {
             let mut bits = FixedBitSet::with_capacity(places.values().max().map_or(0, |most| most + 1));
             let named =
@@ -174,7 +174,7 @@
         };
         for caller in &mut self.callers {
             caller.may_ask = bits(&caller.job_classes, job_classes);
-            caller.may_for = bits(&caller.customers, customers);
+            caller.may_for = bits(&caller.tenants, tenants);
             caller.only = caller.may_for.ones().next().filter(|_| caller.may_for.count_ones(..) == 1);
         }
     }
@@ -210,13 +210,13 @@
         self.revoked_tokens.contains(token)
     }
 
-    /// The customer that a job is for, if this caller may ask for that from there. Without a customer named it is the
+    /// The tenant that a job is for, if this caller may ask for that from there. Without a tenant named it is the
     /// only one that it may ask for.
     pub fn may(
         &self,
         caller: CallerId,
         job_class: usize,
-        customer: Option<usize>,
+        tenant: Option<usize>,
         from: IpAddr,
     ) -> Result<usize, Refused> {
         let Some(caller) = self.callers.get(caller.0) else { return Err(Refused::UnknownCaller) };
@@ -229,8 +229,8 @@
         if !caller.may_ask.contains(job_class) {
             return Err(Refused::JobClass);
         }
-        let customer = customer.or(caller.only).ok_or(Refused::Customer)?;
-        if caller.may_for.contains(customer) { Ok(customer) } else { Err(Refused::Customer) }
+        let tenant = tenant.or(caller.only).ok_or(Refused::Tenant)?;
+        if caller.may_for.contains(tenant) { Ok(tenant) } else { Err(Refused::Tenant) }
     }
 
     /// May still ask for anything at all.
--- a/crates/hazelgrade-identity/src/token.rs
+++ b/crates/hazelgrade-identity/src/token.rs
@@ -33,7 +33,7 @@
     Revoked,
     Network,
     JobClass,
-    Customer,
+    Tenant,
     /// Too many bad ones came from there lately: not looked at.
     Doubted,
 }
@@ -54,7 +54,7 @@
         Refused::Revoked,
         Refused::Network,
         Refused::JobClass,
-        Refused::Customer,
+        Refused::Tenant,
         Refused::Doubted,
     ];
 
@@ -83,7 +83,7 @@
             Refused::Revoked => "revoked",
             Refused::Network => "not from this network",
             Refused::JobClass => "the caller may not ask for this use case",
-            Refused::Customer => "the caller may not ask for this customer",
+            Refused::Tenant => "the caller may not ask for this customer",
             Refused::Doubted => "too many bad tokens came from there",
         }
     }
--- a/crates/hazelgrade-identity/tests/identity.rs
+++ b/crates/hazelgrade-identity/tests/identity.rs
@@ -202,7 +202,7 @@
     text: &str,
     caller: &str,
     job_class: &str,
-    customer: Option<&str>,
+    tenant: Option<&str>,
     from: IpAddr,
 ) -> Result<String, Refused> {
     let document = read(text).expect("right");
@@ -221,18 +221,18 @@
     }
     let may: Vec<&str> =
         ["north", "south", "west"].into_iter().filter(|name| any(&words("customers"), name)).collect();
-    let customer = match customer {
-        Some(customer) => customer,
+    let tenant = match tenant {
+        Some(tenant) => tenant,
         None if may.len() == 1 => may[0],
-        None => return Err(Refused::Customer),
+        None => return Err(Refused::Tenant),
     };
-    if may.contains(&customer) { Ok(customer.to_owned()) } else { Err(Refused::Customer) }
+    if may.contains(&tenant) { Ok(tenant.to_owned()) } else { Err(Refused::Tenant) }
 }
 
 #[test]
 fn compiled_rights_say_what_the_plain_ones_say() {
     fn holds(seed: u64) -> bool {
-        let (job_classes, customers) = (["a", "b", "c", "d"], ["north", "south", "west"]);
+        let (job_classes, tenants) = (["a", "b", "c", "d"], ["north", "south", "west"]);
         let mut chance = Chance::new(seed);
         let mut some = |of: &[&str], part: f64| {
             let picked: Vec<String> =
@@ -255,7 +255,7 @@
         let place = |names: &[&'static str], from: usize| -> BTreeMap<&str, usize> {
             names.iter().enumerate().map(|(place, name)| (*name, from + 3 * place)).collect()
         };
-        let (case_at, customer_at) = (place(&job_classes, 2), place(&customers, 1));
+        let (case_at, customer_at) = (place(&job_classes, 2), place(&tenants, 1));
         identity.compile(&case_at, &customer_at);
         let addresses: [IpAddr; 4] =
             ["10.1.2.3", "10.2.0.1", "127.0.0.5", "::1"].map(|text| text.parse().expect("an address"));
@@ -263,15 +263,11 @@
             let name = format!("c{caller}");
             let id = identity.caller(&name).expect("known");
             job_classes.iter().all(|job_class| {
-                [None, Some("north"), Some("south"), Some("west")].iter().all(|customer| {
+                [None, Some("north"), Some("south"), Some("west")].iter().all(|tenant| {
                     addresses.iter().all(|from| {
-                        let wants = plain(&text, &name, job_class, *customer, *from);
-                        let says = identity.may(
-                            id,
-                            case_at[job_class],
-                            customer.map(|name| customer_at[name]),
-                            *from,
-                        );
+                        let wants = plain(&text, &name, job_class, *tenant, *from);
+                        let says =
+                            identity.may(id, case_at[job_class], tenant.map(|name| customer_at[name]), *from);
                         wants.map(|name| customer_at[name.as_str()]) == says
                     })
                 })
@@ -369,14 +365,14 @@
     let mut desk = Desk::new(compiled(&usual(&signer)), at(NOW_S)).expect("a set");
     let token = signer.sign("k1", &claims("front-desk")).expect("signed");
     let known = Known { token: desk.token(at(NOW_S), &token, HERE).ok(), certificate: None };
-    let may = |desk: &Desk, after: f64, job_class, customer| {
-        desk.may(at(NOW_S + after), &known, job_class, customer, HERE)
+    let may = |desk: &Desk, after: f64, job_class, tenant| {
+        desk.may(at(NOW_S + after), &known, job_class, tenant, HERE)
     };
     assert_eq!(may(&desk, 0.0, 0, None), Ok(0), "its only customer");
     assert_eq!(may(&desk, 0.0, 2, None), Err(Refused::JobClass));
     assert_eq!(
         may(&desk, 0.0, 0, Some(1)),
-        Err(Refused::Customer),
+        Err(Refused::Tenant),
         "a claim beyond it is refused, not corrected"
     );
     assert_eq!(may(&desk, 389.0, 0, None), Ok(0));
--- a/crates/hazelgrade-server/src/program/command.rs
+++ b/crates/hazelgrade-server/src/program/command.rs
@@ -146,7 +146,7 @@
             for case in &site.job_classes {
                 println!("use case {}: {:?}", case.name, case.repeats);
             }
-            println!("customers: {}", customers(&site));
+            println!("customers: {}", tenants(&site));
             println!(
                 "a round every {} ms at most, {} ms to leave",
                 site.tick.as_ms(),
@@ -188,8 +188,8 @@
     }
 }
 
-fn customers(site: &Site) -> String {
-    let names: Vec<&str> = site.customers.iter().flatten().map(String::as_str).collect();
+fn tenants(site: &Site) -> String {
+    let names: Vec<&str> = site.tenants.iter().flatten().map(String::as_str).collect();
     names.join(", ")
 }
 
--- a/crates/hazelgrade-server/src/program/configuration.rs
+++ b/crates/hazelgrade-server/src/program/configuration.rs
@@ -108,7 +108,7 @@
         self.memory_mb = memory_mb.map_or(self.memory_mb, |memory_mb| self.memory_mb.min(memory_mb));
     }
 
-    /// The settings without job classes and customers: these come as documents.
+    /// The settings without job classes and tenants: these come as documents.
     pub fn without_use_cases(&mut self) {
         if let Some(settings) = self.settings.as_object_mut() {
             settings.remove("classes");
--- a/crates/hazelgrade-server/src/program/serve.rs
+++ b/crates/hazelgrade-server/src/program/serve.rs
@@ -47,8 +47,8 @@
 
 /// Serves until the notice to leave, then leaves; each SIGHUP until the end has the file at `path` read again. `Ok(true)` if every answer was written.
 ///
-/// With `[stream]` in the operator's file, job classes, customers, promises and addresses come as documents; what the deployment says of job classes and
-/// customers doesn't count then.
+/// With `[stream]` in the operator's file, job classes, tenants, promises and addresses come as documents; what the deployment says of job classes and
+/// tenants doesn't count then.
 pub fn serve(
     mut deployment: Deployment,
     path: PathBuf,
--- a/crates/hazelgrade-server/src/program/streaming.rs
+++ b/crates/hazelgrade-server/src/program/streaming.rs
@@ -6,9 +6,9 @@
 use crate::routing::job::Parts;
 use futures_lite::future::{BoxedLocal, FutureExt};
 use hazelgrade::chance::Chance;
-use hazelgrade::desk::{Customer, JobClass, Placed, Promises, Revision};
+use hazelgrade::desk::{JobClass, Placed, Promises, Revision, Tenant};
 use hazelgrade::time::{Span, Time};
-use hazelgrade_config::document::{MAX_JOB_CLASSES, MOST_CUSTOMERS};
+use hazelgrade_config::document::{MAX_JOB_CLASSES, MAX_TENANTS};
 use hazelgrade_config::operator::Streamed;
 use hazelgrade_config::{Document, Kind, fault};
 use hazelgrade_settings::places::Places;
@@ -123,7 +123,7 @@
             store,
             unread: Rc::new(RefCell::new(unread)),
             job_classes: RefCell::new(Table::empty()),
-            customers: RefCell::new(Table::empty()),
+            tenants: RefCell::new(Table::empty()),
             told: Cell::default(),
         };
         (subscriber, first, node)
@@ -154,7 +154,7 @@
     store: Result<Arc<Mutex<Store>>, String>,
     unread: Rc<RefCell<Option<Vec<u8>>>>,
     job_classes: RefCell<Table<JobClass>>,
-    customers: RefCell<Table<Customer>>,
+    tenants: RefCell<Table<Tenant>>,
     /// Answered and satisfied, as told last.
     told: Cell<(u64, u64)>,
 }
@@ -193,8 +193,8 @@
         let around = &self.surroundings;
         let (parts, now) = (&around.parts, around.parts.rounds.clock.now());
         let serving = document.map(|document| document.serving(&around.promises));
-        let (mut cases, customers, promises) = match serving {
-            Some(serving) => (serving.job_classes, serving.customers, serving.promises),
+        let (mut cases, tenants, promises) = match serving {
+            Some(serving) => (serving.job_classes, serving.tenants, serving.promises),
             None => (Vec::new(), Vec::new(), around.promises.clone()),
         };
         cases.iter_mut().for_each(|(_, case)| case.calls &= around.calls_below);
@@ -204,12 +204,12 @@
             self.job_classes.borrow().revised(now, &cases, rest, MAX_JOB_CLASSES, |place| {
                 parts.hand.names(|job_class, _| job_class == place)
             })?;
-        let (customers, anew_customers) = self.customers.borrow().revised(
+        let (tenants, reset_tenants) = self.tenants.borrow().revised(
             now,
-            &customers,
+            &tenants,
             |_| longest,
-            MOST_CUSTOMERS,
-            |place| parts.hand.names(|_, customer| customer == place),
+            MAX_TENANTS,
+            |place| parts.hand.names(|_, tenant| tenant == place),
         )?;
         // The last that may fail goes first: after it all of the document takes effect.
         let places = document.map(|document| document.places(&around.name)).unwrap_or_default();
@@ -219,10 +219,10 @@
             |(place, figures): (usize, &JobClass)| Placed { figures: figures.clone(), in_use: in_use(place) };
         let revision = Revision {
             job_classes: job_classes.figures.iter().enumerate().map(placed).collect(),
-            customers: customers.figures.clone(),
+            tenants: tenants.figures.clone(),
             promises,
             reset_classes,
-            anew_customers,
+            reset_tenants,
         };
         if !parts.rounds.revise(revision) {
             return Err("a place was taken away that jobs in hand may name".into());
@@ -233,18 +233,18 @@
             cut_off: case.cut_off,
             in_use: in_use(place),
         };
-        let customer = |place| customers.places.name(place).filter(|(_, in_use)| *in_use);
+        let tenant = |place| tenants.places.name(place).filter(|(_, in_use)| *in_use);
         let before = parts.site.borrow().clone();
         parts.site.replace(Rc::new(Site {
             job_classes: job_classes.figures.iter().enumerate().map(named).collect(),
-            customers: (0..customers.places.count())
-                .map(|place| customer(place).map(|(name, _)| name.to_owned()))
+            tenants: (0..tenants.places.count())
+                .map(|place| tenant(place).map(|(name, _)| name.to_owned()))
                 .collect(),
             ..(*before).clone()
         }));
         parts.callers.compile(&parts.site.borrow());
         self.job_classes.replace(job_classes);
-        self.customers.replace(customers);
+        self.tenants.replace(tenants);
         parts.rounds.set_ready(document.is_some());
         let level = document.and_then(Document::log).and_then(|level| level.parse().ok());
         if around.level.modify(|now| *now = level.unwrap_or(around.usual_level)).is_err() {
--- a/crates/hazelgrade-server/src/protocol/jsonrpc.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc.rs
@@ -42,7 +42,7 @@
     pub mark: Option<String>,
     /// Who asks, if it is said with the job.
     pub token: Option<String>,
-    /// The customer is named; else it is the caller's only one.
+    /// The tenant is named; else it is the caller's only one.
     pub for_customer: bool,
 }
 
@@ -105,7 +105,7 @@
     }
 }
 
-/// Decodes a line. `site` gives the job classes and customers that a job may name.
+/// Decodes a line. `site` gives the job classes and tenants that a job may name.
 pub fn decode(line: &[u8], site: &Site) -> Result<Incoming, Wrong> {
     let wrong = |call, code, message: &str| Wrong { call, not_here: false, code, message: message.into() };
     let value: Value = serde_json::from_slice(line)
@@ -172,13 +172,13 @@
     params.number("via", |via| via >= 0.0 && via.fract() == 0.0, "a whole number")?;
     let owner = params.text_or_none("owner", "a customer of this site")?;
     let for_customer = owner.is_some();
-    let customer = match owner {
-        Some(owner) => site.customers.iter().position(|name| name.as_ref() == Some(&owner)),
+    let tenant = match owner {
+        Some(owner) => site.tenants.iter().position(|name| name.as_ref() == Some(&owner)),
         None => None,
     };
-    let customer = match customer {
-        Some(customer) => customer,
-        None if site.customers.iter().all(Option::is_none) || (!for_customer && site.callers_known) => 0,
+    let tenant = match tenant {
+        Some(tenant) => tenant,
+        None if site.tenants.iter().all(Option::is_none) || (!for_customer && site.callers_known) => 0,
         None => return Err("field owner: expected a customer of this site".into()),
     };
     let again = match params.0.get("resent") {
@@ -200,7 +200,7 @@
     let job = Job {
         id: id.into(),
         job_class,
-        customer,
+        tenant,
         reached: Time::from_ms(reached),
         waits_until: None,
         work: None,
--- a/crates/hazelgrade-server/src/routing/budgets.rs
+++ b/crates/hazelgrade-server/src/routing/budgets.rs
@@ -1,7 +1,7 @@
 //! A node's parts of the budgets that all nodes share: the holder on this machine's monotonic clock, and where its parts act.
 //!
 //! Of calls below the module decides by what it is allowed; right before a call is handed over it is looked at once more, as
-//! the process may have stood still in between. Of a customer's jobs a second and of further tries, buckets say whether
+//! the process may have stood still in between. Of a tenant's jobs a second and of further tries, buckets say whether
 //! there is anything left; the module turns the job away.
 
 use hazelgrade::decay::DecaySum;
@@ -49,7 +49,7 @@
     rate: f64,
     holder: RefCell<Holder>,
     in_hand: RefCell<Option<String>>,
-    /// By customer: budget and door.
+    /// By tenant: budget and door.
     rates: RefCell<BTreeMap<String, (String, Door)>>,
     tries: RefCell<Option<(String, Door)>>,
     /// In hand below after the last round.
@@ -102,13 +102,13 @@
         let mut before = std::mem::take(&mut *rates);
         let mut tries_before = tries.take();
         for (name, terms) in budgets {
-            match (terms.measure, &terms.customer) {
+            match (terms.measure, &terms.tenant) {
                 (Measure::InHand, _) => {
                     self.in_hand.replace(Some(name.clone()));
                 }
-                (Measure::Rate { .. }, Some(customer)) => {
-                    let made = door(name, terms, before.remove(customer));
-                    rates.insert(customer.clone(), made);
+                (Measure::Rate { .. }, Some(tenant)) => {
+                    let made = door(name, terms, before.remove(tenant));
+                    rates.insert(tenant.clone(), made);
                 }
                 (Measure::Rate { .. }, None) => {}
                 (Measure::Tries { .. }, _) => *tries = Some(door(name, terms, tries_before.take())),
@@ -168,10 +168,10 @@
     }
 
     /// A job came: when there may be more, if a budget leaves nothing for it.
-    pub fn arrived(&self, job: &Job, customer: Option<&str>) -> Option<Span> {
+    pub fn arrived(&self, job: &Job, tenant: Option<&str>) -> Option<Span> {
         let now = self.now();
         let mut rates = self.rates.borrow_mut();
-        let mut of_rate = customer.and_then(|customer| rates.get_mut(customer));
+        let mut of_rate = tenant.and_then(|tenant| rates.get_mut(tenant));
         let mut tries = self.tries.borrow_mut();
         if let Some((budget, door)) = &mut of_rate {
             self.renew(now, budget, door);
--- a/crates/hazelgrade-server/src/routing/callers.rs
+++ b/crates/hazelgrade-server/src/routing/callers.rs
@@ -43,8 +43,8 @@
         now: Time,
         back: bool,
     ) -> Result<(), &'static str> {
-        let (job_classes, customers) = places(site);
-        identity.compile(&job_classes, &customers);
+        let (job_classes, tenants) = places(site);
+        identity.compile(&job_classes, &tenants);
         let mut desk = self.desk.borrow_mut();
         match &mut *desk {
             Some(desk) if back => desk.go_back(identity, now),
@@ -71,8 +71,8 @@
     /// The site's names have other places.
     pub fn compile(&self, site: &Site) {
         if let Some(desk) = &mut *self.desk.borrow_mut() {
-            let (job_classes, customers) = places(site);
-            desk.compile(&job_classes, &customers);
+            let (job_classes, tenants) = places(site);
+            desk.compile(&job_classes, &tenants);
         }
     }
 
@@ -93,14 +93,14 @@
         }
     }
 
-    /// Whether a job may be asked for, and if its customer is not named, which it is.
+    /// Whether a job may be asked for, and if its tenant is not named, which it is.
     pub fn may(&self, now: Time, caller: &Caller, asked: &mut Asked) -> Result<(), Refused> {
         if !self.on.get() {
             return Ok(());
         }
         let mut desk = self.desk.borrow_mut();
         let desk = desk.as_mut().ok_or(Refused::UnknownKey)?;
-        let customer = asked.for_customer.then_some(asked.job.customer);
+        let tenant = asked.for_customer.then_some(asked.job.tenant);
         let with_job = asked.token.take().map(|token| desk.token(now, &token, caller.from)).transpose();
         let known = caller.known.borrow();
         let listed =
@@ -110,11 +110,11 @@
                 return Err(Refused::Revoked);
             }
             let own = token.map(|token| Known { token: Some(token), certificate: None });
-            desk.asks(now, own.as_ref().unwrap_or(&known), asked.job.job_class, customer, caller.from)
+            desk.asks(now, own.as_ref().unwrap_or(&known), asked.job.job_class, tenant, caller.from)
         });
         match may {
-            Ok((customer, beyond)) => {
-                (asked.job.customer, asked.job.beyond) = (customer, beyond);
+            Ok((tenant, beyond)) => {
+                (asked.job.tenant, asked.job.beyond) = (tenant, beyond);
                 Ok(())
             }
             Err(refused) => {
@@ -136,9 +136,9 @@
 
 fn places(site: &Site) -> (BTreeMap<&str, usize>, BTreeMap<&str, usize>) {
     let job_classes = site.job_classes.iter().enumerate().filter(|(_, case)| case.in_use);
-    let customers = site.customers.iter().enumerate();
+    let tenants = site.tenants.iter().enumerate();
     (
         job_classes.map(|(place, case)| (case.name.as_str(), place)).collect(),
-        customers.filter_map(|(place, name)| Some((name.as_deref()?, place))).collect(),
+        tenants.filter_map(|(place, name)| Some((name.as_deref()?, place))).collect(),
     )
 }
--- a/crates/hazelgrade-server/src/routing/front.rs
+++ b/crates/hazelgrade-server/src/routing/front.rs
@@ -151,8 +151,8 @@
             return self.refuse(client, &jsonrpc::wrong_time(call));
         }
         let mark = asked.mark.take().filter(|_| numbered);
-        let (job_class, customer) = (asked.job.job_class, asked.job.customer);
-        let key = mark.map(|mark| parts.repeats.key(job_class, customer, mark, &asked.body));
+        let (job_class, tenant) = (asked.job.job_class, asked.job.tenant);
+        let key = mark.map(|mark| parts.repeats.key(job_class, tenant, mark, &asked.body));
         if let Some((of, result)) = parts.repeats.kept(&id) {
             // It is over under this id: as long as that is known, it is not run again, and of another nothing was run.
             let bounced = Answer::Bounced { not_elsewhere: false, back_in: Span::ZERO };
@@ -167,8 +167,8 @@
         asked.job.repeats = key.and_then(|key| parts.repeats.arrived(&id, key, reached, cut_off));
         if let Some(seat) = parts.rounds.seat() {
             let site = parts.site.borrow();
-            let customer = site.customers.get(asked.job.customer).and_then(Option::as_deref);
-            asked.job.short = seat.arrived(&asked.job, customer);
+            let tenant = site.tenants.get(asked.job.tenant).and_then(Option::as_deref);
+            asked.job.short = seat.arrived(&asked.job, tenant);
         }
         parts.tally.borrow_mut().arrived += 1;
         let turns = parts.hand.take(id, words, asker);
--- a/crates/hazelgrade-server/src/routing/hand.rs
+++ b/crates/hazelgrade-server/src/routing/hand.rs
@@ -61,7 +61,7 @@
 impl Words {
     pub fn of(asked: &Asked) -> Words {
         let job = &asked.job;
-        Words(job.job_class, job.customer, job.reached, job.held_kb, job.rank, asked.body.clone())
+        Words(job.job_class, job.tenant, job.reached, job.held_kb, job.rank, asked.body.clone())
     }
 }
 
@@ -88,7 +88,7 @@
         self.jobs.borrow_mut().remove(id);
     }
 
-    /// Whether a job in hand names a place, by what `place` takes of a job's job class and customer.
+    /// Whether a job in hand names a place, by what `place` takes of a job's job class and tenant.
     pub fn names(&self, place: impl Fn(usize, usize) -> bool) -> bool {
         self.jobs.borrow().values().any(|slot| place(slot.words.0, slot.words.1))
     }
--- a/crates/hazelgrade-server/src/routing/repeats.rs
+++ b/crates/hazelgrade-server/src/routing/repeats.rs
@@ -8,12 +8,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{BuildHasher, RandomState};
 
-/// What makes two tries those of one job: job class, customer, mark, and what is asked for. A mark alone is no proof: whoever
+/// What makes two tries those of one job: job class, tenant, mark, and what is asked for. A mark alone is no proof: whoever
 /// has seen it could ask for the result with words of its own, or have the place taken by a job that nobody has.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Key {
     job_class: usize,
-    customer: usize,
+    tenant: usize,
     mark: String,
     /// A digest that no client can choose, in place of the body: bodies are kilobytes.
     content: u64,
@@ -106,8 +106,8 @@
         Repeats { table, digests: RandomState::new() }
     }
 
-    pub fn key(&self, job_class: usize, customer: usize, mark: String, body: &Body) -> Key {
-        Key { job_class, customer, mark, content: self.digests.hash_one(body) }
+    pub fn key(&self, job_class: usize, tenant: usize, mark: String, body: &Body) -> Key {
+        Key { job_class, tenant, mark, content: self.digests.hash_one(body) }
     }
 
     /// A job that is out of hand and known by this id: what it was, and the result that is kept of it.
--- a/crates/hazelgrade-settings/src/lib.rs
+++ b/crates/hazelgrade-settings/src/lib.rs
@@ -1,5 +1,5 @@
 //! The settings object that an instance is started with, decoded once for every host: into a `Control`, and
-//! into what the host itself goes by. `places.rs` says which place a name has when job classes and customers come and go.
+//! into what the host itself goes by. `places.rs` says which place a name has when job classes and tenants come and go.
 
 pub mod places;
 
@@ -21,11 +21,11 @@
 #[derive(Clone, Debug)]
 pub struct Site {
     pub job_classes: Vec<Named>,
-    /// By place; none where the customer is gone.
-    pub customers: Vec<Option<String>>,
+    /// By place; none where the tenant is gone.
+    pub tenants: Vec<Option<String>>,
     /// What the settings promise, for documents that leave it open.
     pub promises: Promises,
-    /// Callers are known: the customer of a job need not be named.
+    /// Callers are known: the tenant of a job need not be named.
     pub callers_known: bool,
     /// There is something below to call.
     pub calls_below: bool,
@@ -153,10 +153,10 @@
             in_use: true,
         });
     }
-    let (mut customers, mut names) = (Vec::new(), Vec::new());
-    for customer in list(settings, "customers")? {
-        let part = Part { value: Some(customer), path: "customers" };
-        customers.push(Customer { quota: part.number("quotaPerS", f64::INFINITY)? });
+    let (mut tenants, mut names) = (Vec::new(), Vec::new());
+    for tenant in list(settings, "customers")? {
+        let part = Part { value: Some(tenant), path: "customers" };
+        tenants.push(Tenant { quota: part.number("quotaPerS", f64::INFINITY)? });
         names.push(Some(part.word("name", "")?.into()));
     }
     let guarantees = Part::of(settings, "guarantees");
@@ -207,7 +207,7 @@
     let gauges = list(specifics.value.unwrap_or(&Value::Null), "ownStats")?;
     let site = Site {
         job_classes: named,
-        customers: names,
+        tenants: names,
         promises: promises.clone(),
         calls_below,
         callers_known: false,
@@ -217,5 +217,5 @@
         shared_for: specifics.span("shareFor", 0.0)?,
         linger: below.linger,
     };
-    Ok((Control::new(job_classes, customers, machine, promises, below, callers, Chance::new(seed)), site))
+    Ok((Control::new(job_classes, tenants, machine, promises, below, callers, Chance::new(seed)), site))
 }
--- a/crates/hazelgrade-simulator-adapter/src/wire.rs
+++ b/crates/hazelgrade-simulator-adapter/src/wire.rs
@@ -137,11 +137,11 @@
     Ok(())
 }
 
-/// How many job classes and customers an instance was told of: places in those lists must lie within.
+/// How many job classes and tenants an instance was told of: places in those lists must lie within.
 #[derive(Clone, Copy, Debug)]
 pub struct Counts {
     job_classes: usize,
-    customers: usize,
+    tenants: usize,
 }
 
 fn job(fields: &mut Fields, counts: Counts, now: Time) -> Result<Job, Fault> {
@@ -150,8 +150,8 @@
     if job_class >= counts.job_classes {
         return fault("category", "a place in the list of classes");
     }
-    let customer = fields.number("team", 0.0, Some(0.0))? as usize;
-    if customer >= counts.customers.max(1) {
+    let tenant = fields.number("team", 0.0, Some(0.0))? as usize;
+    if tenant >= counts.tenants.max(1) {
         return fault("team", "a place in the list of customers");
     }
     fields.text("affinity")?;
@@ -178,7 +178,7 @@
     Ok(Job {
         id,
         job_class,
-        customer,
+        tenant,
         reached: now - lay,
         waits_until,
         work,
@@ -213,7 +213,7 @@
         return fault("settings", "a JSON object");
     };
     let (control, site) = hazelgrade_settings::instance(&settings, seed)?;
-    Ok((control, Counts { job_classes: site.job_classes.len(), customers: site.customers.len() }))
+    Ok((control, Counts { job_classes: site.job_classes.len(), tenants: site.tenants.len() }))
 }
 
 /// Writes the decisions of one instance as lines of the reply.
--- a/crates/hazelgrade-stream/tests/publishing.rs
+++ b/crates/hazelgrade-stream/tests/publishing.rs
@@ -88,7 +88,7 @@
 
 fn large(number: u64) -> Document {
     let mut text = format!("[use_case.a]\ngoal_ms = {}\ncut_off_ms = 9000\n", 100 + number);
-    (0..50).for_each(|customer| text.push_str(&format!("[customer.c{customer}]\nquota_per_s = 5\n")));
+    (0..50).for_each(|tenant| text.push_str(&format!("[customer.c{tenant}]\nquota_per_s = 5\n")));
     Document::read(&text, "a test").expect("it is right")
 }
 
--- a/crates/hazelgrade/src/control.rs
+++ b/crates/hazelgrade/src/control.rs
@@ -7,7 +7,7 @@
 //! bounces at arrival. Beside it stand six mechanisms:
 //! 1. `RunTrial`: how many jobs run at once is tried out; fewer while jobs lie unread.
 //! 2. The hold goes by earnings for time on the cores; what can't be in time any more is answered at once.
-//! 3. `part_in_quota`: a customer's jobs beyond its quota count for less in that order.
+//! 3. `part_in_quota`: a tenant's jobs beyond its quota count for less in that order.
 //! 4. `speak`: surplus is kept away by the value said, the list, back-in times and "not elsewhere".
 //! 5. A job whose call can't be made goes on without it, where that still earns something.
 //! 6. The rules' guards: cut-off, drain, memory, crowd, and entries for numbered jobs.
@@ -217,7 +217,7 @@
     (goals.iter().min().copied().unwrap_or(Span::from_ms(1000.0)), sum * (1.0 / goals.len().max(1) as f64))
 }
 
-/// What part of a customer's jobs earns in full, by its rate over the fleet, as seen here, and its quota.
+/// What part of a tenant's jobs earns in full, by its rate over the fleet, as seen here, and its quota.
 fn part_in_quota(rate: f64, quota: f64, beyond: f64) -> f64 {
     let within = (quota / rate.max(f64::MIN_POSITIVE)).min(1.0);
     within + (1.0 - within) * beyond
@@ -278,7 +278,7 @@
     entries: BTreeMap<JobId, Entry>,
     gate: CallGate,
     trial: RunTrial,
-    quotas: Vec<(DecaySum, f64)>, // by customer: first tries, and quota a second over the fleet
+    quotas: Vec<(DecaySum, f64)>, // by tenant: first tries, and quota a second over the fleet
     openness: Openness,
     chance: Chance,
     on_cores: Vec<Pace>, // by job class: time on the cores
@@ -320,10 +320,10 @@
         control.tries.add(now, counts);
         if job.again {
             control.tries_again.add(now, counts);
-        } else if let Some((rate, _)) = control.quotas.get_mut(job.customer) {
+        } else if let Some((rate, _)) = control.quotas.get_mut(job.tenant) {
             rate.add(now, counts);
         }
-        let quota = control.quotas.get(job.customer).map_or(f64::INFINITY, |(_, quota)| *quota);
+        let quota = control.quotas.get(job.tenant).map_or(f64::INFINITY, |(_, quota)| *quota);
         let due = job.waits_until.unwrap_or(job.reached + case.cut_off);
         let stretched = job.work.map_or(Span::ZERO, |work| work * case.goal_per_work);
         let goal = (job.reached + case.goal + stretched).min(due);
@@ -429,7 +429,7 @@
     /// A server that has just started; it knows nothing but this.
     pub fn new(
         job_classes: Vec<JobClass>,
-        customers: Vec<Customer>,
+        tenants: Vec<Tenant>,
         machine: Machine,
         promises: Promises,
         below: Below,
@@ -462,7 +462,7 @@
             },
             trial: RunTrial { limit: (machine.cores * 1.5).floor().max(1.0), ..RunTrial::default() },
             cores_used: Mean::new(fade),
-            quotas: customers.iter().map(|customer| (DecaySum::new(fade), customer.quota)).collect(),
+            quotas: tenants.iter().map(|tenant| (DecaySum::new(fade), tenant.quota)).collect(),
             openness: Openness { open: 1.0, told: None, next: None },
             chance,
             unread_most: mean_goal * UNREAD_PART,
@@ -482,13 +482,13 @@
         }
     }
 
-    /// Between two rounds: other figures for job classes, customers and promises, by place. What was learned
+    /// Between two rounds: other figures for job classes, tenants and promises, by place. What was learned
     /// stays with its place, but for places that stand for something else now; jobs in hand keep the figures
     /// that they arrived under. Places may be added at the end; `false`, and no change, if any is taken away.
     pub fn revise(&mut self, now: Time, to: Revision) -> bool {
-        let Revision { job_classes, customers, promises, reset_classes, anew_customers } = to;
+        let Revision { job_classes, tenants, promises, reset_classes, reset_tenants } = to;
         // A place that a job in hand may still name must stand.
-        if job_classes.len() < self.job_classes.len() || customers.len() < self.quotas.len() {
+        if job_classes.len() < self.job_classes.len() || tenants.len() < self.quotas.len() {
             return false;
         }
         let served =
@@ -498,12 +498,12 @@
         self.fade = shortest_goal * MEMORY_IN_GOALS;
         self.on_cores.resize_with(job_classes.len(), || Pace::new(self.fade));
         self.whole.resize_with(job_classes.len(), || Pace::new(self.fade));
-        self.quotas.resize_with(customers.len(), || (DecaySum::new(self.fade), 0.0));
+        self.quotas.resize_with(tenants.len(), || (DecaySum::new(self.fade), 0.0));
         for place in reset_classes {
             let paces = [&mut self.on_cores, &mut self.whole].into_iter();
             paces.filter_map(|paces| paces.get_mut(place)).for_each(|pace| *pace = Pace::new(self.fade));
         }
-        for place in anew_customers {
+        for place in reset_tenants {
             let rate = self.quotas.get_mut(place).into_iter();
             rate.for_each(|(rate, _)| *rate = DecaySum::new(self.fade));
         }
@@ -514,7 +514,7 @@
         self.cores_used.refade(now, self.fade);
         self.quotas.iter_mut().for_each(|(rate, _)| rate.refade(now, self.fade));
         [&mut self.tries, &mut self.tries_again].into_iter().for_each(|sum| sum.refade(now, self.fade));
-        self.quotas.iter_mut().zip(customers).for_each(|((_, quota), customer)| *quota = customer.quota);
+        self.quotas.iter_mut().zip(tenants).for_each(|((_, quota), tenant)| *quota = tenant.quota);
         self.job_classes = job_classes.into_iter().map(|case| Rc::new(case.figures)).collect();
         self.promises = promises;
         true
@@ -799,9 +799,9 @@
             let earns = held.case.earnings * late;
             let (job_class, beyond) = (held.job.job_class, self.callers.over_quota_part);
             let scale = self.callers.fleet * 1000.0 / self.fade.as_ms();
-            let (rate, quota) = (self.quotas.get_mut(held.job.customer), held.quota);
+            let (rate, quota) = (self.quotas.get_mut(held.job.tenant), held.quota);
             let part = rate.map_or(1.0, |(sum, _)| part_in_quota(sum.read(now) * scale, quota, beyond));
-            // A caller beyond its ceiling counts as a customer beyond its quota does.
+            // A caller beyond its ceiling counts as a tenant beyond its quota does.
             let part = if held.job.beyond { part * beyond } else { part };
             hold.push((earns * part / self.core_time(now, job_class).as_ms().max(0.001), job_class, id));
         }
--- a/crates/hazelgrade/src/desk.rs
+++ b/crates/hazelgrade/src/desk.rs
@@ -12,7 +12,7 @@
 pub struct Job {
     pub id: JobId,
     pub job_class: usize,
-    pub customer: usize,
+    pub tenant: usize,
     /// When it reached the machine, which may be long before it was read.
     pub reached: Time,
     /// When its caller stops waiting, where callers tell.
@@ -62,7 +62,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Customer {
+pub struct Tenant {
     /// Jobs a second over the whole fleet that earn in full.
     pub quota: f64,
 }
@@ -159,7 +159,7 @@
     pub mark_again: bool,
     /// Servers beside this one, itself included, when it started.
     pub fleet: f64,
-    /// Part of the earnings for a customer's jobs beyond its quota.
+    /// Part of the earnings for a tenant's jobs beyond its quota.
     pub over_quota_part: f64,
 }
 
@@ -174,11 +174,11 @@
 #[derive(Clone, Debug)]
 pub struct Revision {
     pub job_classes: Vec<Placed>,
-    pub customers: Vec<Customer>,
+    pub tenants: Vec<Tenant>,
     pub promises: Promises,
     /// Places that stand for something else than before: nothing that was learned of them counts.
     pub reset_classes: Vec<usize>,
-    pub anew_customers: Vec<usize>,
+    pub reset_tenants: Vec<usize>,
 }
 
 /// How a run or a call ended.
--- a/crates/hazelgrade/tests/common/mod.rs
+++ b/crates/hazelgrade/tests/common/mod.rs
@@ -117,7 +117,7 @@
     Job {
         id: id.into(),
         job_class: 0,
-        customer: 0,
+        tenant: 0,
         reached,
         waits_until: None,
         work: None,
--- a/crates/hazelgrade/tests/decisions.rs
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -22,7 +22,7 @@
     name: &'static str,
     seed: u64,
     setup: Setup,
-    tenants: Vec<Customer>,
+    tenants: Vec<Tenant>,
     lasts_ms: f64,
     /// Jobs a second at a load factor of one.
     rate: f64,
@@ -120,7 +120,7 @@
         Job {
             id: format!("j{}", self.made).into(),
             job_class: (self.random.draw() * classes) as usize,
-            customer: (skew * skew * tenants) as usize,
+            tenant: (skew * skew * tenants) as usize,
             reached,
             waits_until: self.happens(0.3).then(|| reached + ms(self.history.lasts_ms.min(2500.0))),
             work: self.happens(0.4).then(|| ms(80.0)),
@@ -371,13 +371,13 @@
         in_use: index != number,
     });
     let mut tenants = history.tenants.clone();
-    tenants.push(Customer { quota: 5.0 });
+    tenants.push(Tenant { quota: 5.0 });
     Revision {
         job_classes: placed.collect(),
-        customers: tenants,
+        tenants: tenants,
         promises: history.setup.promises.clone(),
         reset_classes: vec![0],
-        anew_customers: vec![0],
+        reset_tenants: vec![0],
     }
 }
 
@@ -433,7 +433,7 @@
         name,
         seed,
         setup,
-        tenants: vec![Customer { quota: 20.0 }, Customer { quota: 4.0 }, Customer { quota: f64::INFINITY }],
+        tenants: vec![Tenant { quota: 20.0 }, Tenant { quota: 4.0 }, Tenant { quota: f64::INFINITY }],
         lasts_ms: 40_000.0,
         rate: 35.0,
         silent_calls: 0.02,
--- a/crates/hazelgrade/tests/revisions.rs
+++ b/crates/hazelgrade/tests/revisions.rs
@@ -10,10 +10,10 @@
         job_classes.iter().map(|(figures, in_use)| Placed { figures: figures.clone(), in_use: *in_use });
     Revision {
         job_classes: placed.collect(),
-        customers: vec![],
+        tenants: vec![],
         promises: setup.promises.clone(),
         reset_classes: anew,
-        anew_customers: vec![],
+        reset_tenants: vec![],
     }
 }
 
