--- a/crates/hazelgrade-budget/src/holder.rs
+++ b/crates/hazelgrade-budget/src/holder.rs
@@ -28,7 +28,7 @@
 pub struct Use {
     /// In hand, those that linger below counted in.
     pub used: Units,
-    /// Used, and turned away for want of more.
+    /// Used, and rejected for want of more.
     pub wants: Units,
 }
 
--- a/crates/hazelgrade-budget/src/message.rs
+++ b/crates/hazelgrade-budget/src/message.rs
@@ -33,7 +33,7 @@
     pub holds: Units,
     /// In hand now.
     pub used: Units,
-    /// Used, and turned away for want of more.
+    /// Used, and rejected for want of more.
     pub wants: Units,
     /// What it uses without any keeper.
     pub alone: Units,
--- a/crates/hazelgrade-demo/src/scenes/streaming.rs
+++ b/crates/hazelgrade-demo/src/scenes/streaming.rs
@@ -141,7 +141,7 @@
             (*name).to_owned(),
             of_act.len().to_string(),
             count(Fate::Satisfied),
-            count(Fate::Bounced),
+            count(Fate::Rejected),
             count(Fate::WrittenOff),
             versions.join(", "),
         ]);
--- a/crates/hazelgrade-demo/src/trouble.rs
+++ b/crates/hazelgrade-demo/src/trouble.rs
@@ -139,7 +139,7 @@
         sum.unmet.to_string(),
         sum.jobs.values().sum::<usize>().to_string(),
         of(Fate::Satisfied),
-        of(Fate::Bounced),
+        of(Fate::Rejected),
         of(Fate::Lost),
         sum.failed.len().to_string(),
     ]);
--- a/crates/hazelgrade-fakes/src/callers.rs
+++ b/crates/hazelgrade-fakes/src/callers.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fate {
     Satisfied,
-    Bounced,
+    Rejected,
     /// Its caller may not ask for it.
     Denied,
     WrittenOff,
@@ -116,7 +116,7 @@
     }
     match answer["error"]["code"].as_i64() {
         Some(-32066) if answer["error"]["data"]["denied"] == 1 => Fate::Denied,
-        Some(-32066) => Fate::Bounced,
+        Some(-32066) => Fate::Rejected,
         Some(-32000) => Fate::WrittenOff,
         _ => Fate::Wrong,
     }
--- a/crates/hazelgrade-fakes/src/fleet.rs
+++ b/crates/hazelgrade-fakes/src/fleet.rs
@@ -464,7 +464,7 @@
         }
         let (now, call_ms) = (local(self.now, self.nodes[place].rate), self.setting.call_ms);
         let node = &mut self.nodes[place];
-        // Calls that were turned away in half a second would have been so many at once.
+        // Calls that were rejected in half a second would have been so many at once.
         let turned = (node.turned_away.read(now) * call_ms / 500.0).round() as u32;
         let wants = node.used + turned + node.lie;
         node.holder.uses(now, BUDGET, Use { used: node.used, wants });
--- a/crates/hazelgrade-fakes/src/rules.rs
+++ b/crates/hazelgrade-fakes/src/rules.rs
@@ -18,7 +18,7 @@
     pub answered_twice: u64,
     /// Jobs that were started more than once.
     pub run_twice: Vec<String>,
-    /// Jobs that were bounced, so never ran, and did.
+    /// Jobs that were rejected, so never ran, and did.
     pub bounced_and_run: Vec<String>,
 }
 
@@ -40,15 +40,15 @@
         }
     }
     verdict.run_twice = runs.iter().filter(|(_, count)| **count > 1).map(|(id, _)| id.clone()).collect();
-    let bounced = told
+    let rejected = told
         .iter()
-        .filter(|told| matches!(told.fate, Fate::Bounced | Fate::Denied) && runs.contains_key(&told.id));
-    verdict.bounced_and_run = bounced.map(|told| told.id.clone()).collect();
+        .filter(|told| matches!(told.fate, Fate::Rejected | Fate::Denied) && runs.contains_key(&told.id));
+    verdict.bounced_and_run = rejected.map(|told| told.id.clone()).collect();
     verdict
 }
 
 impl Verdict {
-    /// No job lost or late, none answered or run twice. A reissuable job may be stopped and bounced.
+    /// No job lost or late, none answered or run twice. A reissuable job may be stopped and rejected.
     pub fn kept(&self) -> bool {
         self.lost.is_empty() && self.late.is_empty() && self.answered_twice == 0 && self.run_twice.is_empty()
     }
@@ -66,7 +66,7 @@
             "{} jobs: {} satisfied, {} bounced, {} denied, {} written off, {} answered otherwise, {} sent again; {} lost, {} late, {} answered twice, {} run twice",
             self.count,
             part(Fate::Satisfied),
-            part(Fate::Bounced),
+            part(Fate::Rejected),
             part(Fate::Denied),
             part(Fate::WrittenOff),
             part(Fate::Wrong),
--- a/crates/hazelgrade-fault-injection/tests/pure.rs
+++ b/crates/hazelgrade-fault-injection/tests/pure.rs
@@ -190,7 +190,7 @@
     stopped.begins(0, Trouble::Stopped, at(11_000.0));
     stopped.ends(0, Trouble::Stopped, at(12_000.0));
     assert!(rules(&stopped).is_empty());
-    assert!(rules(&account(vec![job(0, "a", 0.0, 3050.0, Fate::Bounced)])).is_empty());
+    assert!(rules(&account(vec![job(0, "a", 0.0, 3050.0, Fate::Rejected)])).is_empty());
     assert!(rules(&account(vec![job(0, "a", 0.0, 9000.0, Fate::Crossed)])).is_empty());
 }
 
@@ -244,10 +244,10 @@
     let jobs = vec![
         job(0, "a", 100.0, 50.0, Fate::Satisfied),
         job(0, "b", 200.0, 900.0, Fate::Satisfied),
-        job(0, "c", 300.0, 10.0, Fate::Bounced),
+        job(0, "c", 300.0, 10.0, Fate::Rejected),
         job(0, "d", 400.0, 10.0, Fate::Crossed),
-        job(0, "e", 2000.0, 10.0, Fate::Bounced),
-        job(1, "f", 100.0, 10.0, Fate::Bounced),
+        job(0, "e", 2000.0, 10.0, Fate::Rejected),
+        job(1, "f", 100.0, 10.0, Fate::Rejected),
     ];
     let part = account(jobs).part_served(0, at(0.0), at(1000.0), ms(500.0));
     assert_eq!(part, Some(1.0 / 3.0));
--- a/crates/hazelgrade-server/src/program/budgets.rs
+++ b/crates/hazelgrade-server/src/program/budgets.rs
@@ -143,7 +143,7 @@
 
     fn sample(&self) -> Sample {
         let tally = *self.parts.tally.borrow();
-        let answered = tally.satisfied + tally.bounced + tally.written_off;
+        let answered = tally.satisfied + tally.rejected + tally.written_off;
         let (answered_before, satisfied_before) = self.told.replace((answered, tally.satisfied));
         Sample {
             answered: answered.saturating_sub(answered_before) as f64,
--- a/crates/hazelgrade-server/src/program/streaming.rs
+++ b/crates/hazelgrade-server/src/program/streaming.rs
@@ -286,7 +286,7 @@
         let parts = &self.surroundings.parts;
         let tally = *parts.tally.borrow();
         let answered =
-            tally.satisfied + tally.bounced + tally.written_off + tally.not_here + tally.unverified;
+            tally.satisfied + tally.rejected + tally.written_off + tally.not_here + tally.unverified;
         let (answered_before, satisfied_before) = self.told.replace((answered, tally.satisfied));
         Sample {
             answered: answered.saturating_sub(answered_before) as f64,
--- a/crates/hazelgrade-server/src/protocol/jsonrpc.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc.rs
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     Satisfied(Body),
-    Bounced {
+    Rejected {
         not_elsewhere: bool,
         back_in: Span,
     },
@@ -74,8 +74,8 @@
     pub fn word(&self) -> &'static str {
         match self {
             Answer::Satisfied(_) => "satisfied",
-            Answer::Bounced { not_elsewhere: true, .. } => "bounced, not elsewhere",
-            Answer::Bounced { .. } => "bounced",
+            Answer::Rejected { not_elsewhere: true, .. } => "bounced, not elsewhere",
+            Answer::Rejected { .. } => "bounced",
             Answer::Denied(_) => "denied",
             Answer::WrittenOff => "written off",
         }
@@ -236,7 +236,7 @@
             fields.insert("body".into(), json!(**body));
             line(&json!({"jsonrpc": "2.0", "id": call, "result": fields}))
         }
-        Answer::Bounced { not_elsewhere, back_in } => {
+        Answer::Rejected { not_elsewhere, back_in } => {
             if *back_in > Span::ZERO {
                 fields.insert("holdoff".into(), json!(back_in.as_ms()));
             }
--- a/crates/hazelgrade-server/src/routing/budgets.rs
+++ b/crates/hazelgrade-server/src/routing/budgets.rs
@@ -58,7 +58,7 @@
     stirred: Bell,
     /// Calls that were not made as the part they were decided by was over.
     pub too_late: Cell<u64>,
-    /// Jobs turned away for want of a part.
+    /// Jobs rejected for want of a part.
     pub short: Cell<u64>,
 }
 
--- a/crates/hazelgrade-server/src/routing/front.rs
+++ b/crates/hazelgrade-server/src/routing/front.rs
@@ -94,9 +94,9 @@
             Err(wrong) => match wrong.call.filter(|_| wrong.not_here) {
                 Some(call) => {
                     self.parts.tally.borrow_mut().not_here += 1;
-                    let bounced = Answer::Bounced { not_elsewhere: false, back_in: Span::ZERO };
-                    client.put(&jsonrpc::encode(call, &bounced, rounds.said()));
-                    client.bounced();
+                    let rejected = Answer::Rejected { not_elsewhere: false, back_in: Span::ZERO };
+                    client.put(&jsonrpc::encode(call, &rejected, rounds.said()));
+                    client.rejected();
                 }
                 None => self.refuse(client, &wrong),
             },
@@ -109,8 +109,8 @@
         tally.denied += 1;
         tally.unverified += u64::from(refused.is_of_keys());
         client.put(&jsonrpc::encode(call, &Answer::Denied(refused.reason()), self.parts.rounds.said()));
-        // Read at a pace, as one whose jobs are bounced and never run.
-        client.bounced();
+        // Read at a pace, as one whose jobs are rejected and never run.
+        client.rejected();
     }
 
     fn refuse(&self, client: &Client<JobId>, wrong: &Wrong) {
@@ -128,8 +128,8 @@
         let words = Words::of(&asked);
         if let Some(same) = parts.hand.has(&id, &words) {
             // Of another job under this id nothing was run; of the same nothing is known yet.
-            let bounced = Answer::Bounced { not_elsewhere: false, back_in: Span::ZERO };
-            let answer = if same { Answer::WrittenOff } else { bounced };
+            let rejected = Answer::Rejected { not_elsewhere: false, back_in: Span::ZERO };
+            let answer = if same { Answer::WrittenOff } else { rejected };
             client.put(&jsonrpc::encode(call, &answer, parts.rounds.said()));
             return client.misused();
         }
@@ -143,9 +143,9 @@
         let over = reached + cut_off < now;
         if over && client.is_proved() {
             // It lay unread for so long, as this process stood still: not what its caller did wrong. It never ran.
-            parts.tally.borrow_mut().bounced += 1;
-            let bounced = Answer::Bounced { not_elsewhere: false, back_in: Span::ZERO };
-            return client.put(&jsonrpc::encode(call, &bounced, parts.rounds.said()));
+            parts.tally.borrow_mut().rejected += 1;
+            let rejected = Answer::Rejected { not_elsewhere: false, back_in: Span::ZERO };
+            return client.put(&jsonrpc::encode(call, &rejected, parts.rounds.said()));
         }
         if over || asked.job.reached > now + Span::from_ms(AHEAD_MS) {
             return self.refuse(client, &jsonrpc::wrong_time(call));
@@ -155,9 +155,9 @@
         let key = mark.map(|mark| parts.repeats.key(job_class, tenant, mark, &asked.body));
         if let Some((of, result)) = parts.repeats.kept(&id) {
             // It is over under this id: as long as that is known, it is not run again, and of another nothing was run.
-            let bounced = Answer::Bounced { not_elsewhere: false, back_in: Span::ZERO };
+            let rejected = Answer::Rejected { not_elsewhere: false, back_in: Span::ZERO };
             let known = || result.map_or(Answer::WrittenOff, Answer::Satisfied);
-            let answer = if key.as_ref() == Some(&of) { known() } else { bounced };
+            let answer = if key.as_ref() == Some(&of) { known() } else { rejected };
             client.put(&jsonrpc::encode(call, &answer, parts.rounds.said()));
             return client.misused();
         }
--- a/crates/hazelgrade-server/src/routing/job.rs
+++ b/crates/hazelgrade-server/src/routing/job.rs
@@ -33,7 +33,7 @@
 pub struct Tally {
     pub arrived: u64,
     pub satisfied: u64,
-    pub bounced: u64,
+    pub rejected: u64,
     pub written_off: u64,
     pub callers_gone: u64,
     /// Ends of runs whose job was answered before.
@@ -72,9 +72,9 @@
         tracing::trace!(job = &**id, answer = answer.word(), "answered");
         match answer {
             Answer::Satisfied(_) => tally.satisfied += 1,
-            Answer::Bounced { .. } => {
-                tally.bounced += 1;
-                asker.client.bounced();
+            Answer::Rejected { .. } => {
+                tally.rejected += 1;
+                asker.client.rejected();
             }
             Answer::Denied(_) => tally.denied += 1,
             Answer::WrittenOff => tally.written_off += 1,
--- a/crates/hazelgrade-server/src/routing/rounds.rs
+++ b/crates/hazelgrade-server/src/routing/rounds.rs
@@ -271,8 +271,8 @@
         self.turn(id, Turn::Run);
     }
 
-    fn bounce(&mut self, id: &JobId, not_elsewhere: bool, back_in: Span) {
-        self.turn(id, Turn::Answer(Answer::Bounced { not_elsewhere, back_in }));
+    fn reject(&mut self, id: &JobId, not_elsewhere: bool, back_in: Span) {
+        self.turn(id, Turn::Answer(Answer::Rejected { not_elsewhere, back_in }));
     }
 
     fn write_off(&mut self, id: &JobId) {
@@ -324,7 +324,7 @@
     fn short(&mut self, id: &JobId) {
         tracing::debug!(
             job = &**id,
-            "turned away for want of a part of what all nodes share, not by a full queue"
+            "rejected for want of a part of what all nodes share, not by a full queue"
         );
         if let Some(seat) = &*self.rounds.seat.borrow() {
             seat.short.set(seat.short.get() + 1);
--- a/crates/hazelgrade-server/src/transport/clients.rs
+++ b/crates/hazelgrade-server/src/transport/clients.rs
@@ -39,7 +39,7 @@
 const IDLE_MOST: Duration = Duration::from_secs(10);
 /// Wrong messages that are answered; with the next one the connection ends.
 const WRONG_MOST: u32 = 4;
-/// A peer of which nothing has been run, bounced so often, is read at this pace: it may come again at once, and
+/// A peer of which nothing has been run, rejected so often, is read at this pace: it may come again at once, and
 /// reading it would keep others waiting. One whose jobs run is never slowed.
 const BOUNCED_MOST: u32 = 8;
 const PACE: Duration = Duration::from_millis(25);
@@ -61,7 +61,7 @@
     /// How often it has asked whether this instance is well.
     checks: Cell<u32>,
     wrong: Cell<u32>,
-    bounced: Cell<u32>,
+    rejected: Cell<u32>,
     /// Since when a message is awaited that has begun, or the first one.
     awaited: Cell<Option<Instant>>,
     /// Found late once already: after a pause of the process, what came meanwhile is read first.
@@ -141,9 +141,9 @@
         self.proved.get()
     }
 
-    /// A job of it was bounced.
-    pub fn bounced(&self) {
-        self.bounced.set(self.bounced.get().saturating_add(1));
+    /// A job of it was rejected.
+    pub fn rejected(&self) {
+        self.rejected.set(self.rejected.get().saturating_add(1));
     }
 
     /// It sent what is wrong. One that goes on is not read further.
@@ -206,7 +206,7 @@
             if self.outbox.unwritten() > MOST_OPEN + SLACK_MESSAGES {
                 self.outbox.emptied().await;
             }
-            if !self.proved.get() && self.bounced.get() > BOUNCED_MOST {
+            if !self.proved.get() && self.rejected.get() > BOUNCED_MOST {
                 Timer::after(PACE).await;
             }
             let message = async {
@@ -381,7 +381,7 @@
             proved: Cell::new(false),
             checks: Cell::new(0),
             wrong: Cell::new(0),
-            bounced: Cell::new(0),
+            rejected: Cell::new(0),
             awaited: Cell::new(Some(Instant::now())),
             late: Cell::new(false),
             waits: Cell::new(false),
--- a/crates/hazelgrade-server/tests/streaming/node.rs
+++ b/crates/hazelgrade-server/tests/streaming/node.rs
@@ -22,7 +22,7 @@
     assert!(node.becomes(false));
     let callers = world.callers(&node, 100.0, &["read"]);
     assert!(comes_true(Duration::from_secs(5), || callers.count() >= 5));
-    assert!(callers.told().iter().all(|told| told.fate == Fate::Bounced), "nothing to serve by yet");
+    assert!(callers.told().iter().all(|told| told.fate == Fate::Rejected), "nothing to serve by yet");
     made_good(&mut subscriber, 1, &doc(&[READ], ""));
     assert!(node.becomes(true));
     assert!(comes_true(Duration::from_secs(5), || {
@@ -143,7 +143,7 @@
     assert_eq!(acknowledged(subscriber.hear()).number, 2);
     let taken = Instant::now();
     assert!(comes_true(Duration::from_secs(5), || {
-        callers.told().iter().any(|told| told.sent > taken && told.fate == Fate::Bounced)
+        callers.told().iter().any(|told| told.sent > taken && told.fate == Fate::Rejected)
     }));
     assert!(comes_true(Duration::from_secs(5), || world.executor.running() == 0));
     let (told, twice) = callers.stop();
@@ -152,7 +152,7 @@
     let satisfied = |id: &String| told.iter().any(|told| told.id == *id && told.fate == Fate::Satisfied);
     assert!(in_hand.iter().all(satisfied), "jobs in hand end as they would have");
     let after = told.iter().filter(|told| told.sent > taken + GRACE);
-    assert!(after.clone().count() > 0 && after.clone().all(|told| told.fate == Fate::Bounced));
+    assert!(after.clone().count() > 0 && after.clone().all(|told| told.fate == Fate::Rejected));
 }
 
 #[test]
--- a/crates/hazelgrade-simulator-adapter/src/wire.rs
+++ b/crates/hazelgrade-simulator-adapter/src/wire.rs
@@ -234,7 +234,7 @@
         self.line("execute", id, format_args!(""));
     }
 
-    fn bounce(&mut self, id: &JobId, not_elsewhere: bool, back_in: Span) {
+    fn reject(&mut self, id: &JobId, not_elsewhere: bool, back_in: Span) {
         self.line("decline", id, format_args!("\t{}\t{}", u8::from(not_elsewhere), back_in.as_ms()));
     }
 
--- a/crates/hazelgrade-stream/src/subscriber.rs
+++ b/crates/hazelgrade-stream/src/subscriber.rs
@@ -512,7 +512,7 @@
 
     fn served(&mut self, now: Time, sample: Sample, out: &mut Vec<Action>) {
         if self.leaving {
-            return; // What a drain turns away says nothing about a version.
+            return; // What a drain rejects says nothing about a version.
         }
         let verdict = match &mut self.attempt {
             Some(Attempt { stage: Stage::Trying(trial), .. }) => trial.served(now, &sample),
--- a/crates/hazelgrade-stream/tests/publishing.rs
+++ b/crates/hazelgrade-stream/tests/publishing.rs
@@ -218,7 +218,7 @@
 #[test]
 fn what_is_no_message_is_an_error_and_what_is_one_reads_back_the_same() {
     fn any(text: Vec<u8>) -> bool {
-        // Whatever it is, it is decoded or turned away; it never panics.
+        // Whatever it is, it is decoded or rejected; it never panics.
         let _ = (Said::decode(&text), Published::decode(&text));
         true
     }
--- a/crates/hazelgrade/src/control.rs
+++ b/crates/hazelgrade/src/control.rs
@@ -1,10 +1,10 @@
-//! The decision module: what one server takes, runs and turns away.
+//! The decision module: what one server takes, runs and rejects.
 //!
 //! How it is called: once a batch, `control.round(now, |inflow| …, &mut writer)`. The closure tells
 //! `Inflow` what came in, in order; then the module decides into the writer. The interface is `desk.rs`.
 //!
 //! The design (`docs/design.md`) is `CallGate`: permits, a bounded queue, a learned depth, a wait budget,
-//! bounces at arrival. Beside it stand six mechanisms:
+//! rejects at arrival. Beside it stand six mechanisms:
 //! 1. `RunTrial`: how many jobs run at once is tried out; fewer while jobs lie unread.
 //! 2. The hold goes by earnings for time on the cores; what can't be in time any more is answered at once.
 //! 3. `part_in_quota`: a tenant's jobs beyond its quota count for less in that order.
@@ -78,7 +78,7 @@
 struct CallGate {
     below: Below,
     allowed: Option<Allowance>, // of calls that all servers share; none where each has its own
-    short: DecaySum,            // calls that were turned away for want of it
+    short: DecaySum,            // calls that were rejected for want of it
     permits: f64,               // calls that may be in hand; see `tune`
     best: Option<f64>, // the lowest mean latency, drifting up, so that a lasting change is taken as it is
     queue: VecDeque<JobId>,
@@ -520,7 +520,7 @@
         true
     }
 
-    /// What is in hand below, and what would be: those that wait, and those turned away for want of a share.
+    /// What is in hand below, and what would be: those that wait, and those rejected for want of a share.
     pub fn need(&mut self, now: Time) -> Need {
         let gate = &mut self.gate;
         let in_hand = (gate.in_hand + gate.lingering(now)) as f64;
@@ -602,7 +602,7 @@
         waits.min(self.useless_from(held).since(now))
     }
 
-    /// Gives the final answer at once: a bounce with when to come back, or, without that and for a job that
+    /// Gives the final answer at once: a reject with when to come back, or, without that and for a job that
     /// may have had an effect, an error.
     fn give_up(&mut self, now: Time, id: &JobId, elsewhere: bool, back: Option<Span>, out: Out) {
         let blind = self.jobs.get(id).is_some_and(|held| self.blind(held));
@@ -616,7 +616,7 @@
             // Spread by chance, so as not to come back together; longer the more there is to keep away.
             let back_in = back_in * ((0.75 + 0.5 * self.chance.draw()) / self.openness.open.min(1.0));
             let back_in = back_in.min(self.callers.longest_back_in);
-            out.bounce(id, not_elsewhere, back_in);
+            out.reject(id, not_elsewhere, back_in);
         } else {
             out.write_off(id);
         }
@@ -643,7 +643,7 @@
         }
     }
 
-    /// A job that was just read: linked to the one it repeats, bounced while the call queue is full, or held.
+    /// A job that was just read: linked to the one it repeats, rejected while the call queue is full, or held.
     fn admit(&mut self, now: Time, id: &JobId, out: Out) {
         let Some(held) = self.jobs.get(id) else { return };
         let (case, job) = (held.case.clone(), held.job.clone());
@@ -808,7 +808,7 @@
         // Stable: among equals the one read first.
         hold.sort_by(|a, b| b.0.total_cmp(&a.0));
         let (stretch, cap) = (self.stretch(now), self.crowd_cap(now));
-        // Reading shares the cores with the runs. Jobs that wait unread can be neither bounced nor put in
+        // Reading shares the cores with the runs. Jobs that wait unread can be neither rejected nor put in
         // order, so the longer they wait the fewer run, down to half the cores. Guards against any cause of
         // slow reading; it could hurt where reading is slow for a reason that runs don't share.
         let unread = self.unread.usual(now) / self.unread_most;
@@ -868,7 +868,7 @@
         }
     }
 
-    /// Most tries that come are further ones (or, unmarked, most are bounced): others have no room either.
+    /// Most tries that come are further ones (or, unmarked, most are rejected): others have no room either.
     fn crowded(&mut self, now: Time, part: f64) -> bool {
         self.tries_again.read(now) > part * self.tries.read(now)
     }
--- a/crates/hazelgrade/src/desk.rs
+++ b/crates/hazelgrade/src/desk.rs
@@ -206,7 +206,7 @@
 /// Takes the decisions of a round, in order.
 pub trait Decisions {
     fn run(&mut self, id: &JobId);
-    fn bounce(&mut self, id: &JobId, not_elsewhere: bool, back_in: Span);
+    fn reject(&mut self, id: &JobId, not_elsewhere: bool, back_in: Span);
     fn write_off(&mut self, id: &JobId);
     fn call(&mut self, id: &JobId, within: Span);
     fn skip_call(&mut self, id: &JobId);
--- a/crates/hazelgrade/src/lib.rs
+++ b/crates/hazelgrade/src/lib.rs
@@ -1,4 +1,4 @@
-//! Decides, inside one server of a fleet, what it takes, runs and turns away.
+//! Decides, inside one server of a fleet, what it takes, runs and rejects.
 //!
 //! [`control::Control`] holds all decisions; the other modules hold types and arithmetic only. See
 //! `docs/design.md` for the mechanism and its exceptions.
--- a/crates/hazelgrade/tests/common/mod.rs
+++ b/crates/hazelgrade/tests/common/mod.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
     Run(JobId),
-    Bounce(JobId, Span, bool),
+    Reject(JobId, Span, bool),
     WriteOff(JobId),
     Call(JobId, Span),
     Skip(JobId),
@@ -33,8 +33,8 @@
 
 impl Decisions for Record {
     record!(run => Run, write_off => WriteOff, skip_call => Skip, stop => Stop, share => Share, forget => Forget,);
-    fn bounce(&mut self, id: &JobId, not_elsewhere: bool, back_in: Span) {
-        self.0.push(Act::Bounce(id.clone(), back_in, not_elsewhere));
+    fn reject(&mut self, id: &JobId, not_elsewhere: bool, back_in: Span) {
+        self.0.push(Act::Reject(id.clone(), back_in, not_elsewhere));
     }
     fn call(&mut self, id: &JobId, within: Span) {
         self.0.push(Act::Call(id.clone(), within));
--- a/crates/hazelgrade/tests/crowd.rs
+++ b/crates/hazelgrade/tests/crowd.rs
@@ -85,7 +85,7 @@
     /// By second in which they were made: requests, and those served within the goal time.
     made: Vec<u32>,
     served: Vec<u32>,
-    bounces: Vec<u32>,
+    rejections: Vec<u32>,
     /// By tick: the part of the live servers that say they are bad.
     bad: Vec<f64>,
     /// Means of arrivals and their squares, of each server in each second.
@@ -368,7 +368,7 @@
                 }
                 server.running.push((id, work, now));
             }
-            Act::Bounce(id, back_in, not_elsewhere) => {
+            Act::Reject(id, back_in, not_elsewhere) => {
                 self.answered(number, &id, false, Some((back_in, not_elsewhere)));
             }
             Act::WriteOff(id) => self.answered(number, &id, false, None),
@@ -389,7 +389,7 @@
     }
 
     /// The one answer of a try reaches its caller.
-    fn answered(&mut self, number: usize, id: &JobId, served: bool, bounced: Option<(Span, bool)>) {
+    fn answered(&mut self, number: usize, id: &JobId, served: bool, rejected: Option<(Span, bool)>) {
         let now = self.now;
         let Some(asked) = self.servers[number].owed.remove(id) else {
             // The run of a job that was given up ends too.
@@ -399,7 +399,7 @@
             return;
         };
         let chance = self.chance.draw();
-        if bounced.is_some() && asked.ran && asked.job_class == 1 {
+        if rejected.is_some() && asked.ran && asked.job_class == 1 {
             self.flag("bounced what ran", id);
         }
         let caller = &mut self.callers[asked.caller];
@@ -409,8 +409,8 @@
             if now <= asked.made + 2000.0 {
                 Self::count(&mut self.seen.served, asked.made);
             }
-        } else if let Some((back_in, not_elsewhere)) = bounced {
-            Self::count(&mut self.seen.bounces, now);
+        } else if let Some((back_in, not_elsewhere)) = rejected {
+            Self::count(&mut self.seen.rejections, now);
             caller.away_until.insert(number, now + back_in.as_ms());
             if !(heeds && not_elsewhere) {
                 self.again(Asked { ran: false, ..asked }, if heeds { 20.0 + 80.0 * chance } else { 5.0 });
@@ -513,7 +513,7 @@
             seen.part(8, 12),
             seen.part(12, 18),
             seen.part(18, 27),
-            seen.bounces.iter().sum::<u32>(),
+            seen.rejections.iter().sum::<u32>(),
             seen.most_bad(),
             seen.mean_bad(9),
             seen.swing(2),
@@ -628,10 +628,13 @@
         1.3,
         |_| {},
         |seen| {
-            // At best 1 in 1.3 of them; tries that are bounced cost reading.
+            // At best 1 in 1.3 of them; tries that are rejected cost reading.
             seen.is_served(8, 27, 0.64);
-            let (bounces, made): (u32, u32) = (seen.bounces.iter().sum(), seen.made.iter().sum());
-            assert!(f64::from(bounces) < 1.25 * f64::from(made), "{bounces} bounces of {made} requests");
+            let (rejections, made): (u32, u32) = (seen.rejections.iter().sum(), seen.made.iter().sum());
+            assert!(
+                f64::from(rejections) < 1.25 * f64::from(made),
+                "{rejections} bounces of {made} requests"
+            );
         },
     );
 }
@@ -677,7 +680,7 @@
                     Act::Run(id) => runs.push_back((id, now)),
                     Act::Health(false) => off = off.or(Some(now)),
                     Act::Health(true) => off_for.extend(off.take().map(|off| now.since(off).as_ms())),
-                    Act::Bounce(_, back, _) => told = told.or(Some(back.as_ms())),
+                    Act::Reject(_, back, _) => told = told.or(Some(back.as_ms())),
                     _ => {}
                 }
             }
--- a/crates/hazelgrade/tests/decisions.rs
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -316,7 +316,7 @@
                 let Some(tracked) = self.jobs.get_mut(id) else { return };
                 (tracked.at, tracked.began) = (At::Running { left_ms }, now);
             }
-            Act::Bounce(id, back_in, _) => self.answered(id, Some(*back_in), now),
+            Act::Reject(id, back_in, _) => self.answered(id, Some(*back_in), now),
             Act::WriteOff(id) => self.answered(id, None, now),
             Act::Call(id, within) => {
                 let (ends, outcome) = self.call_outcome(now, *within);
@@ -345,7 +345,7 @@
 fn written(act: &Act) -> String {
     match act {
         Act::Run(id) => format!("run {id}\n"),
-        Act::Bounce(id, back_in, not_elsewhere) => {
+        Act::Reject(id, back_in, not_elsewhere) => {
             format!("reject {id} {} {not_elsewhere}\n", back_in.as_ms())
         }
         Act::WriteOff(id) => format!("fail {id}\n"),
--- a/crates/hazelgrade/tests/failures.rs
+++ b/crates/hazelgrade/tests/failures.rs
@@ -11,8 +11,8 @@
     acts.iter().filter(|act| matches!(act, Act::Run(_))).count()
 }
 
-fn bounced(acts: &[Act], id: &str) -> bool {
-    acts.iter().any(|act| matches!(act, Act::Bounce(job, ..) if **job == *id))
+fn rejected(acts: &[Act], id: &str) -> bool {
+    acts.iter().any(|act| matches!(act, Act::Reject(job, ..) if **job == *id))
 }
 
 /// Brings `count` jobs to their call at `now`, each after a run of 10 ms.
@@ -42,7 +42,7 @@
     assert_eq!(made(&acts).len(), 8, "eight permits at the start");
     let acts = round(&mut control, at(1.0), |inflow| inflow.arrived(job("late", at(1.0))));
     let back_in =
-        acts.iter().find_map(|act| if let Act::Bounce(_, back_in, _) = act { Some(*back_in) } else { None });
+        acts.iter().find_map(|act| if let Act::Reject(_, back_in, _) = act { Some(*back_in) } else { None });
     assert!(back_in.is_some_and(|back_in| back_in > Span::ZERO), "the queue of eight is full: {acts:?}");
 }
 
@@ -55,12 +55,12 @@
         let mut again = job(&format!("r{number}"), at(5.0));
         again.again = true;
         let acts = round(&mut control, at(5.0), |inflow| inflow.arrived(again));
-        assert!(bounced(&acts, &format!("r{number}")), "the queue is as full as before");
+        assert!(rejected(&acts, &format!("r{number}")), "the queue is as full as before");
     }
     let acts = call_done(&mut control, "c0", 100.0);
     assert_eq!(made(&acts).len(), 1, "one permit came back");
     let acts = round(&mut control, at(101.0), |inflow| inflow.arrived(job("new", at(101.0))));
-    assert!(!bounced(&acts, "new"), "the learned depth takes it");
+    assert!(!rejected(&acts, "new"), "the learned depth takes it");
 }
 
 /// Foreseen: a process pause, after which a drain counted over the clock would have shrunk the depth.
@@ -76,7 +76,7 @@
         });
     }
     let acts = at_calls(&mut control, 60_000.0, 100, 20);
-    assert!(!acts.iter().any(|act| matches!(act, Act::Bounce(..) | Act::WriteOff(_))), "{acts:?}");
+    assert!(!acts.iter().any(|act| matches!(act, Act::Reject(..) | Act::WriteOff(_))), "{acts:?}");
 }
 
 /// Foreseen: long calls hold the permits, so that what queues behind them can't clear within its budget.
@@ -85,7 +85,7 @@
     let mut control = setup().control();
     at_calls(&mut control, 0.0, 0, 9);
     let acts = round(&mut control, at(2100.0), |inflow| inflow.woke(1, None));
-    assert!(bounced(&acts, "c8"), "{acts:?}");
+    assert!(rejected(&acts, "c8"), "{acts:?}");
     let acts = call_done(&mut control, "c0", 2200.0);
     assert!(made(&acts).is_empty(), "{acts:?}");
     // Nor one whose caller left.
@@ -364,14 +364,14 @@
     control
 }
 
-/// Found: with few runs allowed, the best earner at the head of an empty hold was bounced for its own run.
+/// Found: with few runs allowed, the best earner at the head of an empty hold was rejected for its own run.
 #[test]
 fn a_job_is_not_bounced_for_the_time_of_its_own_run() {
     let mut control = taught(1.0, true);
     let acts = round(&mut control, at(2200.0), |inflow| {
         ["runs", "head"].iter().for_each(|id| inflow.arrived(job(id, at(1500.0))));
     });
-    assert!(runs(&acts) == 1 && !bounced(&acts, "head"), "{acts:?}");
+    assert!(runs(&acts) == 1 && !rejected(&acts, "head"), "{acts:?}");
 }
 
 /// Found: one long run among a few on two cores made every held job look too late.
@@ -382,15 +382,15 @@
     let acts = round(&mut control, at(4100.0), |inflow| {
         ["a", "b", "c", "d"].iter().for_each(|id| inflow.arrived(job(id, at(4100.0))));
     });
-    assert!(["a", "b", "c", "d"].iter().all(|id| !bounced(&acts, id)), "{acts:?}");
+    assert!(["a", "b", "c", "d"].iter().all(|id| !rejected(&acts, id)), "{acts:?}");
 }
 
-/// Found: where retries are not marked, each bounce in overload sent the job on to the next full server.
+/// Found: where retries are not marked, each reject in overload sent the job on to the next full server.
 #[test]
 fn own_bounces_tell_crowding_where_retries_are_not_marked() {
     let acts = round(&mut taught(2.0, false), at(2200.0), |inflow| {
         (0..40).for_each(|number| inflow.arrived(job(&format!("j{number}"), at(2200.0))));
     });
-    let mut last = acts.iter().filter_map(|a| if let Act::Bounce(.., last) = a { Some(*last) } else { None });
+    let mut last = acts.iter().filter_map(|a| if let Act::Reject(.., last) = a { Some(*last) } else { None });
     assert!(last.next() == Some(false) && last.next_back() == Some(true), "{acts:?}");
 }
--- a/crates/hazelgrade/tests/revisions.rs
+++ b/crates/hazelgrade/tests/revisions.rs
@@ -37,13 +37,13 @@
     // Long past the new cut-off, well within the old goal time.
     let later = round(&mut control, at(300.0), |inflow| inflow.woke(0, None));
     let given_up = later.iter().filter_map(|act| match act {
-        Act::Bounce(id, ..) | Act::WriteOff(id) => Some(&**id),
+        Act::Reject(id, ..) | Act::WriteOff(id) => Some(&**id),
         _ => None,
     });
     assert_eq!(given_up.collect::<Vec<_>>(), ["b"], "only what came after has the new goal time");
     let all = round(&mut control, at(2500.0), |inflow| inflow.woke(1, None));
-    let bounced = all.iter().filter(|act| matches!(act, Act::Bounce(..))).count();
-    assert!(bounced > 0, "at the goal time that they arrived under they are given up");
+    let rejected = all.iter().filter(|act| matches!(act, Act::Reject(..))).count();
+    assert!(rejected > 0, "at the goal time that they arrived under they are given up");
 }
 
 #[test]
@@ -83,8 +83,8 @@
             (0..60).for_each(|n| inflow.arrived(job(&format!("b{n}"), now)));
         })
     };
-    let bounced = |acts: &[Act]| acts.iter().filter(|act| matches!(act, Act::Bounce(..))).count();
-    let (kept, anew) = (bounced(&learned(vec![])), bounced(&learned(vec![0])));
+    let rejected = |acts: &[Act]| acts.iter().filter(|act| matches!(act, Act::Reject(..))).count();
+    let (kept, anew) = (rejected(&learned(vec![])), rejected(&learned(vec![0])));
     assert!(kept > 20, "{kept} of 60: it knows how long runs take");
     assert!(anew > 0 && anew <= kept, "{anew} of 60");
 }
--- a/crates/hazelgrade/tests/rules.rs
+++ b/crates/hazelgrade/tests/rules.rs
@@ -66,7 +66,7 @@
 
     fn apply(&mut self, act: &Act, now: Time) {
         let (Act::Run(id)
-        | Act::Bounce(id, ..)
+        | Act::Reject(id, ..)
         | Act::WriteOff(id)
         | Act::Call(id, _)
         | Act::Skip(id)
@@ -101,10 +101,10 @@
                 self.flag(late, "ran what came past the grace", id);
                 self.ran.entry(request).or_insert(reached);
             }
-            Act::Bounce(..) | Act::WriteOff(_) => {
+            Act::Reject(..) | Act::WriteOff(_) => {
                 self.flag(!self.jobs[id].owed, "answered twice", id);
                 let once_ran = ran_before || ran_ever && case.repeats != Repeats::Reissuable;
-                self.flag(matches!(act, Act::Bounce(..)) && once_ran, "bounced what ran", id);
+                self.flag(matches!(act, Act::Reject(..)) && once_ran, "bounced what ran", id);
                 let last = self.jobs[id].due + self.setup.promises.answer_slack;
                 self.flag(now > last, "answered late", id);
             }
@@ -122,7 +122,7 @@
             Act::Run(_) if known.at == At::Held => {
                 (known.at, known.ran_ever, known.started) = (At::Cores(now + ms(work)), true, now);
             }
-            Act::Bounce(..) | Act::WriteOff(_) => {
+            Act::Reject(..) | Act::WriteOff(_) => {
                 known.owed = false;
                 known.at = if matches!(known.at, At::Held | At::Shared) { At::Over } else { known.at };
             }
