--- a/crates/hazelgrade-config/src/operator.rs
+++ b/crates/hazelgrade-config/src/operator.rs
@@ -92,7 +92,7 @@
 pub struct Trial {
     /// How long it serves on trial, and how long before it is compared with.
     pub span: Span,
-    /// It fails if the part of jobs that were satisfied falls by more than this part of what it was before.
+    /// It fails if the part of jobs that were succeeded falls by more than this part of what it was before.
     pub fall: f64,
     /// Fewer jobs on either side prove nothing.
     pub least_jobs: f64,
--- a/crates/hazelgrade-demo/src/measure/budgets.rs
+++ b/crates/hazelgrade-demo/src/measure/budgets.rs
@@ -225,7 +225,7 @@
         let mut took: Vec<f64> = account
             .jobs
             .iter()
-            .filter(|job| job.fate == Fate::Satisfied)
+            .filter(|job| job.fate == Fate::Succeeded)
             .map(|job| job.after.as_ms())
             .collect();
         took.sort_by(f64::total_cmp);
--- a/crates/hazelgrade-demo/src/measure/identity.rs
+++ b/crates/hazelgrade-demo/src/measure/identity.rs
@@ -260,8 +260,8 @@
 
 fn quantile(told: &[Told], part: f64) -> f64 {
     let Ok(mut waits) = Histogram::<u64>::new(3) else { return 0.0 };
-    let satisfied = told.iter().filter(|told| told.fate == Fate::Satisfied);
-    satisfied.for_each(|told| waits.record(told.after.as_micros() as u64).unwrap_or_default());
+    let succeeded = told.iter().filter(|told| told.fate == Fate::Succeeded);
+    succeeded.for_each(|told| waits.record(told.after.as_micros() as u64).unwrap_or_default());
     waits.value_at_quantile(part) as f64 / 1000.0
 }
 
@@ -301,12 +301,12 @@
     }
     for ((name, _, _), (runs, flood)) in ways.iter().zip(runs.iter().zip(&floods)) {
         let all: usize = runs.iter().map(Vec::len).sum();
-        let satisfied = runs.iter().flatten().filter(|told| told.fate == Fate::Satisfied).count();
+        let succeeded = runs.iter().flatten().filter(|told| told.fate == Fate::Succeeded).count();
         table.add_row([
             (*name).to_owned(),
             spread(runs.iter().map(|run| quantile(run, 0.5)).collect()),
             spread(runs.iter().map(|run| quantile(run, 0.99)).collect()),
-            format!("{satisfied} of {all}"),
+            format!("{succeeded} of {all}"),
             (flood / (ROUNDS as u64 * lasts.as_secs())).to_string(),
         ]);
     }
@@ -462,7 +462,7 @@
     for run in 0..RUNS {
         let token: Token = Arc::new(Mutex::new(setting.token(run)?));
         let callers = callers_with(node.plan.listen, 300.0, &["read"], Some(token));
-        let served = |callers: &[Told]| callers.iter().filter(|told| told.fate == Fate::Satisfied).count();
+        let served = |callers: &[Told]| callers.iter().filter(|told| told.fate == Fate::Succeeded).count();
         if !comes_true(Duration::from_secs(10), || served(&callers.told()) > 30) {
             return Err(format!("caller {run} is not served in time"));
         }
@@ -471,7 +471,7 @@
         publish(&right.replace(&table, &format!("{table}revoked = true\n")))?;
         std::thread::sleep(Duration::from_millis(700));
         let told = callers.stop().0;
-        let last = told.iter().filter(|told| told.fate == Fate::Satisfied).map(|told| told.sent).max();
+        let last = told.iter().filter(|told| told.fate == Fate::Succeeded).map(|told| told.sent).max();
         runs.push(last.map_or(0.0, |last| last.saturating_duration_since(began).as_secs_f64() * 1000.0));
     }
     table.add_row([
--- a/crates/hazelgrade-demo/src/measure/streaming.rs
+++ b/crates/hazelgrade-demo/src/measure/streaming.rs
@@ -108,7 +108,7 @@
     }
 
     fn sample(&self) -> Sample {
-        Sample { answered: 0.0, satisfied: 0.0, linked: true }
+        Sample { answered: 0.0, succeeded: 0.0, linked: true }
     }
 }
 
@@ -483,19 +483,19 @@
         let quantile = |part: f64| {
             let of_run = |run: &Vec<Told>| {
                 let mut waits = Histogram::<u64>::new(3).ok()?;
-                let satisfied = run.iter().filter(|told| told.fate == Fate::Satisfied);
-                satisfied.for_each(|told| waits.record(told.after.as_micros() as u64).unwrap_or_default());
+                let succeeded = run.iter().filter(|told| told.fate == Fate::Succeeded);
+                succeeded.for_each(|told| waits.record(told.after.as_micros() as u64).unwrap_or_default());
                 Some(waits.value_at_quantile(part) as f64 / 1000.0)
             };
             spread(runs.iter().filter_map(of_run).collect())
         };
         let all: usize = runs.iter().map(Vec::len).sum();
-        let satisfied = runs.iter().flatten().filter(|told| told.fate == Fate::Satisfied).count();
+        let succeeded = runs.iter().flatten().filter(|told| told.fate == Fate::Succeeded).count();
         table.add_row([
             (*name).to_owned(),
             quantile(0.5),
             quantile(0.99),
-            format!("{satisfied} of {all}"),
+            format!("{succeeded} of {all}"),
             runs.len().to_string(),
         ]);
     }
--- a/crates/hazelgrade-demo/src/scenes/streaming.rs
+++ b/crates/hazelgrade-demo/src/scenes/streaming.rs
@@ -140,9 +140,9 @@
         table.add_row([
             (*name).to_owned(),
             of_act.len().to_string(),
-            count(Fate::Satisfied),
+            count(Fate::Succeeded),
             count(Fate::Rejected),
-            count(Fate::WrittenOff),
+            count(Fate::Failed),
             versions.join(", "),
         ]);
     }
--- a/crates/hazelgrade-demo/src/trouble.rs
+++ b/crates/hazelgrade-demo/src/trouble.rs
@@ -138,7 +138,7 @@
         sum.faults.to_string(),
         sum.unmet.to_string(),
         sum.jobs.values().sum::<usize>().to_string(),
-        of(Fate::Satisfied),
+        of(Fate::Succeeded),
         of(Fate::Rejected),
         of(Fate::Lost),
         sum.failed.len().to_string(),
--- a/crates/hazelgrade-fakes/src/callers.rs
+++ b/crates/hazelgrade-fakes/src/callers.rs
@@ -33,11 +33,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fate {
-    Satisfied,
+    Succeeded,
     Rejected,
     /// Its caller may not ask for it.
     Denied,
-    WrittenOff,
+    Failed,
     /// An answer of any other kind.
     Wrong,
     /// The connection ended without an answer.
@@ -112,12 +112,12 @@
 
 fn fate(answer: &Value) -> Fate {
     if answer["result"]["body"].is_string() {
-        return Fate::Satisfied;
+        return Fate::Succeeded;
     }
     match answer["error"]["code"].as_i64() {
         Some(-32066) if answer["error"]["data"]["denied"] == 1 => Fate::Denied,
         Some(-32066) => Fate::Rejected,
-        Some(-32000) => Fate::WrittenOff,
+        Some(-32000) => Fate::Failed,
         _ => Fate::Wrong,
     }
 }
--- a/crates/hazelgrade-fault-injection/src/account.rs
+++ b/crates/hazelgrade-fault-injection/src/account.rs
@@ -241,9 +241,9 @@
         of_node.into_iter().any(|spell| spell.to.is_none_or(|to| to >= from))
     }
 
-    /// The part of a node's jobs, sent in this time, that were satisfied within `goal`; none if it had none.
+    /// The part of a node's jobs, sent in this time, that were succeeded within `goal`; none if it had none.
     pub fn part_served(&self, node: usize, from: Time, to: Time, goal: Span) -> Option<f64> {
-        self.part(node, from, to, |job| job.fate == Fate::Satisfied && job.after <= goal)
+        self.part(node, from, to, |job| job.fate == Fate::Succeeded && job.after <= goal)
     }
 
     /// What was answered by then, whatever the answer, in parts of all.
--- a/crates/hazelgrade-fault-injection/src/group.rs
+++ b/crates/hazelgrade-fault-injection/src/group.rs
@@ -520,7 +520,7 @@
     pub fn serves_latest(&self, node: usize, within: Duration) -> bool {
         let latest = format!("v{}", self.published);
         let callers = world::callers(self.members[node].edge(Link::Callers).address, 50.0, &[&latest]);
-        let served = comes_true(within, || callers.told().iter().any(|told| told.fate == Fate::Satisfied));
+        let served = comes_true(within, || callers.told().iter().any(|told| told.fate == Fate::Succeeded));
         callers.stop();
         served
     }
--- a/crates/hazelgrade-fault-injection/src/light.rs
+++ b/crates/hazelgrade-fault-injection/src/light.rs
@@ -47,7 +47,7 @@
     }
 
     fn sample(&self) -> Sample {
-        Sample { answered: 0.0, satisfied: 0.0, linked: true }
+        Sample { answered: 0.0, succeeded: 0.0, linked: true }
     }
 }
 
--- a/crates/hazelgrade-fault-injection/tests/pure.rs
+++ b/crates/hazelgrade-fault-injection/tests/pure.rs
@@ -184,7 +184,7 @@
     ran.begins(0, Trouble::Gone, at(9000.0));
     ran.runs[0].insert("a".into(), 1);
     assert_eq!(rules(&ran), ["no job lost"]);
-    let late = || account(vec![job(0, "a", 10_000.0, 3200.0, Fate::Satisfied)]);
+    let late = || account(vec![job(0, "a", 10_000.0, 3200.0, Fate::Succeeded)]);
     assert_eq!(rules(&late()), ["no job late"]);
     let mut stopped = late();
     stopped.begins(0, Trouble::Stopped, at(11_000.0));
@@ -242,8 +242,8 @@
 #[test]
 fn the_part_served_counts_what_was_sent_then_and_answered_in_its_goal_time() {
     let jobs = vec![
-        job(0, "a", 100.0, 50.0, Fate::Satisfied),
-        job(0, "b", 200.0, 900.0, Fate::Satisfied),
+        job(0, "a", 100.0, 50.0, Fate::Succeeded),
+        job(0, "b", 200.0, 900.0, Fate::Succeeded),
         job(0, "c", 300.0, 10.0, Fate::Rejected),
         job(0, "d", 400.0, 10.0, Fate::Crossed),
         job(0, "e", 2000.0, 10.0, Fate::Rejected),
--- a/crates/hazelgrade-server/src/program/budgets.rs
+++ b/crates/hazelgrade-server/src/program/budgets.rs
@@ -143,11 +143,11 @@
 
     fn sample(&self) -> Sample {
         let tally = *self.parts.tally.borrow();
-        let answered = tally.satisfied + tally.rejected + tally.written_off;
-        let (answered_before, satisfied_before) = self.told.replace((answered, tally.satisfied));
+        let answered = tally.succeeded + tally.rejected + tally.failed;
+        let (answered_before, satisfied_before) = self.told.replace((answered, tally.succeeded));
         Sample {
             answered: answered.saturating_sub(answered_before) as f64,
-            satisfied: tally.satisfied.saturating_sub(satisfied_before) as f64,
+            succeeded: tally.succeeded.saturating_sub(satisfied_before) as f64,
             linked: self.parts.link.is_up(),
         }
     }
--- a/crates/hazelgrade-server/src/program/identity.rs
+++ b/crates/hazelgrade-server/src/program/identity.rs
@@ -153,10 +153,10 @@
     /// doing what it is for.
     fn sample(&self) -> Sample {
         let tally = *self.parts.tally.borrow();
-        let done = tally.satisfied + tally.rejected + tally.written_off;
+        let done = tally.succeeded + tally.rejected + tally.failed;
         let (done_before, unverified_before) = self.told.replace((done, tally.unverified));
         let done = done.saturating_sub(done_before) as f64;
         let unverified = tally.unverified.saturating_sub(unverified_before) as f64;
-        Sample { answered: done + unverified, satisfied: done, linked: true }
+        Sample { answered: done + unverified, succeeded: done, linked: true }
     }
 }
--- a/crates/hazelgrade-server/src/program/streaming.rs
+++ b/crates/hazelgrade-server/src/program/streaming.rs
@@ -155,7 +155,7 @@
     unread: Rc<RefCell<Option<Vec<u8>>>>,
     job_classes: RefCell<Table<JobClass>>,
     tenants: RefCell<Table<Tenant>>,
-    /// Answered and satisfied, as told last.
+    /// Answered and succeeded, as told last.
     told: Cell<(u64, u64)>,
 }
 
@@ -285,12 +285,11 @@
     fn sample(&self) -> Sample {
         let parts = &self.surroundings.parts;
         let tally = *parts.tally.borrow();
-        let answered =
-            tally.satisfied + tally.rejected + tally.written_off + tally.not_here + tally.unverified;
-        let (answered_before, satisfied_before) = self.told.replace((answered, tally.satisfied));
+        let answered = tally.succeeded + tally.rejected + tally.failed + tally.not_here + tally.unverified;
+        let (answered_before, satisfied_before) = self.told.replace((answered, tally.succeeded));
         Sample {
             answered: answered.saturating_sub(answered_before) as f64,
-            satisfied: tally.satisfied.saturating_sub(satisfied_before) as f64,
+            succeeded: tally.succeeded.saturating_sub(satisfied_before) as f64,
             linked: parts.link.is_up(),
         }
     }
--- a/crates/hazelgrade-server/src/protocol/jsonrpc.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc.rs
@@ -59,25 +59,25 @@
 /// The final answer to a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    Satisfied(Body),
+    Succeeded(Body),
     Rejected {
         not_elsewhere: bool,
         back_in: Span,
     },
     /// Who asks may not: it never ran, and would run nowhere.
     Denied(&'static str),
-    WrittenOff,
+    Failed,
 }
 
 impl Answer {
     /// For the log.
     pub fn word(&self) -> &'static str {
         match self {
-            Answer::Satisfied(_) => "satisfied",
+            Answer::Succeeded(_) => "satisfied",
             Answer::Rejected { not_elsewhere: true, .. } => "bounced, not elsewhere",
             Answer::Rejected { .. } => "bounced",
             Answer::Denied(_) => "denied",
-            Answer::WrittenOff => "written off",
+            Answer::Failed => "written off",
         }
     }
 }
@@ -232,7 +232,7 @@
         fields.insert("signal".into(), json!(said));
     }
     match answer {
-        Answer::Satisfied(body) => {
+        Answer::Succeeded(body) => {
             fields.insert("body".into(), json!(**body));
             line(&json!({"jsonrpc": "2.0", "id": call, "result": fields}))
         }
@@ -250,7 +250,7 @@
             fields.insert("denied".into(), json!(1));
             error(BOUNCED, why, fields)
         }
-        Answer::WrittenOff => error(WRITTEN_OFF, "written off", fields),
+        Answer::Failed => error(WRITTEN_OFF, "written off", fields),
     }
 }
 
--- a/crates/hazelgrade-server/src/routing/front.rs
+++ b/crates/hazelgrade-server/src/routing/front.rs
@@ -129,7 +129,7 @@
         if let Some(same) = parts.hand.has(&id, &words) {
             // Of another job under this id nothing was run; of the same nothing is known yet.
             let rejected = Answer::Rejected { not_elsewhere: false, back_in: Span::ZERO };
-            let answer = if same { Answer::WrittenOff } else { rejected };
+            let answer = if same { Answer::Failed } else { rejected };
             client.put(&jsonrpc::encode(call, &answer, parts.rounds.said()));
             return client.misused();
         }
@@ -156,7 +156,7 @@
         if let Some((of, result)) = parts.repeats.kept(&id) {
             // It is over under this id: as long as that is known, it is not run again, and of another nothing was run.
             let rejected = Answer::Rejected { not_elsewhere: false, back_in: Span::ZERO };
-            let known = || result.map_or(Answer::WrittenOff, Answer::Satisfied);
+            let known = || result.map_or(Answer::Failed, Answer::Succeeded);
             let answer = if key.as_ref() == Some(&of) { known() } else { rejected };
             client.put(&jsonrpc::encode(call, &answer, parts.rounds.said()));
             return client.misused();
--- a/crates/hazelgrade-server/src/routing/job.rs
+++ b/crates/hazelgrade-server/src/routing/job.rs
@@ -32,9 +32,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     pub arrived: u64,
-    pub satisfied: u64,
+    pub succeeded: u64,
     pub rejected: u64,
-    pub written_off: u64,
+    pub failed: u64,
     pub callers_gone: u64,
     /// Ends of runs whose job was answered before.
     pub unwanted: u64,
@@ -71,13 +71,13 @@
         };
         tracing::trace!(job = &**id, answer = answer.word(), "answered");
         match answer {
-            Answer::Satisfied(_) => tally.satisfied += 1,
+            Answer::Succeeded(_) => tally.succeeded += 1,
             Answer::Rejected { .. } => {
                 tally.rejected += 1;
                 asker.client.rejected();
             }
             Answer::Denied(_) => tally.denied += 1,
-            Answer::WrittenOff => tally.written_off += 1,
+            Answer::Failed => tally.failed += 1,
         }
         asker.client.put(&jsonrpc::encode(asker.call, answer, self.rounds.said()));
         asker.client.close(asker.call);
@@ -151,7 +151,7 @@
                     }
                 }
                 Turn::Shared(body) => {
-                    let answer = body.clone().map_or(Answer::WrittenOff, Answer::Satisfied);
+                    let answer = body.clone().map_or(Answer::Failed, Answer::Succeeded);
                     let outcome = body.as_ref().map_or(Outcome::Errored, |_| Outcome::Completed);
                     parts.answer(&id, &answer);
                     parts.rounds.tell(Event::RunEnded(id.clone(), outcome, Span::ZERO));
@@ -273,9 +273,9 @@
         }
         if outcome == Outcome::Completed {
             result = Some(yielded.clone());
-            parts.answer(&id, &Answer::Satisfied(yielded));
+            parts.answer(&id, &Answer::Succeeded(yielded));
         } else {
-            parts.answer(&id, &Answer::WrittenOff);
+            parts.answer(&id, &Answer::Failed);
         }
         break;
     }
--- a/crates/hazelgrade-server/src/routing/rounds.rs
+++ b/crates/hazelgrade-server/src/routing/rounds.rs
@@ -275,8 +275,8 @@
         self.turn(id, Turn::Answer(Answer::Rejected { not_elsewhere, back_in }));
     }
 
-    fn write_off(&mut self, id: &JobId) {
-        self.turn(id, Turn::Answer(Answer::WrittenOff));
+    fn fail(&mut self, id: &JobId) {
+        self.turn(id, Turn::Answer(Answer::Failed));
     }
 
     fn call(&mut self, id: &JobId, within: Span) {
--- a/crates/hazelgrade-server/tests/identity/main.rs
+++ b/crates/hazelgrade-server/tests/identity/main.rs
@@ -138,7 +138,7 @@
     answer["error"]["message"].as_str().unwrap_or_default()
 }
 
-fn satisfied(answer: &Value) -> bool {
+fn succeeded(answer: &Value) -> bool {
     answer["result"]["body"].is_string()
 }
 
@@ -152,13 +152,13 @@
     // Once for a connection.
     let front = setting.token("front", "30");
     assert_eq!(peer.hello(&front)["result"]["caller"], "front");
-    assert!(satisfied(&peer.job(3, "read", Some("c0"), None)));
-    assert!(satisfied(&peer.job(4, "read", None, None)), "its only customer needs no name");
+    assert!(succeeded(&peer.job(3, "read", Some("c0"), None)));
+    assert!(succeeded(&peer.job(4, "read", None, None)), "its only customer needs no name");
     assert_eq!(denied(&peer.job(5, "book", Some("c0"), None)), "the caller may not ask for this use case");
     assert_eq!(denied(&peer.job(6, "read", Some("c1"), None)), "the caller may not ask for this customer");
     // With a job: another caller on the same connection.
     let desk = setting.token("desk", "30");
-    assert!(satisfied(&peer.job(7, "book", Some("c0"), Some(&desk))));
+    assert!(succeeded(&peer.job(7, "book", Some("c0"), Some(&desk))));
     assert_eq!(denied(&peer.job(8, "book", Some("c0"), None)), "the caller may not ask for this use case");
     let mut other = Peer::of(&node);
     let signature = desk.rfind('.').expect("three parts") + 1;
@@ -169,20 +169,20 @@
     assert!(setting.world.executor.runs().len() == 3, "what was denied never ran");
 
     // From the file, on SIGHUP: the desk is revoked, on the connection that it has.
-    assert!(satisfied(&peer.job(9, "book", Some("c0"), Some(&desk))));
+    assert!(succeeded(&peer.job(9, "book", Some("c0"), Some(&desk))));
     setting.change(|text| text.replace("[caller.desk]\n", "[caller.desk]\nrevoked = true\n"));
     assert!(node.signal("HUP"));
     let mut call = 10;
     assert!(comes_true(SOON, || {
         call += 1;
-        !satisfied(&peer.job(call, "book", Some("c0"), Some(&desk)))
+        !succeeded(&peer.job(call, "book", Some("c0"), Some(&desk)))
     }));
     assert_eq!(denied(&peer.job(900, "book", Some("c0"), Some(&desk))), "revoked");
-    assert!(satisfied(&peer.job(901, "read", Some("c0"), None)), "the front goes on");
+    assert!(succeeded(&peer.job(901, "read", Some("c0"), None)), "the front goes on");
     // A file that is wrong changes nothing.
     setting.change(|text| text.replace("audience", "audiences"));
     assert!(node.signal("HUP"));
-    assert!(satisfied(&peer.job(902, "read", Some("c0"), None)));
+    assert!(succeeded(&peer.job(902, "read", Some("c0"), None)));
 }
 
 #[test]
@@ -197,7 +197,7 @@
     let token = setting.token("front", "2");
     assert_eq!(peer.hello(&token)["result"]["caller"], "front");
     let began = Instant::now();
-    assert!(satisfied(&peer.job(2, "read", None, None)), "a job that was let in goes on");
+    assert!(succeeded(&peer.job(2, "read", None, None)), "a job that was let in goes on");
     assert!(began.elapsed() > Duration::from_millis(2400));
     assert_eq!(denied(&peer.job(3, "read", None, None)), "the token has expired");
 }
@@ -214,7 +214,7 @@
     sign(&leaves, "desk");
     let mut peer = Peer::of(&node);
     let ready = comes_true(SOON, || {
-        satisfied(&peer.job(unix_ms() % 1_000_000, "read", Some("c0"), Some(&front.lock().expect("a lock"))))
+        succeeded(&peer.job(unix_ms() % 1_000_000, "read", Some("c0"), Some(&front.lock().expect("a lock"))))
     });
     assert!(ready, "the first set arrives");
     let load = callers_with(node.plan.listen, 100.0, &["read"], Some(front.clone()));
@@ -245,7 +245,7 @@
     assert!(late.len() > 20 && late.iter().all(|told| told.fate == Fate::Denied), "{late:?}");
     let runs = setting.world.executor.runs();
     assert!(of_desk.iter().filter(|told| told.fate == Fate::Denied).all(|told| !runs.contains_key(&told.id)));
-    let served = of_desk.iter().filter(|told| told.fate == Fate::Satisfied).count();
+    let served = of_desk.iter().filter(|told| told.fate == Fate::Succeeded).count();
     assert!(served > 100, "{served} served before");
 }
 
@@ -282,7 +282,7 @@
     let (told, twice) = load.stop();
     let verdict = rules::check(&told, twice, &setting.world.executor.runs(), CUT_OFF, GRACE);
     assert!(sent > 200, "{sent} is no flood");
-    assert!(verdict.kept() && verdict.of(Fate::Satisfied) == verdict.count, "{sent} bad ones: {verdict}");
+    assert!(verdict.kept() && verdict.of(Fate::Succeeded) == verdict.count, "{sent} bad ones: {verdict}");
     let slowest = told.iter().map(|told| told.after).max().expect("some");
     assert!(slowest < Duration::from_millis(1000), "{slowest:?}, within the goal time");
 }
--- a/crates/hazelgrade-server/tests/identity/tls.rs
+++ b/crates/hazelgrade-server/tests/identity/tls.rs
@@ -182,16 +182,16 @@
     let node = started(&setting, &files);
     let (front, other) = (files.client(Some((&files.clients, 7))), files.client(Some((&files.clients, 8))));
     let mut old = Secure::of(&node, &front).expect("it connects");
-    assert!(satisfied(&old.job(2, "read", None)));
+    assert!(succeeded(&old.job(2, "read", None)));
     assert_eq!(denied(&old.job(3, "book", None)), "the caller may not ask for this use case");
     let mut again = Secure::of(&node, &front).expect("it connects");
-    assert!(again.resumed() && satisfied(&again.job(2, "read", None)), "a resumed session keeps its caller");
+    assert!(again.resumed() && succeeded(&again.job(2, "read", None)), "a resumed session keeps its caller");
     let mut stays = Secure::of(&node, &other).expect("it connects");
     // Without a certificate, by token.
     let mut bare = Secure::of(&node, &files.client(None)).expect("it connects");
     assert_eq!(denied(&bare.job(2, "read", None)), "no token or certificate names the caller");
     let desk = setting.token("desk", "30");
-    assert!(satisfied(&bare.job(3, "book", Some(&desk))));
+    assert!(succeeded(&bare.job(3, "book", Some(&desk))));
 
     // A list that is past its next update still says who is revoked.
     files.write("revoked.pem", &files.clients.revoked(&[7], 2026));
@@ -199,16 +199,16 @@
     let mut call = 10;
     assert!(comes_true(SOON, || {
         call += 1;
-        !satisfied(&old.job(call, "read", None))
+        !succeeded(&old.job(call, "read", None))
     }));
     assert_eq!(denied(&old.job(900, "read", None)), "revoked");
     assert_eq!(denied(&again.job(901, "read", None)), "revoked");
     for _ in 0..3 {
         let served =
-            Secure::of(&node, &front).is_some_and(|mut secure| satisfied(&secure.job(2, "read", None)));
+            Secure::of(&node, &front).is_some_and(|mut secure| succeeded(&secure.job(2, "read", None)));
         assert!(!served, "it keeps trying, by resumption too");
     }
-    assert!(satisfied(&stays.job(2, "read", None)), "others go on");
+    assert!(succeeded(&stays.job(2, "read", None)), "others go on");
 }
 
 #[test]
@@ -218,10 +218,10 @@
     let node = started(&setting, &files);
     let before = files.client(Some((&files.clients, 7)));
     let mut old = Secure::of(&node, &before).expect("it connects");
-    assert!(satisfied(&old.job(2, "read", None)));
+    assert!(succeeded(&old.job(2, "read", None)));
     files.write("node.key", "no key");
     assert!(node.signal("HUP"));
-    assert!(satisfied(&Secure::of(&node, &before).expect("it connects").job(2, "read", None)));
+    assert!(succeeded(&Secure::of(&node, &before).expect("it connects").job(2, "read", None)));
     let next = Authority::new();
     let (certificate, key, _, _) = files.server.sign(None, 2);
     files.write("node.pem", &certificate);
@@ -235,7 +235,7 @@
         "the new authority's certificates are taken"
     );
     assert!(Secure::of(&node, &before).is_none(), "the old one's are not");
-    assert!(satisfied(&old.job(3, "read", None)), "a connection that stands goes on");
+    assert!(succeeded(&old.job(3, "read", None)), "a connection that stands goes on");
 }
 
 #[test]
@@ -255,7 +255,7 @@
         .collect();
     assert!(half.len() > 250);
     let mut secure = Secure::of(&node, &front).expect("it connects");
-    assert!(satisfied(&secure.job(2, "read", None)));
+    assert!(succeeded(&secure.job(2, "read", None)));
     assert!(began.elapsed() < Duration::from_secs(2), "before the half ones are over");
     let closed = |stream: &TcpStream| {
         let _ = stream.set_nonblocking(true);
@@ -268,5 +268,5 @@
         "past the bound the slowest are ended"
     );
     assert!(comes_true(Duration::from_secs(4), || half.iter().all(closed)), "and all of them in time");
-    assert!(satisfied(&secure.job(3, "read", None)));
+    assert!(succeeded(&secure.job(3, "read", None)));
 }
--- a/crates/hazelgrade-server/tests/instance/fleet.rs
+++ b/crates/hazelgrade-server/tests/instance/fleet.rs
@@ -73,7 +73,7 @@
 
 fn served(members: &[Member]) -> Vec<usize> {
     let served =
-        |member: &Member| member.callers.told().iter().filter(|told| told.fate == Fate::Satisfied).count();
+        |member: &Member| member.callers.told().iter().filter(|told| told.fate == Fate::Succeeded).count();
     members.iter().map(served).collect()
 }
 
--- a/crates/hazelgrade-server/tests/instance/input.rs
+++ b/crates/hazelgrade-server/tests/instance/input.rs
@@ -91,7 +91,7 @@
         assert!(wrong.hear()["error"].is_object());
     }
     assert!(wrong.is_closed());
-    // Jobs that nobody has: each is written off, and after a few the next ones aren't read.
+    // Jobs that nobody has: each is failed, and after a few the next ones aren't read.
     for call in 1..=30 {
         unknown.say(&job(call, "read", &format!("u{call}")));
     }
--- a/crates/hazelgrade-server/tests/streaming/control.rs
+++ b/crates/hazelgrade-server/tests/streaming/control.rs
@@ -100,7 +100,7 @@
     let callers = world.callers(&node, 100.0, &["read"]);
     assert!(comes_true(Duration::from_secs(5), || callers.count() >= 10));
     let served =
-        |told: &hazelgrade_fakes::callers::Told| told.fate == hazelgrade_fakes::callers::Fate::Satisfied;
+        |told: &hazelgrade_fakes::callers::Told| told.fate == hazelgrade_fakes::callers::Fate::Succeeded;
     assert!(callers.stop().0.iter().all(served), "it serves by what it had");
 }
 
--- a/crates/hazelgrade-server/tests/streaming/node.rs
+++ b/crates/hazelgrade-server/tests/streaming/node.rs
@@ -26,7 +26,7 @@
     made_good(&mut subscriber, 1, &doc(&[READ], ""));
     assert!(node.becomes(true));
     assert!(comes_true(Duration::from_secs(5), || {
-        callers.told().iter().filter(|told| told.fate == Fate::Satisfied).count() > 20
+        callers.told().iter().filter(|told| told.fate == Fate::Succeeded).count() > 20
     }));
     let (told, twice) = callers.stop();
     let verdict = rules::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
@@ -51,7 +51,7 @@
     let callers = world.callers(&node, 100.0, &["read"]);
     assert!(comes_true(Duration::from_secs(5), || callers.count() >= 20));
     let (told, _) = callers.stop();
-    assert!(told.iter().all(|told| told.fate == Fate::Satisfied), "{told:?}");
+    assert!(told.iter().all(|told| told.fate == Fate::Succeeded), "{told:?}");
 }
 
 #[test]
@@ -89,7 +89,7 @@
     // After all that it serves by what it had.
     let callers = world.callers(&node, 100.0, &["read", "book"]);
     assert!(comes_true(Duration::from_secs(5), || callers.count() >= 20));
-    assert!(callers.stop().0.iter().all(|told| told.fate == Fate::Satisfied));
+    assert!(callers.stop().0.iter().all(|told| told.fate == Fate::Succeeded));
 }
 
 #[test]
@@ -114,7 +114,7 @@
     let (told, twice) = callers.stop();
     assert_eq!(node.ended().and_then(|status| status.code()), Some(0));
     let verdict = rules::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
-    assert!(verdict.kept() && verdict.of(Fate::Satisfied) > 0, "{verdict}");
+    assert!(verdict.kept() && verdict.of(Fate::Succeeded) > 0, "{verdict}");
 }
 
 #[test]
@@ -149,8 +149,8 @@
     let (told, twice) = callers.stop();
     let verdict = rules::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
     assert!(verdict.kept(), "{verdict}");
-    let satisfied = |id: &String| told.iter().any(|told| told.id == *id && told.fate == Fate::Satisfied);
-    assert!(in_hand.iter().all(satisfied), "jobs in hand end as they would have");
+    let succeeded = |id: &String| told.iter().any(|told| told.id == *id && told.fate == Fate::Succeeded);
+    assert!(in_hand.iter().all(succeeded), "jobs in hand end as they would have");
     let after = told.iter().filter(|told| told.sent > taken + GRACE);
     assert!(after.clone().count() > 0 && after.clone().all(|told| told.fate == Fate::Rejected));
 }
@@ -175,7 +175,7 @@
     let so = comes_true(Duration::from_secs(5), || {
         let since: Vec<Fate> =
             callers.told().iter().filter(|told| told.sent > back).map(|told| told.fate).collect();
-        since.len() >= 20 && since.iter().all(|fate| *fate == Fate::Satisfied)
+        since.len() >= 20 && since.iter().all(|fate| *fate == Fate::Succeeded)
     });
     assert!(so, "after it went back all is as before");
     callers.stop();
@@ -245,7 +245,7 @@
     assert!(lasted > Duration::from_secs(8) && lasted < Duration::from_secs(15), "{lasted:?}");
     let (told, twice) = callers.stop();
     let verdict = rules::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
-    assert!(verdict.kept() && verdict.of(Fate::Satisfied) == verdict.count, "{verdict}");
+    assert!(verdict.kept() && verdict.of(Fate::Succeeded) == verdict.count, "{verdict}");
 }
 
 #[test]
@@ -284,7 +284,7 @@
     let (told, twice) = callers.stop();
     let verdict = rules::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
     assert!(verdict.kept(), "{verdict}");
-    assert!(verdict.of(Fate::Satisfied) as f64 > 0.95 * verdict.count as f64, "{verdict}");
+    assert!(verdict.of(Fate::Succeeded) as f64 > 0.95 * verdict.count as f64, "{verdict}");
 }
 
 #[test]
--- a/crates/hazelgrade-simulator-adapter/src/wire.rs
+++ b/crates/hazelgrade-simulator-adapter/src/wire.rs
@@ -238,7 +238,7 @@
         self.line("decline", id, format_args!("\t{}\t{}", u8::from(not_elsewhere), back_in.as_ms()));
     }
 
-    fn write_off(&mut self, id: &JobId) {
+    fn fail(&mut self, id: &JobId) {
         self.line("finish_error", id, format_args!(""));
     }
 
--- a/crates/hazelgrade-stream/src/trial.rs
+++ b/crates/hazelgrade-stream/src/trial.rs
@@ -17,8 +17,8 @@
 pub struct Sample {
     /// Jobs that were answered, those included that asked for what the version doesn't know.
     pub answered: f64,
-    /// Of them, satisfied.
-    pub satisfied: f64,
+    /// Of them, succeeded.
+    pub succeeded: f64,
     /// The executor's link stands.
     pub linked: bool,
 }
@@ -26,17 +26,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Sums {
     answered: f64,
-    satisfied: f64,
+    succeeded: f64,
 }
 
 impl Sums {
     fn add(&mut self, sample: &Sample) {
         self.answered += sample.answered;
-        self.satisfied += sample.satisfied;
+        self.succeeded += sample.succeeded;
     }
 
     fn part(self) -> f64 {
-        self.satisfied / self.answered.max(1.0)
+        self.succeeded / self.answered.max(1.0)
     }
 }
 
@@ -105,7 +105,7 @@
         self.began + self.rules.span
     }
 
-    /// The part of jobs that were satisfied in the span before and on trial, where enough were answered.
+    /// The part of jobs that were succeeded in the span before and on trial, where enough were answered.
     fn parts(&self) -> Option<(f64, f64)> {
         let enough = |sums: Sums| sums.answered >= self.rules.least_jobs;
         (enough(self.before) && enough(self.now)).then(|| (self.before.part(), self.now.part()))
@@ -119,7 +119,7 @@
         }
         if let Some((before, after)) = self.parts() {
             let both =
-                (self.before.satisfied + self.now.satisfied) / (self.before.answered + self.now.answered);
+                (self.before.succeeded + self.now.succeeded) / (self.before.answered + self.now.answered);
             let spread = both * (1.0 - both) * (1.0 / self.before.answered + 1.0 / self.now.answered);
             if after < before * (1.0 - self.rules.fall) && before - after > ERRORS * spread.max(0.0).sqrt() {
                 let [before, after] = [before, after].map(|part| (part * 100.0).round());
--- a/crates/hazelgrade-stream/tests/common/mod.rs
+++ b/crates/hazelgrade-stream/tests/common/mod.rs
@@ -67,7 +67,7 @@
     out
 }
 
-/// So many jobs of which this part was satisfied.
+/// So many jobs of which this part was succeeded.
 pub fn served(answered: f64, part: f64) -> Event {
-    Event::Served(Sample { answered, satisfied: answered * part, linked: true })
+    Event::Served(Sample { answered, succeeded: answered * part, linked: true })
 }
--- a/crates/hazelgrade-stream/tests/publishing.rs
+++ b/crates/hazelgrade-stream/tests/publishing.rs
@@ -197,8 +197,8 @@
         let mut chance = Chance::new(seed * 7919);
         let (part, jobs) = (0.3 + 0.7 * chance.draw(), (200.0 * chance.draw()) as u8);
         let mut sample = |part: f64| {
-            let satisfied = (0..jobs).filter(|_| chance.draw() < part).count() as f64;
-            Sample { answered: f64::from(jobs), satisfied, linked: true }
+            let succeeded = (0..jobs).filter(|_| chance.draw() < part).count() as f64;
+            Sample { answered: f64::from(jobs), succeeded, linked: true }
         };
         let mut service = Service::new(rules().span);
         (0..20).for_each(|tick| service.served(at(50.0 * f64::from(tick)), sample(part)));
--- a/crates/hazelgrade/src/control.rs
+++ b/crates/hazelgrade/src/control.rs
@@ -618,7 +618,7 @@
             let back_in = back_in.min(self.callers.longest_back_in);
             out.reject(id, not_elsewhere, back_in);
         } else {
-            out.write_off(id);
+            out.fail(id);
         }
         self.gate.queue.retain(|queued| queued != id);
         self.stop_unwanted(id, out);
--- a/crates/hazelgrade/src/desk.rs
+++ b/crates/hazelgrade/src/desk.rs
@@ -207,7 +207,7 @@
 pub trait Decisions {
     fn run(&mut self, id: &JobId);
     fn reject(&mut self, id: &JobId, not_elsewhere: bool, back_in: Span);
-    fn write_off(&mut self, id: &JobId);
+    fn fail(&mut self, id: &JobId);
     fn call(&mut self, id: &JobId, within: Span);
     fn skip_call(&mut self, id: &JobId);
     fn stop(&mut self, id: &JobId);
--- a/crates/hazelgrade/tests/common/mod.rs
+++ b/crates/hazelgrade/tests/common/mod.rs
@@ -9,7 +9,7 @@
 pub enum Act {
     Run(JobId),
     Reject(JobId, Span, bool),
-    WriteOff(JobId),
+    Fail(JobId),
     Call(JobId, Span),
     Skip(JobId),
     Stop(JobId),
@@ -32,7 +32,7 @@
 }
 
 impl Decisions for Record {
-    record!(run => Run, write_off => WriteOff, skip_call => Skip, stop => Stop, share => Share, forget => Forget,);
+    record!(run => Run, fail => Fail, skip_call => Skip, stop => Stop, share => Share, forget => Forget,);
     fn reject(&mut self, id: &JobId, not_elsewhere: bool, back_in: Span) {
         self.0.push(Act::Reject(id.clone(), back_in, not_elsewhere));
     }
--- a/crates/hazelgrade/tests/crowd.rs
+++ b/crates/hazelgrade/tests/crowd.rs
@@ -371,7 +371,7 @@
             Act::Reject(id, back_in, not_elsewhere) => {
                 self.answered(number, &id, false, Some((back_in, not_elsewhere)));
             }
-            Act::WriteOff(id) => self.answered(number, &id, false, None),
+            Act::Fail(id) => self.answered(number, &id, false, None),
             Act::Stop(id) => {
                 let since =
                     server.running.iter().find(|(run, ..)| *run == id).map_or(now, |(.., since)| *since);
--- a/crates/hazelgrade/tests/decisions.rs
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -317,7 +317,7 @@
                 (tracked.at, tracked.began) = (At::Running { left_ms }, now);
             }
             Act::Reject(id, back_in, _) => self.answered(id, Some(*back_in), now),
-            Act::WriteOff(id) => self.answered(id, None, now),
+            Act::Fail(id) => self.answered(id, None, now),
             Act::Call(id, within) => {
                 let (ends, outcome) = self.call_outcome(now, *within);
                 let Some(tracked) = self.jobs.get_mut(id) else { return };
@@ -348,7 +348,7 @@
         Act::Reject(id, back_in, not_elsewhere) => {
             format!("reject {id} {} {not_elsewhere}\n", back_in.as_ms())
         }
-        Act::WriteOff(id) => format!("fail {id}\n"),
+        Act::Fail(id) => format!("fail {id}\n"),
         Act::Call(id, within) => format!("call {id} {}\n", within.as_ms()),
         Act::Skip(id) => format!("skip {id}\n"),
         Act::Stop(id) => format!("cancel {id}\n"),
--- a/crates/hazelgrade/tests/failures.rs
+++ b/crates/hazelgrade/tests/failures.rs
@@ -76,7 +76,7 @@
         });
     }
     let acts = at_calls(&mut control, 60_000.0, 100, 20);
-    assert!(!acts.iter().any(|act| matches!(act, Act::Reject(..) | Act::WriteOff(_))), "{acts:?}");
+    assert!(!acts.iter().any(|act| matches!(act, Act::Reject(..) | Act::Fail(_))), "{acts:?}");
 }
 
 /// Foreseen: long calls hold the permits, so that what queues behind them can't clear within its budget.
@@ -108,7 +108,7 @@
     let mut again = job("again", at(400.0));
     again.again = true;
     let acts = round(&mut control, at(600.0), |inflow| inflow.arrived(again));
-    assert!(acts.contains(&Act::WriteOff("again".into())) && runs(&acts) == 0, "{acts:?}");
+    assert!(acts.contains(&Act::Fail("again".into())) && runs(&acts) == 0, "{acts:?}");
 }
 
 /// Found: fast servers queued dozens of calls behind eight permits while the tier below was idle.
--- a/crates/hazelgrade/tests/revisions.rs
+++ b/crates/hazelgrade/tests/revisions.rs
@@ -37,7 +37,7 @@
     // Long past the new cut-off, well within the old goal time.
     let later = round(&mut control, at(300.0), |inflow| inflow.woke(0, None));
     let given_up = later.iter().filter_map(|act| match act {
-        Act::Reject(id, ..) | Act::WriteOff(id) => Some(&**id),
+        Act::Reject(id, ..) | Act::Fail(id) => Some(&**id),
         _ => None,
     });
     assert_eq!(given_up.collect::<Vec<_>>(), ["b"], "only what came after has the new goal time");
--- a/crates/hazelgrade/tests/rules.rs
+++ b/crates/hazelgrade/tests/rules.rs
@@ -67,7 +67,7 @@
     fn apply(&mut self, act: &Act, now: Time) {
         let (Act::Run(id)
         | Act::Reject(id, ..)
-        | Act::WriteOff(id)
+        | Act::Fail(id)
         | Act::Call(id, _)
         | Act::Skip(id)
         | Act::Stop(id)
@@ -101,7 +101,7 @@
                 self.flag(late, "ran what came past the grace", id);
                 self.ran.entry(request).or_insert(reached);
             }
-            Act::Reject(..) | Act::WriteOff(_) => {
+            Act::Reject(..) | Act::Fail(_) => {
                 self.flag(!self.jobs[id].owed, "answered twice", id);
                 let once_ran = ran_before || ran_ever && case.repeats != Repeats::Reissuable;
                 self.flag(matches!(act, Act::Reject(..)) && once_ran, "bounced what ran", id);
@@ -122,7 +122,7 @@
             Act::Run(_) if known.at == At::Held => {
                 (known.at, known.ran_ever, known.started) = (At::Cores(now + ms(work)), true, now);
             }
-            Act::Reject(..) | Act::WriteOff(_) => {
+            Act::Reject(..) | Act::Fail(_) => {
                 known.owed = false;
                 known.at = if matches!(known.at, At::Held | At::Shared) { At::Over } else { known.at };
             }
