--- a/crates/hazelgrade-server/src/protocol/jsonrpc.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc.rs
@@ -62,7 +62,7 @@
     Succeeded(Body),
     Rejected {
         not_elsewhere: bool,
-        back_in: Span,
+        retry_after: Span,
     },
     /// Who asks may not: it never ran, and would run nowhere.
     Denied(&'static str),
@@ -236,9 +236,9 @@
             fields.insert("body".into(), json!(**body));
             line(&json!({"jsonrpc": "2.0", "id": call, "result": fields}))
         }
-        Answer::Rejected { not_elsewhere, back_in } => {
-            if *back_in > Span::ZERO {
-                fields.insert("holdoff".into(), json!(back_in.as_ms()));
+        Answer::Rejected { not_elsewhere, retry_after } => {
+            if *retry_after > Span::ZERO {
+                fields.insert("holdoff".into(), json!(retry_after.as_ms()));
             }
             if *not_elsewhere {
                 fields.insert("nomore".into(), json!(1));
--- a/crates/hazelgrade-server/src/routing/front.rs
+++ b/crates/hazelgrade-server/src/routing/front.rs
@@ -94,7 +94,7 @@
             Err(wrong) => match wrong.call.filter(|_| wrong.not_here) {
                 Some(call) => {
                     self.parts.tally.borrow_mut().not_here += 1;
-                    let rejected = Answer::Rejected { not_elsewhere: false, back_in: Span::ZERO };
+                    let rejected = Answer::Rejected { not_elsewhere: false, retry_after: Span::ZERO };
                     client.put(&jsonrpc::encode(call, &rejected, rounds.said()));
                     client.rejected();
                 }
@@ -128,7 +128,7 @@
         let words = Words::of(&asked);
         if let Some(same) = parts.hand.has(&id, &words) {
             // Of another job under this id nothing was run; of the same nothing is known yet.
-            let rejected = Answer::Rejected { not_elsewhere: false, back_in: Span::ZERO };
+            let rejected = Answer::Rejected { not_elsewhere: false, retry_after: Span::ZERO };
             let answer = if same { Answer::Failed } else { rejected };
             client.put(&jsonrpc::encode(call, &answer, parts.rounds.said()));
             return client.misused();
@@ -144,7 +144,7 @@
         if over && client.is_proved() {
             // It lay unread for so long, as this process stood still: not what its caller did wrong. It never ran.
             parts.tally.borrow_mut().rejected += 1;
-            let rejected = Answer::Rejected { not_elsewhere: false, back_in: Span::ZERO };
+            let rejected = Answer::Rejected { not_elsewhere: false, retry_after: Span::ZERO };
             return client.put(&jsonrpc::encode(call, &rejected, parts.rounds.said()));
         }
         if over || asked.job.reached > now + Span::from_ms(AHEAD_MS) {
@@ -155,7 +155,7 @@
         let key = mark.map(|mark| parts.repeats.key(job_class, tenant, mark, &asked.body));
         if let Some((of, result)) = parts.repeats.kept(&id) {
             // It is over under this id: as long as that is known, it is not run again, and of another nothing was run.
-            let rejected = Answer::Rejected { not_elsewhere: false, back_in: Span::ZERO };
+            let rejected = Answer::Rejected { not_elsewhere: false, retry_after: Span::ZERO };
             let known = || result.map_or(Answer::Failed, Answer::Succeeded);
             let answer = if key.as_ref() == Some(&of) { known() } else { rejected };
             client.put(&jsonrpc::encode(call, &answer, parts.rounds.said()));
--- a/crates/hazelgrade-server/src/routing/rounds.rs
+++ b/crates/hazelgrade-server/src/routing/rounds.rs
@@ -271,8 +271,8 @@
         self.turn(id, Turn::Run);
     }
 
-    fn reject(&mut self, id: &JobId, not_elsewhere: bool, back_in: Span) {
-        self.turn(id, Turn::Answer(Answer::Rejected { not_elsewhere, back_in }));
+    fn reject(&mut self, id: &JobId, not_elsewhere: bool, retry_after: Span) {
+        self.turn(id, Turn::Answer(Answer::Rejected { not_elsewhere, retry_after }));
     }
 
     fn fail(&mut self, id: &JobId) {
--- a/crates/hazelgrade-settings/src/lib.rs
+++ b/crates/hazelgrade-settings/src/lib.rs
@@ -199,7 +199,7 @@
             _ => return fault("settings.specifics.signal", "silent, level, credit or weight"),
         },
         heeded_for: specifics.span("saidFor", 1000.0)?,
-        longest_back_in: if advice { ceilings.span("maxRetryAfter", 0.0)? } else { Span::ZERO },
+        max_retry_after: if advice { ceilings.span("maxRetryAfter", 0.0)? } else { Span::ZERO },
         mark_again: Part::of(settings, "clients").truth("marksRetry")?,
         fleet: Part { value: Some(settings), path: "" }.number("fleetSize", 1.0)?,
         over_quota_part: Part { value: Some(settings), path: "" }.number("overShareWorth", 1.0)?,
--- a/crates/hazelgrade-simulator-adapter/src/wire.rs
+++ b/crates/hazelgrade-simulator-adapter/src/wire.rs
@@ -234,8 +234,8 @@
         self.line("execute", id, format_args!(""));
     }
 
-    fn reject(&mut self, id: &JobId, not_elsewhere: bool, back_in: Span) {
-        self.line("decline", id, format_args!("\t{}\t{}", u8::from(not_elsewhere), back_in.as_ms()));
+    fn reject(&mut self, id: &JobId, not_elsewhere: bool, retry_after: Span) {
+        self.line("decline", id, format_args!("\t{}\t{}", u8::from(not_elsewhere), retry_after.as_ms()));
     }
 
     fn fail(&mut self, id: &JobId) {
--- a/crates/hazelgrade/src/control.rs
+++ b/crates/hazelgrade/src/control.rs
@@ -8,7 +8,7 @@
 //! 1. `RunTrial`: how many jobs run at once is tried out; fewer while jobs lie unread.
 //! 2. The hold goes by earnings for time on the cores; what can't be in time any more is answered at once.
 //! 3. `part_in_quota`: a tenant's jobs beyond its quota count for less in that order.
-//! 4. `speak`: surplus is kept away by the value said, the list, back-in times and "not elsewhere".
+//! 4. `speak`: surplus is kept away by the value said, the list, retry-after and "not elsewhere".
 //! 5. A job whose call can't be made goes on without it, where that still earns something.
 //! 6. The rules' guards: cut-off, drain, memory, crowd, and entries for numbered jobs.
 
@@ -550,8 +550,8 @@
             }
         }
         for id in self.pick(|held| self.useless_from(held) <= now) {
-            let back_in = self.hold_clears_in(now);
-            self.give_up(now, &id, self.leaving.is_some(), Some(back_in), out);
+            let retry_after = self.hold_clears_in(now);
+            self.give_up(now, &id, self.leaving.is_some(), Some(retry_after), out);
         }
         self.make_calls(now, out);
         self.run_held(now, out);
@@ -610,13 +610,13 @@
         held.answered = true;
         let may_have_run = held.ran || held.job.repeats.is_some() || blind;
         let may_bounce = held.case.repeats == Repeats::Reissuable || !may_have_run;
-        if let Some(back_in) = back.filter(|_| may_bounce) {
+        if let Some(retry_after) = back.filter(|_| may_bounce) {
             let not_elsewhere = !elsewhere || held.job.again || self.crowded(now, 0.1);
             self.tries_again.add(now, if self.callers.mark_again { 0.0 } else { 0.25 });
             // Spread by chance, so as not to come back together; longer the more there is to keep away.
-            let back_in = back_in * ((0.75 + 0.5 * self.chance.draw()) / self.openness.open.min(1.0));
-            let back_in = back_in.min(self.callers.longest_back_in);
-            out.reject(id, not_elsewhere, back_in);
+            let retry_after = retry_after * ((0.75 + 0.5 * self.chance.draw()) / self.openness.open.min(1.0));
+            let retry_after = retry_after.min(self.callers.max_retry_after);
+            out.reject(id, not_elsewhere, retry_after);
         } else {
             out.fail(id);
         }
@@ -674,9 +674,9 @@
         {
             return self.give_up(now, id, true, Some(Span::ZERO), out);
         }
-        if let Some(back_in) = job.short {
+        if let Some(retry_after) = job.short {
             out.short(id);
-            return self.give_up(now, id, false, Some(back_in), out);
+            return self.give_up(now, id, false, Some(retry_after), out);
         }
         let wait = self.call_wait(now, &self.jobs[id]);
         if case.calls && self.gate.full(now, wait) {
@@ -686,8 +686,8 @@
                 self.gate.short.add(now, 1.0);
                 out.short(id);
             }
-            let back_in = self.gate.budget(now, wait).max(more_in);
-            self.give_up(now, id, short, Some(back_in), out);
+            let retry_after = self.gate.budget(now, wait).max(more_in);
+            self.give_up(now, id, short, Some(retry_after), out);
         }
     }
 
@@ -846,8 +846,8 @@
             let done = now + starts_in + self.whole[job_class].usual(now).max(core_time);
             let patience = case.goal * HOLD_PART;
             if done > self.useless_from(&self.jobs[&id]) || starts_in > patience {
-                let back_in = self.hold_clears_in(now);
-                self.give_up(now, &id, true, Some(back_in), out);
+                let retry_after = self.hold_clears_in(now);
+                self.give_up(now, &id, true, Some(retry_after), out);
             } else {
                 ahead += core_time;
             }
@@ -863,8 +863,8 @@
         ids.splice(0..0, self.pick(|held| self.stoppable(held)));
         while let Some(id) = ids.pop().filter(|_| over > 0.0) {
             over -= self.kb(&self.jobs[&id]);
-            let back_in = self.hold_clears_in(now);
-            self.give_up(now, &id, true, Some(back_in), out);
+            let retry_after = self.hold_clears_in(now);
+            self.give_up(now, &id, true, Some(retry_after), out);
         }
     }
 
--- a/crates/hazelgrade/src/desk.rs
+++ b/crates/hazelgrade/src/desk.rs
@@ -155,7 +155,7 @@
     pub signal: Signal,
     /// How long they keep a value in mind.
     pub heeded_for: Span,
-    pub longest_back_in: Span,
+    pub max_retry_after: Span,
     pub mark_again: bool,
     /// Servers beside this one, itself included, when it started.
     pub fleet: f64,
@@ -206,7 +206,7 @@
 /// Takes the decisions of a round, in order.
 pub trait Decisions {
     fn run(&mut self, id: &JobId);
-    fn reject(&mut self, id: &JobId, not_elsewhere: bool, back_in: Span);
+    fn reject(&mut self, id: &JobId, not_elsewhere: bool, retry_after: Span);
     fn fail(&mut self, id: &JobId);
     fn call(&mut self, id: &JobId, within: Span);
     fn skip_call(&mut self, id: &JobId);
--- a/crates/hazelgrade/tests/common/mod.rs
+++ b/crates/hazelgrade/tests/common/mod.rs
@@ -33,8 +33,8 @@
 
 impl Decisions for Record {
     record!(run => Run, fail => Fail, skip_call => Skip, stop => Stop, share => Share, forget => Forget,);
-    fn reject(&mut self, id: &JobId, not_elsewhere: bool, back_in: Span) {
-        self.0.push(Act::Reject(id.clone(), back_in, not_elsewhere));
+    fn reject(&mut self, id: &JobId, not_elsewhere: bool, retry_after: Span) {
+        self.0.push(Act::Reject(id.clone(), retry_after, not_elsewhere));
     }
     fn call(&mut self, id: &JobId, within: Span) {
         self.0.push(Act::Call(id.clone(), within));
@@ -83,7 +83,7 @@
     let (cold, stopping, tick) = (false, Stopping::Drops, ms(10.0));
     let (answer_slack, cold_from, warm_up) = (ms(60.0), 0.2, ms(8000.0));
     let (drain_grace, crowd_per_core) = (ms(1000.0), 4.0);
-    let (count, signal, heeded_for, longest_back_in) = (4.0, Signal::Weight, ms(1000.0), ms(1000.0));
+    let (count, signal, heeded_for, max_retry_after) = (4.0, Signal::Weight, ms(1000.0), ms(1000.0));
     let (mark_again, fleet, over_quota_part) = (true, 5.0, 0.1);
     Setup {
         job_classes: vec![JobClass {
@@ -100,7 +100,7 @@
         machine: Machine { cores, memory_kb, running_factor, entry_kb, cold, stopping, tick },
         promises: Promises { answer_slack, cold_from, warm_up, drain_grace, crowd_per_core },
         below: Below { share: None, share_over: ms(5000.0), linger: ms(200.0) },
-        callers: Callers { count, signal, heeded_for, longest_back_in, mark_again, fleet, over_quota_part },
+        callers: Callers { count, signal, heeded_for, max_retry_after, mark_again, fleet, over_quota_part },
     }
 }
 
--- a/crates/hazelgrade/tests/crowd.rs
+++ b/crates/hazelgrade/tests/crowd.rs
@@ -368,8 +368,8 @@
                 }
                 server.running.push((id, work, now));
             }
-            Act::Reject(id, back_in, not_elsewhere) => {
-                self.answered(number, &id, false, Some((back_in, not_elsewhere)));
+            Act::Reject(id, retry_after, not_elsewhere) => {
+                self.answered(number, &id, false, Some((retry_after, not_elsewhere)));
             }
             Act::Fail(id) => self.answered(number, &id, false, None),
             Act::Stop(id) => {
@@ -409,13 +409,13 @@
             if now <= asked.made + 2000.0 {
                 Self::count(&mut self.seen.served, asked.made);
             }
-        } else if let Some((back_in, not_elsewhere)) = rejected {
+        } else if let Some((retry_after, not_elsewhere)) = rejected {
             Self::count(&mut self.seen.rejections, now);
-            caller.away_until.insert(number, now + back_in.as_ms());
+            caller.away_until.insert(number, now + retry_after.as_ms());
             if !(heeds && not_elsewhere) {
                 self.again(Asked { ran: false, ..asked }, if heeds { 20.0 + 80.0 * chance } else { 5.0 });
-            } else if back_in > Span::ZERO {
-                self.again(Asked { ran: false, ..asked }, back_in.as_ms());
+            } else if retry_after > Span::ZERO {
+                self.again(Asked { ran: false, ..asked }, retry_after.as_ms());
             }
         }
     }
@@ -655,7 +655,7 @@
     let mut setup = setup();
     (setup.callers.count, setup.callers.fleet) = (150.0, 300.0);
     setup.job_classes[0].calls = false;
-    let (mut off_for, mut back_in) = (vec![], vec![]);
+    let (mut off_for, mut retry_after) = (vec![], vec![]);
     for seed in 0..300 {
         let Setup { job_classes, machine, promises, below, callers } = setup.clone();
         let mut control =
@@ -685,9 +685,9 @@
                 }
             }
         }
-        back_in.extend(told);
+        retry_after.extend(told);
     }
-    for (what, mut told) in [("off the list", off_for), ("back in", back_in)] {
+    for (what, mut told) in [("off the list", off_for), ("back in", retry_after)] {
         told.sort_by(f64::total_cmp);
         assert!(told.len() >= 200, "{what}: told by {} only", told.len());
         let (low, middle, high) = (told[told.len() / 10], told[told.len() / 2], told[told.len() * 9 / 10]);
--- a/crates/hazelgrade/tests/decisions.rs
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -294,12 +294,12 @@
         if ends >= over { (over, Outcome::Overdue) } else { (ends, outcome) }
     }
 
-    fn answered(&mut self, id: &JobId, back_in: Option<Span>, now: Time) {
+    fn answered(&mut self, id: &JobId, retry_after: Option<Span>, now: Time) {
         let retries = self.happens(0.5);
         let Some(tracked) = self.jobs.get_mut(id) else { return };
         tracked.answered = true;
-        if let Some(back_in) = back_in.filter(|_| retries) {
-            self.retries.push(Retry { due: now + back_in + ms(20.0), job: tracked.job.clone() });
+        if let Some(retry_after) = retry_after.filter(|_| retries) {
+            self.retries.push(Retry { due: now + retry_after + ms(20.0), job: tracked.job.clone() });
         }
         if matches!(tracked.at, At::Queued | At::Original) {
             self.jobs.remove(id);
@@ -316,7 +316,7 @@
                 let Some(tracked) = self.jobs.get_mut(id) else { return };
                 (tracked.at, tracked.began) = (At::Running { left_ms }, now);
             }
-            Act::Reject(id, back_in, _) => self.answered(id, Some(*back_in), now),
+            Act::Reject(id, retry_after, _) => self.answered(id, Some(*retry_after), now),
             Act::Fail(id) => self.answered(id, None, now),
             Act::Call(id, within) => {
                 let (ends, outcome) = self.call_outcome(now, *within);
@@ -345,8 +345,8 @@
 fn written(act: &Act) -> String {
     match act {
         Act::Run(id) => format!("run {id}\n"),
-        Act::Reject(id, back_in, not_elsewhere) => {
-            format!("reject {id} {} {not_elsewhere}\n", back_in.as_ms())
+        Act::Reject(id, retry_after, not_elsewhere) => {
+            format!("reject {id} {} {not_elsewhere}\n", retry_after.as_ms())
         }
         Act::Fail(id) => format!("fail {id}\n"),
         Act::Call(id, within) => format!("call {id} {}\n", within.as_ms()),
@@ -485,14 +485,14 @@
 
     let mut unmarked = plain("unmarked-retries", 17);
     unmarked.setup.callers.mark_again = false;
-    unmarked.setup.callers.longest_back_in = ms(4_000.0);
+    unmarked.setup.callers.max_retry_after = ms(4_000.0);
     unmarked.setup.job_classes = vec![classes()[1].clone(), classes()[2].clone(), classes()[0].clone()];
     unmarked.unread_ms = 900.0;
     all.push(unmarked);
 
     let mut stalls = plain("stalls-and-many-callers", 18);
     stalls.setup.callers.count = 500.0;
-    stalls.setup.callers.longest_back_in = ms(10_000.0);
+    stalls.setup.callers.max_retry_after = ms(10_000.0);
     stalls.unread_ms = 4_000.0;
     stalls.rate = 30.0;
     stalls.stalls_ms = vec![(9_000.0, 2_500.0), (20_000.0, 700.0)];
--- a/crates/hazelgrade/tests/failures.rs
+++ b/crates/hazelgrade/tests/failures.rs
@@ -41,9 +41,13 @@
     let acts = at_calls(&mut control, 0.0, 0, 16);
     assert_eq!(made(&acts).len(), 8, "eight permits at the start");
     let acts = round(&mut control, at(1.0), |inflow| inflow.arrived(job("late", at(1.0))));
-    let back_in =
-        acts.iter().find_map(|act| if let Act::Reject(_, back_in, _) = act { Some(*back_in) } else { None });
-    assert!(back_in.is_some_and(|back_in| back_in > Span::ZERO), "the queue of eight is full: {acts:?}");
+    let retry_after = acts
+        .iter()
+        .find_map(|act| if let Act::Reject(_, retry_after, _) = act { Some(*retry_after) } else { None });
+    assert!(
+        retry_after.is_some_and(|retry_after| retry_after > Span::ZERO),
+        "the queue of eight is full: {acts:?}"
+    );
 }
 
 /// Foreseen: retries that the depth counts as fresh arrivals. Depth goes by time in calls alone.
