--- a/crates/hazelgrade-budget/src/bucket.rs
+++ b/crates/hazelgrade-budget/src/bucket.rs
@@ -1,4 +1,4 @@
-//! A part of a rate, or of further tries, as single jobs: a bucket whose size and inflow change as its part does.
+//! A part of a rate, or of retries, as single jobs: a bucket whose size and inflow change as its part does.
 //!
 //! The parts of all nodes add up to the whole, and what moves from one to another moves empty: what a bucket holds beyond its
 //! new size is gone, and what another gains fills at its rate. So all buckets together hold no more than one of the whole's
--- a/crates/hazelgrade-budget/src/terms.rs
+++ b/crates/hazelgrade-budget/src/terms.rs
@@ -12,7 +12,7 @@
     InHand,
     /// A tenant's jobs a second, so many together after some quiet.
     Rate { burst: Units },
-    /// Further tries that may come together; each first try earns a thousandth part of one, times `per_mille`.
+    /// Retries that may come together; each first try earns a thousandth part of one, times `per_mille`.
     Tries { per_mille: Units },
 }
 
--- a/crates/hazelgrade-config/src/document.rs
+++ b/crates/hazelgrade-config/src/document.rs
@@ -5,7 +5,7 @@
 use crate::fields::{self, Fields, Kind, Scalar};
 use crate::read::{Found, Reading};
 use crate::version::Digest;
-use hazelgrade::desk::{JobClass, Promises, Repeats, Tenant};
+use hazelgrade::desk::{Idempotency, JobClass, Promises, Tenant};
 use hazelgrade::time::Span;
 use ipnet::IpNet;
 use std::collections::BTreeMap;
@@ -397,9 +397,9 @@
             };
             let span = |field: &str| Span::from_ms(number(field, 0.0));
             let repeats = match fields.word(&format!("use_case/{name}/repeats")) {
-                Some("numbered") => Repeats::Numbered,
-                Some("at-most-once") => Repeats::AtMostOnce,
-                _ => Repeats::Reissuable,
+                Some("numbered") => Idempotency::Keyed,
+                Some("at-most-once") => Idempotency::AtMostOnce,
+                _ => Idempotency::Idempotent,
             };
             let case = JobClass {
                 goal: span("goal_ms"),
@@ -407,7 +407,7 @@
                 cut_off: span("cut_off_ms"),
                 earnings: number("earnings", 1.0),
                 late_part: number("late_part", 0.0),
-                repeats,
+                idempotency: repeats,
                 window: span("window_ms"),
                 calls: fields.truth(&format!("use_case/{name}/calls")).unwrap_or(true),
                 part_without_call: number("part_without_call", 0.0),
--- a/crates/hazelgrade-fakes/src/rules.rs
+++ b/crates/hazelgrade-fakes/src/rules.rs
@@ -48,7 +48,7 @@
 }
 
 impl Verdict {
-    /// No job lost or late, none answered or run twice. A reissuable job may be stopped and rejected.
+    /// No job lost or late, none answered or run twice. A idempotent job may be stopped and rejected.
     pub fn kept(&self) -> bool {
         self.lost.is_empty() && self.late.is_empty() && self.answered_twice == 0 && self.run_twice.is_empty()
     }
--- a/crates/hazelgrade-server/src/program/configuration.rs
+++ b/crates/hazelgrade-server/src/program/configuration.rs
@@ -97,7 +97,7 @@
         self.sockets.saturating_sub(DESCRIPTORS_KEPT + self.connections_below()).max(1)
     }
 
-    /// What kept results of numbered jobs may take.
+    /// What kept results of keyed jobs may take.
     pub fn result_bytes(&self) -> usize {
         (self.memory_mb * RESULTS_PART * 1024.0 * 1024.0) as usize
     }
--- a/crates/hazelgrade-server/src/program/serve.rs
+++ b/crates/hazelgrade-server/src/program/serve.rs
@@ -12,7 +12,7 @@
 use crate::routing::hand::Hand;
 use crate::routing::job::{Parts, Tally};
 use crate::routing::notices::Notices;
-use crate::routing::repeats::Repeats;
+use crate::routing::result_cache::ResultCache;
 use crate::routing::rounds::Rounds;
 use crate::transport::clients::Clients;
 use crate::transport::database::Database;
@@ -78,10 +78,11 @@
     let registry = Rc::new(registry);
     tracing::info!(name = deployment.name, listen = %deployment.listen, "started");
 
-    let (hand, repeats) = (Rc::new(Hand::default()), Rc::new(Repeats::new(deployment.result_bytes())));
+    let (hand, result_cache) =
+        (Rc::new(Hand::default()), Rc::new(ResultCache::new(deployment.result_bytes())));
     let tasks = Rc::new(LocalExecutor::new());
     let link = Rc::new(Link::new(addresses.executor));
-    let rounds = Rc::new(Rounds::new(control, site.tick, hand.clone(), repeats.clone(), link.clone()));
+    let rounds = Rc::new(Rounds::new(control, site.tick, hand.clone(), result_cache.clone(), link.clone()));
     if let Some(for_tests) = for_tests {
         tracing::warn!(?for_tests, "this node is to fail, for tests");
         rounds.clock.skew(for_tests.clock_off_ms, for_tests.clock_rate);
@@ -98,7 +99,7 @@
     let parts = Rc::new(Parts {
         rounds: rounds.clone(),
         hand,
-        repeats,
+        result_cache,
         calls: calls.clone(),
         link: link.clone(),
         site: RefCell::new(Rc::new(site)),
--- a/crates/hazelgrade-server/src/program/streaming.rs
+++ b/crates/hazelgrade-server/src/program/streaming.rs
@@ -229,7 +229,7 @@
         }
         let named = |(place, case): (usize, &JobClass)| Named {
             name: job_classes.places.name(place).map(|(name, _)| name.to_owned()).unwrap_or_default(),
-            repeats: case.repeats,
+            repeats: case.idempotency,
             cut_off: case.cut_off,
             in_use: in_use(place),
         };
--- a/crates/hazelgrade-server/src/protocol/jsonrpc.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc.rs
@@ -1,7 +1,7 @@
 //! JSON-RPC 2.0, one message a line: what client stubs send, and what is answered.
 
 use super::{Body, is_body};
-use hazelgrade::desk::{Job, JobId, Repeats};
+use hazelgrade::desk::{Idempotency, Job, JobId};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_identity::token::LONGEST_TOKEN;
 use hazelgrade_settings::Site;
@@ -38,7 +38,7 @@
     pub call: u64,
     pub job: Job,
     pub body: Body,
-    /// By which further tries of a numbered job, or reads of the same thing, are known.
+    /// By which retries of a keyed job, or reads of the same thing, are known.
     pub mark: Option<String>,
     /// Who asks, if it is said with the job.
     pub token: Option<String>,
@@ -187,9 +187,9 @@
     };
     let held_kb = params.number("need", |kb| kb > 0.0 && kb < 2000.0, "kilobytes, above 0 and under 2000")?;
     let rank = params.number("level", |rank| (0.0..1.0).contains(&rank), "from 0 to under 1")?;
-    // The page of the protocol names no mark for numbered jobs; the site's list of names calls it `opkey`.
+    // The page of the protocol names no mark for keyed jobs; the site's list of names calls it `opkey`.
     let (name, shown) = match site.job_classes[job_class].repeats {
-        Repeats::Reissuable => ("subject", "what a read is about"),
+        Idempotency::Idempotent => ("subject", "what a read is about"),
         _ => ("opkey", "the mark of a numbered job"),
     };
     let mark = params.text_or_none(name, shown)?;
@@ -206,8 +206,8 @@
         work: None,
         held_kb,
         rank,
-        again,
-        repeats: None,
+        is_retry: again,
+        retry_of: None,
         known: false,
         beyond: false,
         short: None,
--- a/crates/hazelgrade-server/src/routing/budgets.rs
+++ b/crates/hazelgrade-server/src/routing/budgets.rs
@@ -1,7 +1,7 @@
 //! A node's parts of the budgets that all nodes share: the holder on this machine's monotonic clock, and where its parts act.
 //!
 //! Of calls below the module decides by what it is allowed; right before a call is handed over it is looked at once more, as
-//! the process may have stood still in between. Of a tenant's jobs a second and of further tries, buckets say whether
+//! the process may have stood still in between. Of a tenant's jobs a second and of retries, buckets say whether
 //! there is anything left; the module turns the job away.
 
 use hazelgrade::decay::DecaySum;
@@ -25,7 +25,7 @@
     bucket: Bucket,
     /// Asked for, let in or not.
     asked: DecaySum,
-    /// Of further tries: those.
+    /// Of retries: those.
     terms: Terms,
 }
 
@@ -182,7 +182,7 @@
         }
         if let Some((budget, door)) = &mut *tries {
             self.renew(now, budget, door);
-            if !job.again {
+            if !job.is_retry {
                 door.bucket.earn();
                 return None;
             }
--- a/crates/hazelgrade-server/src/routing/calls.rs
+++ b/crates/hazelgrade-server/src/routing/calls.rs
@@ -19,7 +19,7 @@
 struct Made {
     /// The connection of the call that is not over.
     on: Option<u64>,
-    /// The connections of all its calls. Replies name the job only: a second copy, or one that comes late, would
+    /// The connections of all its calls. Replies name the job only: a hedged request, or one that comes late, would
     /// pass for the reply to the next call if that went over the same connection.
     over: Vec<u64>,
 }
--- a/crates/hazelgrade-server/src/routing/front.rs
+++ b/crates/hazelgrade-server/src/routing/front.rs
@@ -8,7 +8,7 @@
 use crate::transport::tls::Tls;
 use async_executor::LocalExecutor;
 use async_io::Async;
-use hazelgrade::desk::{JobId, Repeats};
+use hazelgrade::desk::{Idempotency, JobId};
 use hazelgrade::time::Span;
 use hazelgrade_identity::Refused;
 use hazelgrade_identity::desk::Known;
@@ -138,7 +138,7 @@
         let (cut_off, numbered) = {
             let site = parts.site.borrow();
             let case = &site.job_classes[asked.job.job_class];
-            (case.cut_off, case.repeats != Repeats::Reissuable)
+            (case.cut_off, case.repeats != Idempotency::Idempotent)
         };
         let over = reached + cut_off < now;
         if over && client.is_proved() {
@@ -152,8 +152,8 @@
         }
         let mark = asked.mark.take().filter(|_| numbered);
         let (job_class, tenant) = (asked.job.job_class, asked.job.tenant);
-        let key = mark.map(|mark| parts.repeats.key(job_class, tenant, mark, &asked.body));
-        if let Some((of, result)) = parts.repeats.kept(&id) {
+        let key = mark.map(|mark| parts.result_cache.key(job_class, tenant, mark, &asked.body));
+        if let Some((of, result)) = parts.result_cache.kept(&id) {
             // It is over under this id: as long as that is known, it is not run again, and of another nothing was run.
             let rejected = Answer::Rejected { not_elsewhere: false, retry_after: Span::ZERO };
             let known = || result.map_or(Answer::Failed, Answer::Succeeded);
@@ -164,7 +164,7 @@
         client.open(call, id.clone());
         asked.job.reached = reached;
         asked.job.known = client.is_proved();
-        asked.job.repeats = key.and_then(|key| parts.repeats.arrived(&id, key, reached, cut_off));
+        asked.job.retry_of = key.and_then(|key| parts.result_cache.arrived(&id, key, reached, cut_off));
         if let Some(seat) = parts.rounds.seat() {
             let site = parts.site.borrow();
             let tenant = site.tenants.get(asked.job.tenant).and_then(Option::as_deref);
--- a/crates/hazelgrade-server/src/routing/job.rs
+++ b/crates/hazelgrade-server/src/routing/job.rs
@@ -4,7 +4,7 @@
 use super::calls::Calls;
 use super::hand::{Hand, Turn};
 use super::outcome::{self, CallEnd};
-use super::repeats::Repeats;
+use super::result_cache::ResultCache;
 use super::rounds::{Event, Rounds};
 use crate::protocol::executor::{Command, RunEnd, encode};
 use crate::protocol::jsonrpc::{self, Answer, Asked};
@@ -52,7 +52,7 @@
 pub struct Parts {
     pub rounds: Rc<Rounds>,
     pub hand: Rc<Hand>,
-    pub repeats: Rc<Repeats>,
+    pub result_cache: Rc<ResultCache>,
     pub calls: Rc<Calls>,
     pub link: Rc<Link>,
     /// As it is served now; a job that has arrived keeps its own.
@@ -124,13 +124,13 @@
 /// Lives through a job. Its turns come one by one: decisions of the module, and what the others tell.
 pub async fn live(asked: Asked, turns: Receiver<Turn>, parts: Rc<Parts>) {
     let Asked { job, body, .. } = asked;
-    let (id, repeats) = (job.id.clone(), job.repeats.clone());
+    let (id, repeats) = (job.id.clone(), job.retry_of.clone());
     let job_class = parts.site.borrow().job_classes[job.job_class].name.clone();
 
     // It has arrived; the module hears of it, and its verdict comes as a turn. With `--log trace` a job can be followed
     // by its id through every instance that touched it.
     let unread_ms = parts.rounds.clock.now().since(job.reached).as_ms();
-    tracing::trace!(job = &*id, job_class, again = job.again, unread_ms, "arrived");
+    tracing::trace!(job = &*id, job_class, again = job.is_retry, unread_ms, "arrived");
     parts.rounds.tell(Event::Arrived(job));
     let mut result = None;
     'in_hand: loop {
@@ -146,7 +146,7 @@
                 Turn::CallerGone => break 'in_hand,
                 Turn::Share => {
                     let prior = repeats.as_ref().unwrap_or(&id);
-                    if let Some(body) = parts.repeats.share(&id, prior) {
+                    if let Some(body) = parts.result_cache.share(&id, prior) {
                         parts.hand.send(&id, Turn::Shared(body));
                     }
                 }
@@ -284,7 +284,7 @@
     parts.hand.let_go(&id);
     parts.calls.done(&id);
     let now = parts.rounds.clock.now();
-    for repeat in parts.repeats.done(&id, now, result.clone()) {
+    for repeat in parts.result_cache.done(&id, now, result.clone()) {
         parts.hand.send(&repeat, Turn::Shared(result.clone()));
     }
 }
--- a/crates/hazelgrade-server/src/routing/mod.rs
+++ b/crates/hazelgrade-server/src/routing/mod.rs
@@ -9,5 +9,5 @@
 pub mod job;
 pub mod notices;
 pub mod outcome;
-pub mod repeats;
+pub mod result_cache;
 pub mod rounds;
--- a/crates/hazelgrade-server/src/routing/repeats.rs
+++ b/crates/hazelgrade-server/src/routing/result_cache.rs
@@ -63,7 +63,7 @@
     most_bytes: usize,
 }
 
-pub struct Repeats {
+pub struct ResultCache {
     table: RefCell<Table>,
     digests: RandomState,
 }
@@ -100,10 +100,10 @@
     }
 }
 
-impl Repeats {
-    pub fn new(most_bytes: usize) -> Repeats {
+impl ResultCache {
+    pub fn new(most_bytes: usize) -> ResultCache {
         let table = RefCell::new(Table { most_bytes, ..Table::default() });
-        Repeats { table, digests: RandomState::new() }
+        ResultCache { table, digests: RandomState::new() }
     }
 
     pub fn key(&self, job_class: usize, tenant: usize, mark: String, body: &Body) -> Key {
--- a/crates/hazelgrade-server/src/routing/rounds.rs
+++ b/crates/hazelgrade-server/src/routing/rounds.rs
@@ -4,7 +4,7 @@
 use super::budgets::Seat;
 use super::clock::Clock;
 use super::hand::{Hand, Turn};
-use super::repeats::Repeats;
+use super::result_cache::ResultCache;
 use crate::protocol::executor::{self, Command};
 use crate::protocol::jsonrpc::Answer;
 use crate::transport::executor::Link;
@@ -66,14 +66,20 @@
     /// Parts of what all nodes share, where budgets are on.
     seat: RefCell<Option<Rc<Seat>>>,
     hand: Rc<Hand>,
-    repeats: Rc<Repeats>,
+    result_cache: Rc<ResultCache>,
     link: Rc<Link>,
     pub rounds: Cell<u64>,
     pub longest: Cell<Duration>,
 }
 
 impl Rounds {
-    pub fn new(control: Control, tick: Span, hand: Rc<Hand>, repeats: Rc<Repeats>, link: Rc<Link>) -> Rounds {
+    pub fn new(
+        control: Control,
+        tick: Span,
+        hand: Rc<Hand>,
+        result_cache: Rc<ResultCache>,
+        link: Rc<Link>,
+    ) -> Rounds {
         let clock = Clock::default();
         Rounds {
             control: RefCell::new(control),
@@ -93,7 +99,7 @@
             health_changed: Bell::default(),
             seat: RefCell::default(),
             hand,
-            repeats,
+            result_cache,
             link,
             rounds: Cell::new(0),
             longest: Cell::new(Duration::ZERO),
@@ -296,11 +302,11 @@
     }
 
     fn remember(&mut self, id: &JobId, span: Span) {
-        self.rounds.repeats.remember(id, self.now, span);
+        self.rounds.result_cache.remember(id, self.now, span);
     }
 
     fn forget(&mut self, id: &JobId) {
-        self.rounds.repeats.forget(id);
+        self.rounds.result_cache.forget(id);
     }
 
     fn say(&mut self, value: f64) {
--- a/crates/hazelgrade-server/tests/instance/crossings.rs
+++ b/crates/hazelgrade-server/tests/instance/crossings.rs
@@ -7,7 +7,7 @@
 use hazelgrade::desk::JobId;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_net::wire::Wire;
-use hazelgrade_server::routing::repeats::Repeats;
+use hazelgrade_server::routing::result_cache::ResultCache;
 use hazelgrade_server::transport::clients::{Client, Clients};
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -605,7 +605,7 @@
 fn plays(steps: &[(u8, u8, u8)]) {
     const WINDOW: f64 = 40.0;
     const UNREAD: f64 = 30.0;
-    let repeats = Repeats::new(1 << 20);
+    let result_cache = ResultCache::new(1 << 20);
     let (mut tries, mut now, mut count) = (BTreeMap::<String, Try>::new(), 0.0, 0u32);
     let end = |tries: &mut BTreeMap<String, Try>, id: String, now: f64| {
         let mut over = vec![(id.clone(), Some(format!("made by {id}")))];
@@ -613,7 +613,7 @@
             tries.get_mut(&id).expect("in hand").result = result.clone();
             let at = Time::from_ms(now);
             let waiting =
-                repeats.done(&id.as_str().into(), at, result.clone().map(|body| body.as_str().into()));
+                result_cache.done(&id.as_str().into(), at, result.clone().map(|body| body.as_str().into()));
             over.extend(waiting.into_iter().map(|id| (id.to_string(), result.clone())));
         }
     };
@@ -629,8 +629,8 @@
             let named: JobId = id.as_str().into();
             let at = Time::from_ms(reached);
             let prior = {
-                let of = repeats.key(0, 0, key.to_string(), &"".into());
-                repeats.arrived(&named, of, at, Span::from_ms(UNREAD))
+                let of = result_cache.key(0, 0, key.to_string(), &"".into());
+                result_cache.arrived(&named, of, at, Span::from_ms(UNREAD))
             };
             let due = tries.values().filter(runs).any(|of| of.until > reached || of.result.is_none());
             assert_eq!(prior.is_some(), due, "{id} at {now}, reached at {reached}");
@@ -638,11 +638,11 @@
             if let Some(prior) = &prior {
                 let of = &tries[&prior.to_string()];
                 assert!(of.shares.is_none() && of.key == key, "{id} repeats {prior}, which was never run");
-                let shared = repeats.share(&named, prior);
+                let shared = result_cache.share(&named, prior);
                 assert_eq!(shared, of.result.as_deref().map(|body| Some(body.into())));
                 result = shared.is_some().then(|| of.result.clone()).flatten();
             } else {
-                repeats.remember(
+                result_cache.remember(
                     &named,
                     Time::from_ms(now),
                     Span::from_ms((reached + WINDOW - now).max(0.0)),
@@ -652,7 +652,7 @@
             let until = reached + WINDOW;
             tries.insert(id.clone(), Try { key, reached, until, shares, result: result.clone() });
             if result.is_some() {
-                repeats.done(&named, Time::from_ms(now), result.map(|body| body.as_str().into()));
+                result_cache.done(&named, Time::from_ms(now), result.map(|body| body.as_str().into()));
             }
         } else {
             let runs = tries.iter().find(|(_, of)| runs(of) && of.result.is_none()).map(|(id, _)| id.clone());
--- a/crates/hazelgrade-server/tests/instance/input.rs
+++ b/crates/hazelgrade-server/tests/instance/input.rs
@@ -5,7 +5,7 @@
 use hazelgrade_net::ending::ConnectionEnd;
 use hazelgrade_server::protocol;
 use hazelgrade_server::routing::clock::Clock;
-use hazelgrade_server::routing::repeats::Repeats;
+use hazelgrade_server::routing::result_cache::ResultCache;
 use hazelgrade_server::transport::database::{Database, Hears};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -278,16 +278,16 @@
 
 #[test]
 fn kept_results_stay_within_their_part_of_the_memory_and_the_one_that_runs_out_first_goes() {
-    let (now, repeats) = (Time::from_ms(0.0), Repeats::new(10));
+    let (now, result_cache) = (Time::from_ms(0.0), ResultCache::new(10));
     for (place, id) in ["a1", "a2"].into_iter().enumerate() {
         let id = id.into();
-        let key = repeats.key(0, 0, place.to_string(), &"".into());
-        repeats.arrived(&id, key, now, Span::ZERO);
-        repeats.remember(&id, now, Span::from_ms(1000.0 + place as f64));
-        repeats.done(&id, now, Some("12345678".into()));
+        let key = result_cache.key(0, 0, place.to_string(), &"".into());
+        result_cache.arrived(&id, key, now, Span::ZERO);
+        result_cache.remember(&id, now, Span::from_ms(1000.0 + place as f64));
+        result_cache.done(&id, now, Some("12345678".into()));
     }
-    assert_eq!(repeats.share(&"b1".into(), &"a1".into()), Some(None));
-    assert_eq!(repeats.share(&"b2".into(), &"a2".into()), Some(Some("12345678".into())));
+    assert_eq!(result_cache.share(&"b1".into(), &"a1".into()), Some(None));
+    assert_eq!(result_cache.share(&"b2".into(), &"a2".into()), Some(Some("12345678".into())));
 }
 
 #[test]
--- a/crates/hazelgrade-server/tests/instance/serving.rs
+++ b/crates/hazelgrade-server/tests/instance/serving.rs
@@ -218,7 +218,7 @@
     }
     let (first, second) = (below.call("a1"), below.call("a2"));
     assert_ne!(first, second);
-    // An unknown id ahead, and a second copy: the copy must not pass for the reply to the next call.
+    // An unknown id ahead, and a hedged request: the copy must not pass for the reply to the next call.
     below.reply(first, "zz ROWS 1\r\nz\r\na1 ROWS 1\r\n1\r\na1 ROWS 1\r\n1\r\n");
     assert_eq!(link.command(), json!({"event": "RETURN", "handle": "a1", "arg": "MQ=="}));
     link.say(&at_call(3, "a1"));
--- a/crates/hazelgrade-settings/src/lib.rs
+++ b/crates/hazelgrade-settings/src/lib.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub struct Named {
     pub name: String,
-    pub repeats: Repeats,
+    pub repeats: Idempotency,
     pub cut_off: Span,
     /// Jobs may ask for it; one that is gone keeps its place for those in hand.
     pub in_use: bool,
@@ -136,10 +136,10 @@
             cut_off: Span::from_ms(cut_off),
             earnings: part.number("gain", 1.0)?,
             late_part: part.number("lateWorth", 0.0)?,
-            repeats: match part.word("idempotency", "safe")? {
-                "safe" => Repeats::Reissuable,
-                "keyed" => Repeats::Numbered,
-                "unsafe" => Repeats::AtMostOnce,
+            idempotency: match part.word("idempotency", "safe")? {
+                "safe" => Idempotency::Idempotent,
+                "keyed" => Idempotency::Keyed,
+                "unsafe" => Idempotency::AtMostOnce,
                 _ => return fault("settings.classes.idempotency", "safe, keyed or unsafe"),
             },
             window: part.span("window", 0.0)?,
@@ -148,7 +148,7 @@
         });
         named.push(Named {
             name: part.word("name", "")?.into(),
-            repeats: job_classes[place].repeats,
+            repeats: job_classes[place].idempotency,
             cut_off: Span::from_ms(cut_off),
             in_use: true,
         });
@@ -200,7 +200,7 @@
         },
         heeded_for: specifics.span("saidFor", 1000.0)?,
         max_retry_after: if advice { ceilings.span("maxRetryAfter", 0.0)? } else { Span::ZERO },
-        mark_again: Part::of(settings, "clients").truth("marksRetry")?,
+        mark_retries: Part::of(settings, "clients").truth("marksRetry")?,
         fleet: Part { value: Some(settings), path: "" }.number("fleetSize", 1.0)?,
         over_quota_part: Part { value: Some(settings), path: "" }.number("overShareWorth", 1.0)?,
     };
--- a/crates/hazelgrade/src/control.rs
+++ b/crates/hazelgrade/src/control.rs
@@ -10,7 +10,7 @@
 //! 3. `part_in_quota`: a tenant's jobs beyond its quota count for less in that order.
 //! 4. `speak`: surplus is kept away by the value said, the list, retry-after and "not elsewhere".
 //! 5. A job whose call can't be made goes on without it, where that still earns something.
-//! 6. The rules' guards: cut-off, drain, memory, crowd, and entries for numbered jobs.
+//! 6. The rules' guards: cut-off, drain, memory, crowd, and entries for keyed jobs.
 
 use crate::chance::Chance;
 use crate::decay::{DecaySum, Mean, Pace};
@@ -246,7 +246,7 @@
     }
 }
 
-/// What is kept of a numbered job until its repeats can't come any more.
+/// What is kept of a keyed job until its repeats can't come any more.
 struct Entry {
     until: Time,
     named_until: Time, // read after `until`, a repeat may still name this job
@@ -258,11 +258,11 @@
 }
 
 impl Entry {
-    /// A numbered job that no entry links may still repeat one that ran, if both were on the machine unread
+    /// A keyed job that no entry links may still repeat one that ran, if both were on the machine unread
     /// at a time. With marked repeats one of the two is marked; else they lie a wait of a caller apart.
     fn may_be(&self, job: &Job, read: Time, marked: bool, apart: Span) -> bool {
         let between = job.reached.since(self.reached) + self.reached.since(job.reached);
-        let lie = if marked { self.again || job.again } else { between >= apart };
+        let lie = if marked { self.again || job.is_retry } else { between >= apart };
         let unread_together = self.kept != read && job.reached < self.kept && self.reached < read;
         self.ran && self.job_class == job.job_class && unread_together && lie
     }
@@ -318,7 +318,7 @@
             control.late_since = control.late_since.or(Some(now)).filter(|_| late);
         }
         control.tries.add(now, counts);
-        if job.again {
+        if job.is_retry {
             control.tries_again.add(now, counts);
         } else if let Some((rate, _)) = control.quotas.get_mut(job.tenant) {
             rate.add(now, counts);
@@ -559,9 +559,9 @@
         self.set_alarm(now, out);
     }
 
-    /// No entry links it, but it may repeat a numbered job that ran.
+    /// No entry links it, but it may repeat a keyed job that ran.
     fn blind(&self, held: &InHand) -> bool {
-        let (marked, apart) = (self.callers.mark_again, held.case.cut_off * 0.05);
+        let (marked, apart) = (self.callers.mark_retries, held.case.cut_off * 0.05);
         self.entries.values().any(|entry| entry.may_be(&held.job, held.since, marked, apart))
     }
 
@@ -608,11 +608,11 @@
         let blind = self.jobs.get(id).is_some_and(|held| self.blind(held));
         let Some(held) = self.jobs.get_mut(id).filter(|held| !held.answered) else { return };
         held.answered = true;
-        let may_have_run = held.ran || held.job.repeats.is_some() || blind;
-        let may_bounce = held.case.repeats == Repeats::Reissuable || !may_have_run;
+        let may_have_run = held.ran || held.job.retry_of.is_some() || blind;
+        let may_bounce = held.case.idempotency == Idempotency::Idempotent || !may_have_run;
         if let Some(retry_after) = back.filter(|_| may_bounce) {
-            let not_elsewhere = !elsewhere || held.job.again || self.crowded(now, 0.1);
-            self.tries_again.add(now, if self.callers.mark_again { 0.0 } else { 0.25 });
+            let not_elsewhere = !elsewhere || held.job.is_retry || self.crowded(now, 0.1);
+            self.tries_again.add(now, if self.callers.mark_retries { 0.0 } else { 0.25 });
             // Spread by chance, so as not to come back together; longer the more there is to keep away.
             let retry_after = retry_after * ((0.75 + 0.5 * self.chance.draw()) / self.openness.open.min(1.0));
             let retry_after = retry_after.min(self.callers.max_retry_after);
@@ -632,7 +632,7 @@
     }
 
     fn stoppable(&self, held: &InHand) -> bool {
-        let again = held.case.repeats == Repeats::Reissuable;
+        let again = held.case.idempotency == Idempotency::Idempotent;
         self.machine.stopping != Stopping::Never && again && held.stage == Stage::OnCores
     }
 
@@ -647,11 +647,11 @@
     fn admit(&mut self, now: Time, id: &JobId, out: Out) {
         let Some(held) = self.jobs.get(id) else { return };
         let (case, job) = (held.case.clone(), held.job.clone());
-        if case.repeats == Repeats::Numbered {
+        if case.idempotency == Idempotency::Keyed {
             self.entries.retain(|_, entry| entry.named_until > now);
             // Two that came in one batch name each other: the first of them has no entry yet and stands.
             let stands = |prior: &JobId| self.entries.contains_key(prior) || !self.jobs.contains_key(prior);
-            if job.repeats.as_ref().is_some_and(stands) {
+            if job.retry_of.as_ref().is_some_and(stands) {
                 out.share(id);
                 return self.enter(now, id, Stage::Sharing);
             }
@@ -664,7 +664,7 @@
                 out.remember(id, span);
             }
             let named_until = until.max(now) + case.cut_off;
-            let (job_class, reached, again) = (job.job_class, job.reached, job.again);
+            let (job_class, reached, again) = (job.job_class, job.reached, job.is_retry);
             let entry = Entry { until, named_until, job_class, reached, kept: now, again, ran: false };
             self.entries.insert(id.clone(), entry);
         }
@@ -695,7 +695,8 @@
     fn meet_call(&mut self, now: Time, id: &JobId, out: Out) {
         let Some(held) = self.jobs.get(id).filter(|held| !held.answered) else { return };
         let wait = self.call_wait(now, held);
-        let once = held.case.repeats != Repeats::Reissuable && held.call_unsure || held.call_tries > 1;
+        let once =
+            held.case.idempotency != Idempotency::Idempotent && held.call_unsure || held.call_tries > 1;
         if once || self.gate.full(now, wait) || self.call_until(now, id) <= now {
             self.no_call(now, id, out);
         } else {
--- a/crates/hazelgrade/src/desk.rs
+++ b/crates/hazelgrade/src/desk.rs
@@ -23,10 +23,10 @@
     pub held_kb: f64,
     /// Its place by earnings among all jobs, from 0 up to less than 1.
     pub rank: f64,
-    /// Known to be a further try or a second copy.
-    pub again: bool,
+    /// Known to be a retry or a hedged request.
+    pub is_retry: bool,
     /// The job that this one repeats.
-    pub repeats: Option<JobId>,
+    pub retry_of: Option<JobId>,
     /// Its caller has had a job run before: what it sends tells of the load.
     pub known: bool,
     /// Its caller asks for more than its ceiling, where it has one: a hint, no verdict.
@@ -37,9 +37,9 @@
 
 /// May a job of a job class run again?
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeats {
-    Reissuable,
-    Numbered,
+pub enum Idempotency {
+    Idempotent,
+    Keyed,
     AtMostOnce,
 }
 
@@ -52,8 +52,8 @@
     pub earnings: f64,
     /// Part of the earnings for an answer after the goal time.
     pub late_part: f64,
-    pub repeats: Repeats,
-    /// How long after reaching the machine a numbered job may come again.
+    pub idempotency: Idempotency,
+    /// How long after reaching the machine a keyed job may come again.
     pub window: Span,
     /// Its jobs may call what lies below.
     pub calls: bool,
@@ -156,7 +156,7 @@
     /// How long they keep a value in mind.
     pub heeded_for: Span,
     pub max_retry_after: Span,
-    pub mark_again: bool,
+    pub mark_retries: bool,
     /// Servers beside this one, itself included, when it started.
     pub fleet: f64,
     /// Part of the earnings for a tenant's jobs beyond its quota.
--- a/crates/hazelgrade/tests/crowd.rs
+++ b/crates/hazelgrade/tests/crowd.rs
@@ -140,8 +140,13 @@
     fn new(seed: u64, (size, callers): (usize, usize), load: f64, seconds: f64) -> Crowd {
         let mut setup = setup();
         let base = setup.job_classes[0].clone();
-        setup.job_classes = [(Repeats::Reissuable, 1.0), (Repeats::AtMostOnce, 3.0)]
-            .map(|(repeats, earnings)| JobClass { repeats, earnings, calls: false, ..base.clone() })
+        setup.job_classes = [(Idempotency::Idempotent, 1.0), (Idempotency::AtMostOnce, 3.0)]
+            .map(|(repeats, earnings)| JobClass {
+                idempotency: repeats,
+                earnings,
+                calls: false,
+                ..base.clone()
+            })
             .to_vec();
         setup.machine.cores = CORES;
         setup.promises.warm_up = ms(WARM_UP);
@@ -231,7 +236,7 @@
         }
     }
 
-    /// A request goes out, or a further try of one.
+    /// A request goes out, or a retry of one.
     fn ask(&mut self, mut asked: Asked) {
         let now = self.now;
         if now < self.callers[asked.caller].back_at {
@@ -272,7 +277,7 @@
         self.numbers += 1;
         let id: JobId = format!("{}", self.numbers).into();
         let mut sent = job(&id, at(now));
-        (sent.job_class, sent.again, asked.reached) = (asked.job_class, asked.tries > 0, now);
+        (sent.job_class, sent.is_retry, asked.reached) = (asked.job_class, asked.tries > 0, now);
         let server = &mut self.servers[number];
         server.arrivals += 1;
         server.unread.push_back((sent, READING + greeting));
--- a/crates/hazelgrade/tests/decisions.rs
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -126,8 +126,8 @@
             work: self.happens(0.4).then(|| ms(80.0)),
             held_kb: self.history.job_kb * (0.5 + self.random.draw()),
             rank: self.random.draw(),
-            again: false,
-            repeats: None,
+            is_retry: false,
+            retry_of: None,
             known: !self.happens(0.05),
             beyond: self.happens(0.05),
             short: self.happens(0.02).then(|| ms(150.0)),
@@ -141,8 +141,8 @@
         Job {
             id: format!("r{}", self.made).into(),
             reached: now,
-            again: self.history.setup.callers.mark_again && self.happens(0.9),
-            repeats: linked.then(|| job.id.clone()),
+            is_retry: self.history.setup.callers.mark_retries && self.happens(0.9),
+            retry_of: linked.then(|| job.id.clone()),
             waits_until: None,
             short: None,
             ..job.clone()
@@ -164,8 +164,8 @@
         if self.happens(0.02) && !jobs.is_empty() {
             // Two of the same in one batch name each other.
             let mut twin = self.retry_of(&jobs[0].clone(), now);
-            twin.repeats = Some(jobs[0].id.clone());
-            jobs[0].repeats = Some(twin.id.clone());
+            twin.retry_of = Some(jobs[0].id.clone());
+            jobs[0].retry_of = Some(twin.id.clone());
             jobs.push(twin);
         }
         jobs
@@ -411,18 +411,18 @@
     format!("{} events {} decisions {} {digest}", history.name, world.events, world.decisions)
 }
 
-fn class(repeats: Repeats, earnings: f64) -> JobClass {
-    JobClass { repeats, earnings, ..setup().job_classes[0].clone() }
+fn class(repeats: Idempotency, earnings: f64) -> JobClass {
+    JobClass { idempotency: repeats, earnings, ..setup().job_classes[0].clone() }
 }
 
 /// One class of each kind: idempotent, keyed, run at most once, one whose call may be left out, one that never calls.
 fn classes() -> Vec<JobClass> {
     vec![
-        JobClass { late_part: 0.3, goal_per_work: 1.0, ..class(Repeats::Reissuable, 1.0) },
-        JobClass { window: ms(4000.0), ..class(Repeats::Numbered, 3.0) },
-        class(Repeats::AtMostOnce, 2.0),
-        JobClass { part_without_call: 0.6, goal: ms(1200.0), ..class(Repeats::Reissuable, 0.5) },
-        JobClass { calls: false, ..class(Repeats::Reissuable, 1.5) },
+        JobClass { late_part: 0.3, goal_per_work: 1.0, ..class(Idempotency::Idempotent, 1.0) },
+        JobClass { window: ms(4000.0), ..class(Idempotency::Keyed, 3.0) },
+        class(Idempotency::AtMostOnce, 2.0),
+        JobClass { part_without_call: 0.6, goal: ms(1200.0), ..class(Idempotency::Idempotent, 0.5) },
+        JobClass { calls: false, ..class(Idempotency::Idempotent, 1.5) },
     ]
 }
 
@@ -484,7 +484,7 @@
     all.push(cold);
 
     let mut unmarked = plain("unmarked-retries", 17);
-    unmarked.setup.callers.mark_again = false;
+    unmarked.setup.callers.mark_retries = false;
     unmarked.setup.callers.max_retry_after = ms(4_000.0);
     unmarked.setup.job_classes = vec![classes()[1].clone(), classes()[2].clone(), classes()[0].clone()];
     unmarked.unread_ms = 900.0;
--- a/crates/hazelgrade/tests/failures.rs
+++ b/crates/hazelgrade/tests/failures.rs
@@ -57,7 +57,7 @@
     at_calls(&mut control, 0.0, 0, 16);
     for number in 0..50 {
         let mut again = job(&format!("r{number}"), at(5.0));
-        again.again = true;
+        again.is_retry = true;
         let acts = round(&mut control, at(5.0), |inflow| inflow.arrived(again));
         assert!(rejected(&acts, &format!("r{number}")), "the queue is as full as before");
     }
@@ -102,15 +102,15 @@
     assert_eq!(made(&acts), vec!["c9".into()]);
 }
 
-/// Found on generated days: a numbered job that was on the machine unread together with one that ran.
+/// Found on generated days: a keyed job that was on the machine unread together with one that ran.
 #[test]
 fn a_blind_repeat_of_a_numbered_job_is_written_off() {
     let mut setup = setup();
-    setup.job_classes[0].repeats = Repeats::Numbered;
+    setup.job_classes[0].idempotency = Idempotency::Keyed;
     let mut control = setup.control();
     assert_eq!(runs(&round(&mut control, at(500.0), |inflow| inflow.arrived(job("first", at(0.0))))), 1);
     let mut again = job("again", at(400.0));
-    again.again = true;
+    again.is_retry = true;
     let acts = round(&mut control, at(600.0), |inflow| inflow.arrived(again));
     assert!(acts.contains(&Act::Fail("again".into())) && runs(&acts) == 0, "{acts:?}");
 }
@@ -354,9 +354,10 @@
 }
 
 /// A server of `cores` cores without calls that has learned that jobs take 350 ms, by `at(2200.0)`.
-fn taught(cores: f64, mark_again: bool) -> Control {
+fn taught(cores: f64, mark_retries: bool) -> Control {
     let mut setup = setup();
-    (setup.machine.cores, setup.job_classes[0].calls, setup.callers.mark_again) = (cores, false, mark_again);
+    (setup.machine.cores, setup.job_classes[0].calls, setup.callers.mark_retries) =
+        (cores, false, mark_retries);
     let mut control = setup.control();
     for step in 0..6 {
         let (id, now) = (format!("t{step}"), 350.0 * f64::from(step));
--- a/crates/hazelgrade/tests/rules.rs
+++ b/crates/hazelgrade/tests/rules.rs
@@ -86,11 +86,11 @@
         let Some(known) = self.jobs.get(id) else { return self.flag(true, "unknown job", id) };
         let case = self.setup.job_classes[known.job.job_class].clone();
         let (stage, request, reached, doubt) = (known.at, known.request, known.job.reached, known.call_doubt);
-        let (ran_ever, repeats) = (known.ran_ever, known.job.repeats.is_some());
-        let ran_before = match case.repeats {
-            Repeats::Numbered => self.ran.get(&request).is_some_and(|ran| reached.since(*ran) < case.window),
-            Repeats::AtMostOnce => ran_ever,
-            Repeats::Reissuable => false,
+        let (ran_ever, repeats) = (known.ran_ever, known.job.retry_of.is_some());
+        let ran_before = match case.idempotency {
+            Idempotency::Keyed => self.ran.get(&request).is_some_and(|ran| reached.since(*ran) < case.window),
+            Idempotency::AtMostOnce => ran_ever,
+            Idempotency::Idempotent => false,
         };
         match act {
             Act::Run(_) => {
@@ -103,13 +103,13 @@
             }
             Act::Reject(..) | Act::Fail(_) => {
                 self.flag(!self.jobs[id].owed, "answered twice", id);
-                let once_ran = ran_before || ran_ever && case.repeats != Repeats::Reissuable;
+                let once_ran = ran_before || ran_ever && case.idempotency != Idempotency::Idempotent;
                 self.flag(matches!(act, Act::Reject(..)) && once_ran, "bounced what ran", id);
                 let last = self.jobs[id].due + self.setup.promises.answer_slack;
                 self.flag(now > last, "answered late", id);
             }
             Act::Call(..) => {
-                self.flag(doubt && case.repeats != Repeats::Reissuable, "called again in doubt", id);
+                self.flag(doubt && case.idempotency != Idempotency::Idempotent, "called again in doubt", id);
                 self.flag(!case.calls || stage != At::Call, "called when not at a call", id);
             }
             Act::Skip(_) => self.flag(case.part_without_call <= 0.0, "bad skip", id),
@@ -134,7 +134,7 @@
             Act::Skip(_) if known.at == At::Call => known.at = At::Cores(now + ms(work)),
             Act::Stop(_) if matches!(known.at, At::Cores(_)) => known.at = At::Cores(now),
             Act::Share(_) => known.at = At::Shared,
-            Act::Remember(_, span) if case.repeats == Repeats::Numbered => {
+            Act::Remember(_, span) if case.idempotency == Idempotency::Keyed => {
                 self.entries.insert(request, (id.clone(), now + *span));
             }
             Act::Forget(_) => {
@@ -202,9 +202,9 @@
     let mut chance = Chance::new(seed);
     let mut setup = setup();
     let base = setup.job_classes[0].clone();
-    setup.job_classes = [Repeats::Reissuable, Repeats::Numbered, Repeats::AtMostOnce]
+    setup.job_classes = [Idempotency::Idempotent, Idempotency::Keyed, Idempotency::AtMostOnce]
         .map(|repeats| JobClass {
-            repeats,
+            idempotency: repeats,
             late_part: if chance.draw() < 0.5 { 0.0 } else { 0.3 },
             part_without_call: if chance.draw() < 0.5 { 0.0 } else { 0.4 },
             calls: chance.draw() < 0.7,
@@ -218,7 +218,7 @@
     setup.below.share = one_of(&mut chance, &[None, Some(0.04), Some(0.4), Some(3.5)]);
     use Signal::*;
     setup.callers.signal = one_of(&mut chance, &[Silent, Level, Credit, Weight]);
-    (setup.machine.cold, setup.callers.mark_again) = (chance.draw() < 0.5, chance.draw() < 0.7);
+    (setup.machine.cold, setup.callers.mark_retries) = (chance.draw() < 0.5, chance.draw() < 0.7);
     let sizes = [(1.0, 1.0), (4.0, 5.0), (3_000.0, 400.0)];
     (setup.callers.count, setup.callers.fleet) = one_of(&mut chance, &sizes);
     World {
@@ -252,7 +252,7 @@
             world.flag(open, "unanswered at the stop", &"-".into());
             break;
         }
-        // New jobs, and further tries of numbered ones, reach the machine; some wait long unread.
+        // New jobs, and retries of numbered ones, reach the machine; some wait long unread.
         while world.chance.draw() < rate && now.since(begun) < ms(17_000.0) {
             count += 1;
             let job_class = (world.chance.draw() * 3.0) as usize;
@@ -275,8 +275,9 @@
             let wait =
                 if world.chance.draw() < 0.1 { world.pick(0.0, 3000.0) } else { world.pick(0.0, 20.0) };
             let mut job = job(&id, now);
-            (job.job_class, job.again) = (job_class, id_before.is_some() && world.setup.callers.mark_again);
-            (job.repeats, job.held_kb) = (linked, world.pick(5.0, 40.0));
+            (job.job_class, job.is_retry) =
+                (job_class, id_before.is_some() && world.setup.callers.mark_retries);
+            (job.retry_of, job.held_kb) = (linked, world.pick(5.0, 40.0));
             let due = now + world.setup.job_classes[job_class].cut_off;
             let known = Known {
                 job,
@@ -370,12 +371,13 @@
     let requests: Vec<usize> = arrived.iter().map(|job| world.jobs[&job.id].request).collect();
     for mine in 0..arrived.len() {
         let other = (0..arrived.len()).find(|other| *other != mine && requests[*other] == requests[mine]);
-        if let Some(other) = other.filter(|_| arrived[mine].repeats.is_none() && arrived[mine].job_class == 1)
+        if let Some(other) =
+            other.filter(|_| arrived[mine].retry_of.is_none() && arrived[mine].job_class == 1)
         {
-            arrived[mine].repeats = Some(arrived[other].id.clone());
-            let (id, named) = (arrived[mine].id.clone(), arrived[mine].repeats.clone());
+            arrived[mine].retry_of = Some(arrived[other].id.clone());
+            let (id, named) = (arrived[mine].id.clone(), arrived[mine].retry_of.clone());
             if let Some(known) = world.jobs.get_mut(&id) {
-                known.job.repeats = named;
+                known.job.retry_of = named;
             }
         }
     }
