--- a/crates/hazelgrade-config/src/document.rs
+++ b/crates/hazelgrade-config/src/document.rs
@@ -99,8 +99,8 @@
                     self.fault(&path, "is missing");
                 }
             }
-            let (goal, cut_off) = (fields.number(&at("goal_ms")), fields.number(&at("cut_off_ms")));
-            if goal.zip(cut_off).is_some_and(|(goal, cut_off)| goal > cut_off) {
+            let (goal, deadline) = (fields.number(&at("goal_ms")), fields.number(&at("cut_off_ms")));
+            if goal.zip(deadline).is_some_and(|(goal, deadline)| goal > deadline) {
                 self.fault(&at("goal_ms"), "expected the goal time to be within the cut-off");
             }
             let numbered = fields.word(&at("repeats")) == Some("numbered");
@@ -402,15 +402,15 @@
                 _ => Idempotency::Idempotent,
             };
             let case = JobClass {
-                goal: span("goal_ms"),
-                goal_per_work: number("goal_per_work", 0.0),
-                cut_off: span("cut_off_ms"),
-                earnings: number("earnings", 1.0),
-                late_part: number("late_part", 0.0),
+                latency_objective: span("goal_ms"),
+                objective_per_work: number("goal_per_work", 0.0),
+                deadline: span("cut_off_ms"),
+                priority_weight: number("earnings", 1.0),
+                late_weight_ratio: number("late_part", 0.0),
                 idempotency: repeats,
                 window: span("window_ms"),
                 calls: fields.truth(&format!("use_case/{name}/calls")).unwrap_or(true),
-                part_without_call: number("part_without_call", 0.0),
+                weight_ratio_without_call: number("part_without_call", 0.0),
             };
             ((*name).to_owned(), case)
         };
--- a/crates/hazelgrade-config/src/operator.rs
+++ b/crates/hazelgrade-config/src/operator.rs
@@ -99,7 +99,7 @@
 }
 
 impl Default for Trial {
-    /// Ten seconds see a few of the longest goal times; a fall by a fifth is past what days differ by from one ten
+    /// Ten seconds see a few of the longest latency objectives; a fall by a fifth is past what days differ by from one ten
     /// seconds to the next; in fifty jobs, ten more failures are past chance.
     fn default() -> Trial {
         Trial { span: Span::from_ms(10_000.0), fall: 0.2, least_jobs: 50.0 }
--- a/crates/hazelgrade-fakes/src/callers.rs
+++ b/crates/hazelgrade-fakes/src/callers.rs
@@ -142,7 +142,7 @@
                     })
                 };
                 send(plan, place, &stream, &open, record, &draining, &mut count);
-                // Answers that are open come by their cut-off, which is some seconds.
+                // Answers that are open come by their deadline, which is some seconds.
                 let by = Instant::now() + Duration::from_secs(10);
                 while !lock(&open).is_empty() && !reading.is_finished() && Instant::now() < by {
                     std::thread::sleep(Duration::from_millis(2));
--- a/crates/hazelgrade-fakes/src/documents.rs
+++ b/crates/hazelgrade-fakes/src/documents.rs
@@ -2,7 +2,7 @@
 
 use hazelgrade_config::Document;
 
-/// A job class by its name, goal time, cut-off in ms, and earnings.
+/// A job class by its name, latency objective, deadline in ms, and priority weight.
 pub type Case<'a> = (&'a str, u32, u32, u32);
 
 pub const READ: Case = ("read", 1000, 3000, 1);
@@ -11,9 +11,9 @@
 /// A document in TOML with these job classes, so many tenants, and further lines at its end.
 pub fn text(cases: &[Case], tenants: usize, rest: &str) -> String {
     let mut text = String::new();
-    for (name, goal, cut_off, earnings) in cases {
+    for (name, goal, deadline, priority_weight) in cases {
         text.push_str(&format!(
-            "[use_case.{name}]\ngoal_ms = {goal}\ncut_off_ms = {cut_off}\nearnings = {earnings}\npart_without_call = 0.5\n\n"
+            "[use_case.{name}]\ngoal_ms = {goal}\ncut_off_ms = {deadline}\nearnings = {priority_weight}\npart_without_call = 0.5\n\n"
         ));
     }
     for tenant in 0..tenants {
--- a/crates/hazelgrade-fakes/src/rules.rs
+++ b/crates/hazelgrade-fakes/src/rules.rs
@@ -12,7 +12,7 @@
     pub fates: BTreeMap<Fate, usize>,
     /// Jobs without an answer.
     pub lost: Vec<String>,
-    /// Jobs answered after their cut-off.
+    /// Jobs answered after their deadline.
     pub late: Vec<String>,
     /// Answers for no open call.
     pub answered_twice: u64,
@@ -27,7 +27,7 @@
     told: &[Told],
     answered_twice: u64,
     runs: &BTreeMap<String, u32>,
-    cut_off: Duration,
+    deadline: Duration,
     grace: Duration,
 ) -> Verdict {
     let mut verdict = Verdict { count: told.len(), answered_twice, ..Verdict::default() };
@@ -35,7 +35,7 @@
         *verdict.fates.entry(told.fate).or_default() += 1;
         if told.fate == Fate::Lost {
             verdict.lost.push(told.id.clone());
-        } else if told.fate != Fate::Crossed && told.after > cut_off + grace {
+        } else if told.fate != Fate::Crossed && told.after > deadline + grace {
             verdict.late.push(told.id.clone());
         }
     }
--- a/crates/hazelgrade-fault-injection/src/account.rs
+++ b/crates/hazelgrade-fault-injection/src/account.rs
@@ -66,7 +66,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Account {
-    pub cut_off: Span,
+    pub deadline: Span,
     pub grace: Span,
     pub spells: Vec<Spell>,
     pub jobs: Vec<Job>,
@@ -163,7 +163,9 @@
                 }
                 // It never reached the node, or the node had left: it is sent again elsewhere.
                 Fate::Crossed => {}
-                _ if job.after > self.cut_off + self.grace && !self.excused(job, &[Stopped, CallersHeld]) => {
+                _ if job.after > self.deadline + self.grace
+                    && !self.excused(job, &[Stopped, CallersHeld]) =>
+                {
                     say("no job late", shown());
                 }
                 _ => {}
--- a/crates/hazelgrade-fault-injection/src/group.rs
+++ b/crates/hazelgrade-fault-injection/src/group.rs
@@ -199,7 +199,7 @@
         }
         let numbers_anew = controls.len() > 1;
         let mut account =
-            Account { numbers_anew, cut_off: ms(CUT_OFF_MS), grace: ms(GRACE_MS), ..Account::default() };
+            Account { numbers_anew, deadline: ms(CUT_OFF_MS), grace: ms(GRACE_MS), ..Account::default() };
         // Until it listens, what callers send is refused.
         (0..nodes).for_each(|node| account.begins(node, Trouble::Gone, now()));
         Ok(Group {
--- a/crates/hazelgrade-fault-injection/tests/pure.rs
+++ b/crates/hazelgrade-fault-injection/tests/pure.rs
@@ -148,7 +148,7 @@
 
 fn account(jobs: Vec<Job>) -> Account {
     Account {
-        cut_off: ms(3000.0),
+        deadline: ms(3000.0),
         grace: ms(100.0),
         jobs,
         runs: vec![BTreeMap::new(); 2],
--- a/crates/hazelgrade-server/src/program/streaming.rs
+++ b/crates/hazelgrade-server/src/program/streaming.rs
@@ -198,7 +198,7 @@
             None => (Vec::new(), Vec::new(), around.promises.clone()),
         };
         cases.iter_mut().for_each(|(_, case)| case.calls &= around.calls_below);
-        let rest = |case: &JobClass| (case.cut_off + case.window) * REST;
+        let rest = |case: &JobClass| (case.deadline + case.window) * REST;
         let longest = cases.iter().map(|(_, case)| rest(case)).max().unwrap_or(Span::ZERO);
         let (job_classes, reset_classes) =
             self.job_classes.borrow().revised(now, &cases, rest, MAX_JOB_CLASSES, |place| {
@@ -230,7 +230,7 @@
         let named = |(place, case): (usize, &JobClass)| Named {
             name: job_classes.places.name(place).map(|(name, _)| name.to_owned()).unwrap_or_default(),
             repeats: case.idempotency,
-            cut_off: case.cut_off,
+            deadline: case.deadline,
             in_use: in_use(place),
         };
         let tenant = |place| tenants.places.name(place).filter(|(_, in_use)| *in_use);
--- a/crates/hazelgrade-server/src/protocol/jsonrpc.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc.rs
@@ -202,7 +202,7 @@
         job_class,
         tenant,
         reached: Time::from_ms(reached),
-        waits_until: None,
+        caller_deadline: None,
         work: None,
         held_kb,
         rank,
--- a/crates/hazelgrade-server/src/routing/front.rs
+++ b/crates/hazelgrade-server/src/routing/front.rs
@@ -135,12 +135,12 @@
         }
         let reached = parts.rounds.clock.past(asked.job.reached);
         let now = parts.rounds.clock.now();
-        let (cut_off, numbered) = {
+        let (deadline, numbered) = {
             let site = parts.site.borrow();
             let case = &site.job_classes[asked.job.job_class];
-            (case.cut_off, case.repeats != Idempotency::Idempotent)
+            (case.deadline, case.repeats != Idempotency::Idempotent)
         };
-        let over = reached + cut_off < now;
+        let over = reached + deadline < now;
         if over && client.is_proved() {
             // It lay unread for so long, as this process stood still: not what its caller did wrong. It never ran.
             parts.tally.borrow_mut().rejected += 1;
@@ -164,7 +164,7 @@
         client.open(call, id.clone());
         asked.job.reached = reached;
         asked.job.known = client.is_proved();
-        asked.job.retry_of = key.and_then(|key| parts.result_cache.arrived(&id, key, reached, cut_off));
+        asked.job.retry_of = key.and_then(|key| parts.result_cache.arrived(&id, key, reached, deadline));
         if let Some(seat) = parts.rounds.seat() {
             let site = parts.site.borrow();
             let tenant = site.tenants.get(asked.job.tenant).and_then(Option::as_deref);
--- a/crates/hazelgrade-server/tests/budgets/main.rs
+++ b/crates/hazelgrade-server/tests/budgets/main.rs
@@ -170,7 +170,7 @@
     let part = account.part_served(0, began, over, ms(GOAL_MS)).unwrap_or(0.0);
     assert!(part >= 0.5, "node 0 served {part}");
     for node in [0, 2] {
-        // What it has no call for is given up by its goal time, also by the one that is cut off from the keeper.
+        // What it has no call for is given up by its latency objective, also by the one that is cut off from the keeper.
         let part = account.part_answered(node, began, over, ms(GOAL_MS + 500.0)).unwrap_or(0.0);
         assert!(part >= 0.98, "node {node} answered {part}");
     }
--- a/crates/hazelgrade-server/tests/group/nodes.rs
+++ b/crates/hazelgrade-server/tests/group/nodes.rs
@@ -5,7 +5,7 @@
 use hazelgrade_fault_injection::plan::{Disk, Link, Ways};
 use std::time::Instant;
 
-/// By how much the part of jobs served in their goal time may differ between the nodes that nothing was done to.
+/// By how much the part of jobs served in their latency objective may differ between the nodes that nothing was done to.
 const WITHIN: f64 = 0.05;
 const GOAL_MS: f64 = 1000.0;
 
--- a/crates/hazelgrade-server/tests/instance/serving.rs
+++ b/crates/hazelgrade-server/tests/instance/serving.rs
@@ -446,7 +446,7 @@
     drop(early);
 }
 
-/// Found by groups of processes under faults: jobs that had lain unread past their cut-off while the process stood still were
+/// Found by groups of processes under faults: jobs that had lain unread past their deadline while the process stood still were
 /// taken for wrong messages, and after five of them the connection was closed with all others on it.
 #[test]
 fn jobs_that_lay_unread_while_the_process_stood_still_are_not_held_against_their_caller() {
--- a/crates/hazelgrade-server/tests/streaming/node.rs
+++ b/crates/hazelgrade-server/tests/streaming/node.rs
@@ -258,8 +258,8 @@
     let hearing = std::cell::Cell::new((0, 0));
     for number in 2..62 {
         // Each differs in a figure that bears on decisions.
-        let (goal, earnings) = (900 + 10 * (number as u32 % 7), 1 + number as u32 % 3);
-        let cases = [("read", goal, 3000, earnings), BOOK, ("extra", goal, 3000, 1)];
+        let (goal, priority_weight) = (900 + 10 * (number as u32 % 7), 1 + number as u32 % 3);
+        let cases = [("read", goal, 3000, priority_weight), BOOK, ("extra", goal, 3000, 1)];
         let next = doc(
             &cases[..2 + number as usize % 2],
             &format!("[promises]\nanswer_slack_ms = {}\n", 60 + number % 5),
--- a/crates/hazelgrade-settings/src/lib.rs
+++ b/crates/hazelgrade-settings/src/lib.rs
@@ -45,7 +45,7 @@
 pub struct Named {
     pub name: String,
     pub repeats: Idempotency,
-    pub cut_off: Span,
+    pub deadline: Span,
     /// Jobs may ask for it; one that is gone keeps its place for those in hand.
     pub in_use: bool,
 }
@@ -129,13 +129,13 @@
     for (place, class) in list(settings, "classes")?.iter().enumerate() {
         let part = Part { value: Some(class), path: "classes" };
         let at = |list: Option<&Vec<Value>>| list.and_then(|list| list.get(place)).cloned();
-        let cut_off = part.number("giveUp", 0.0)?;
+        let deadline = part.number("giveUp", 0.0)?;
         job_classes.push(JobClass {
-            goal: part.span("aim", cut_off)?,
-            goal_per_work: part.number("aimStretch", 0.0)?,
-            cut_off: Span::from_ms(cut_off),
-            earnings: part.number("gain", 1.0)?,
-            late_part: part.number("lateWorth", 0.0)?,
+            latency_objective: part.span("aim", deadline)?,
+            objective_per_work: part.number("aimStretch", 0.0)?,
+            deadline: Span::from_ms(deadline),
+            priority_weight: part.number("gain", 1.0)?,
+            late_weight_ratio: part.number("lateWorth", 0.0)?,
             idempotency: match part.word("idempotency", "safe")? {
                 "safe" => Idempotency::Idempotent,
                 "keyed" => Idempotency::Keyed,
@@ -144,12 +144,12 @@
             },
             window: part.span("window", 0.0)?,
             calls: calls_below && at(calls).and_then(|value| value.as_bool()).unwrap_or(true),
-            part_without_call: at(skips).and_then(|value| value.as_f64()).unwrap_or(0.0),
+            weight_ratio_without_call: at(skips).and_then(|value| value.as_f64()).unwrap_or(0.0),
         });
         named.push(Named {
             name: part.word("name", "")?.into(),
             repeats: job_classes[place].idempotency,
-            cut_off: Span::from_ms(cut_off),
+            deadline: Span::from_ms(deadline),
             in_use: true,
         });
     }
@@ -202,7 +202,7 @@
         max_retry_after: if advice { ceilings.span("maxRetryAfter", 0.0)? } else { Span::ZERO },
         mark_retries: Part::of(settings, "clients").truth("marksRetry")?,
         fleet: Part { value: Some(settings), path: "" }.number("fleetSize", 1.0)?,
-        over_quota_part: Part { value: Some(settings), path: "" }.number("overShareWorth", 1.0)?,
+        over_quota_weight_ratio: Part { value: Some(settings), path: "" }.number("overShareWorth", 1.0)?,
     };
     let gauges = list(specifics.value.unwrap_or(&Value::Null), "ownStats")?;
     let site = Site {
--- a/crates/hazelgrade-simulator-adapter/src/wire.rs
+++ b/crates/hazelgrade-simulator-adapter/src/wire.rs
@@ -172,7 +172,7 @@
         "-" | "0" | "" => None,
         prior => Some(prior.into()),
     };
-    let waits_until = (expires != 0.0).then(|| Time::from_ms(expires));
+    let caller_deadline = (expires != 0.0).then(|| Time::from_ms(expires));
     let again = bits & 2 != 0;
     let work = (bits & 1 != 0).then(|| Span::from_ms(cost));
     Ok(Job {
@@ -180,7 +180,7 @@
         job_class,
         tenant,
         reached: now - lay,
-        waits_until,
+        caller_deadline,
         work,
         held_kb,
         rank,
--- a/crates/hazelgrade/src/control.rs
+++ b/crates/hazelgrade/src/control.rs
@@ -6,11 +6,11 @@
 //! The design (`docs/design.md`) is `CallGate`: permits, a bounded queue, a learned depth, a wait budget,
 //! rejects at arrival. Beside it stand six mechanisms:
 //! 1. `RunTrial`: how many jobs run at once is tried out; fewer while jobs lie unread.
-//! 2. The hold goes by earnings for time on the cores; what can't be in time any more is answered at once.
+//! 2. The hold goes by priority weight for time on the cores; what can't be in time any more is answered at once.
 //! 3. `part_in_quota`: a tenant's jobs beyond its quota count for less in that order.
 //! 4. `speak`: surplus is kept away by the value said, the list, retry-after and "not elsewhere".
 //! 5. A job whose call can't be made goes on without it, where that still earns something.
-//! 6. The rules' guards: cut-off, drain, memory, crowd, and entries for keyed jobs.
+//! 6. The rules' guards: deadline, drain, memory, crowd, and entries for keyed jobs.
 
 use crate::chance::Chance;
 use crate::decay::{DecaySum, Mean, Pace};
@@ -31,13 +31,13 @@
 const CALL_PATIENCE: f64 = 16.0;
 /// Part of the mean latency that must be left for a call to be tried that may be left out: less is in vain.
 const LEAST_TRY: f64 = 0.5;
-/// What is learned fades over this many of the shortest goal times: some dozens of jobs, some seconds.
-const MEMORY_IN_GOALS: f64 = 2.0;
-/// Part of the shortest goal time that jobs may wait on average before surplus is kept away.
+/// What is learned fades over this many of the shortest latency objectives: some dozens of jobs, some seconds.
+const MEMORY_IN_OBJECTIVES: f64 = 2.0;
+/// Part of the shortest latency objective that jobs may wait on average before surplus is kept away.
 const WAIT_PART: f64 = 0.15;
-/// Part of the mean goal time that jobs may wait unread before fewer run.
+/// Part of the mean latency objective that jobs may wait unread before fewer run.
 const UNREAD_PART: f64 = 0.07;
-/// Part of its goal time that a job may wait in the hold: one that would wait longer is better off elsewhere.
+/// Part of its latency objective that a job may wait in the hold: one that would wait longer is better off elsewhere.
 const HOLD_PART: f64 = 0.3;
 /// Where a caller comes less than this often while it keeps a value in mind, the value steers little.
 const SELDOM_HEARD: f64 = 0.25;
@@ -210,9 +210,9 @@
     }
 }
 
-/// The shortest goal time, and the mean.
+/// The shortest latency objective, and the mean.
 fn goals<'a>(job_classes: impl Iterator<Item = &'a JobClass>) -> (Span, Span) {
-    let goals: Vec<Span> = job_classes.map(|case| case.goal).collect();
+    let goals: Vec<Span> = job_classes.map(|case| case.latency_objective).collect();
     let sum = goals.iter().fold(Span::ZERO, |sum, goal| sum + *goal);
     (goals.iter().min().copied().unwrap_or(Span::from_ms(1000.0)), sum * (1.0 / goals.len().max(1) as f64))
 }
@@ -288,7 +288,7 @@
     unread: Pace,
     tries: DecaySum,
     tries_again: DecaySum,
-    shortest_goal: Span,
+    shortest_objective: Span,
     unread_most: Span,        // before fewer run
     late_since: Option<Time>, // since when all that is read has waited long
     fade: Span,
@@ -314,7 +314,7 @@
         if job.known {
             let waited = now.since(job.reached);
             control.unread.learn(now, waited);
-            let late = waited > control.shortest_goal * HOLD_PART;
+            let late = waited > control.shortest_objective * HOLD_PART;
             control.late_since = control.late_since.or(Some(now)).filter(|_| late);
         }
         control.tries.add(now, counts);
@@ -324,9 +324,9 @@
             rate.add(now, counts);
         }
         let quota = control.quotas.get(job.tenant).map_or(f64::INFINITY, |(_, quota)| *quota);
-        let due = job.waits_until.unwrap_or(job.reached + case.cut_off);
-        let stretched = job.work.map_or(Span::ZERO, |work| work * case.goal_per_work);
-        let goal = (job.reached + case.goal + stretched).min(due);
+        let due = job.caller_deadline.unwrap_or(job.reached + case.deadline);
+        let stretched = job.work.map_or(Span::ZERO, |work| work * case.objective_per_work);
+        let goal = (job.reached + case.latency_objective + stretched).min(due);
         let last = due - control.promises.answer_slack.min(due.since(job.reached) * 0.1);
         control.numbers += 1;
         control.fresh.push(job.id.clone());
@@ -436,14 +436,14 @@
         callers: Callers,
         chance: Chance,
     ) -> Control {
-        let (shortest_goal, mean_goal) = goals(job_classes.iter());
-        let fade = shortest_goal * MEMORY_IN_GOALS;
+        let (shortest_objective, mean_objective) = goals(job_classes.iter());
+        let fade = shortest_objective * MEMORY_IN_OBJECTIVES;
         let paces = || job_classes.iter().map(|_| Pace::new(fade)).collect::<Vec<_>>();
         Control {
             on_cores: paces(),
             whole: paces(),
             any: Pace::new(fade),
-            unread: Pace::new(shortest_goal * WAIT_PART),
+            unread: Pace::new(shortest_objective * WAIT_PART),
             tries: DecaySum::new(fade),
             tries_again: DecaySum::new(fade),
             jobs: BTreeMap::new(),
@@ -465,9 +465,9 @@
             quotas: tenants.iter().map(|tenant| (DecaySum::new(fade), tenant.quota)).collect(),
             openness: Openness { open: 1.0, told: None, next: None },
             chance,
-            unread_most: mean_goal * UNREAD_PART,
+            unread_most: mean_objective * UNREAD_PART,
             late_since: None,
-            shortest_goal,
+            shortest_objective,
             fade,
             started: None,
             told_good: None,
@@ -493,9 +493,9 @@
         }
         let served =
             job_classes.iter().enumerate().filter(|(_, case)| case.in_use).map(|(_, case)| &case.figures);
-        let (shortest_goal, mean_goal) = goals(served);
-        (self.shortest_goal, self.unread_most) = (shortest_goal, mean_goal * UNREAD_PART);
-        self.fade = shortest_goal * MEMORY_IN_GOALS;
+        let (shortest_objective, mean_objective) = goals(served);
+        (self.shortest_objective, self.unread_most) = (shortest_objective, mean_objective * UNREAD_PART);
+        self.fade = shortest_objective * MEMORY_IN_OBJECTIVES;
         self.on_cores.resize_with(job_classes.len(), || Pace::new(self.fade));
         self.whole.resize_with(job_classes.len(), || Pace::new(self.fade));
         self.quotas.resize_with(tenants.len(), || (DecaySum::new(self.fade), 0.0));
@@ -510,7 +510,7 @@
         let paces = self.on_cores.iter_mut().chain(&mut self.whole);
         paces.chain([&mut self.any, &mut self.gate.latency]).for_each(|pace| pace.refade(now, self.fade));
         self.gate.short.refade(now, self.fade);
-        self.unread.refade(now, shortest_goal * WAIT_PART);
+        self.unread.refade(now, shortest_objective * WAIT_PART);
         self.cores_used.refade(now, self.fade);
         self.quotas.iter_mut().for_each(|(rate, _)| rate.refade(now, self.fade));
         [&mut self.tries, &mut self.tries_again].into_iter().for_each(|sum| sum.refade(now, self.fade));
@@ -541,7 +541,8 @@
                 _ => {}
             }
         }
-        let queued = self.pick(|held| held.stage == Stage::Queued && held.case.part_without_call > 0.0);
+        let queued =
+            self.pick(|held| held.stage == Stage::Queued && held.case.weight_ratio_without_call > 0.0);
         // With none in hand the newest is tried all the same: after one slow call none would be ever again.
         let judged = queued.len().saturating_sub(usize::from(self.gate.in_hand == 0));
         for id in &queued[..judged] {
@@ -561,7 +562,7 @@
 
     /// No entry links it, but it may repeat a keyed job that ran.
     fn blind(&self, held: &InHand) -> bool {
-        let (marked, apart) = (self.callers.mark_retries, held.case.cut_off * 0.05);
+        let (marked, apart) = (self.callers.mark_retries, held.case.deadline * 0.05);
         self.entries.values().any(|entry| entry.may_be(&held.job, held.since, marked, apart))
     }
 
@@ -582,7 +583,7 @@
     /// When an answer stops being worth anything.
     fn useless_from(&self, held: &InHand) -> Time {
         let last = self.last_moment(held);
-        if held.case.late_part > 0.0 { last } else { last.min(held.goal) }
+        if held.case.late_weight_ratio > 0.0 { last } else { last.min(held.goal) }
     }
 
     /// Exception: while calls are slow, one that may be left out is waited for only as long as leaves time to
@@ -592,13 +593,13 @@
         let (until, job_class, held_case) = (self.useless_from(held), held.job.job_class, held.case.clone());
         let slow = self.gate.best.zip(self.gate.latency.mean(now));
         let slow = slow.map_or(0.0, |(best, mean)| (mean.as_ms() / best.max(0.001) - 1.0).clamp(0.0, 1.0));
-        let slow = if held_case.part_without_call > 0.0 { slow } else { 0.0 };
+        let slow = if held_case.weight_ratio_without_call > 0.0 { slow } else { 0.0 };
         until - self.core_time(now, job_class) * slow
     }
 
     /// The wait that the call queue's budget and depth go by: no longer than an answer is worth anything.
     fn call_wait(&self, now: Time, held: &InHand) -> Span {
-        let waits = held.job.waits_until.map_or(held.case.cut_off, |until| until.since(now));
+        let waits = held.job.caller_deadline.map_or(held.case.deadline, |until| until.since(now));
         waits.min(self.useless_from(held).since(now))
     }
 
@@ -663,7 +664,7 @@
             if span > Span::ZERO {
                 out.remember(id, span);
             }
-            let named_until = until.max(now) + case.cut_off;
+            let named_until = until.max(now) + case.deadline;
             let (job_class, reached, again) = (job.job_class, job.reached, job.is_retry);
             let entry = Entry { until, named_until, job_class, reached, kept: now, again, ran: false };
             self.entries.insert(id.clone(), entry);
@@ -709,7 +710,7 @@
         self.gate.queue.retain(|queued| queued != id);
         let room = self.crowd(Stage::Calling) < self.crowd_cap(now);
         let Some(held) = self.jobs.get(id) else { return };
-        if held.case.part_without_call > 0.0 && room {
+        if held.case.weight_ratio_without_call > 0.0 && room {
             self.enter(now, id, Stage::OnCores);
             out.skip_call(id);
         } else {
@@ -742,7 +743,10 @@
             let within = self.gate.allowed.map_or(within, |allowed| within.min(longest(allowed)));
             self.enter(now, &id, Stage::Calling);
             self.gate.in_hand += 1;
-            out.call(&id, within.min(patience.max(self.shortest_goal * WAIT_PART)).max(self.machine.tick));
+            out.call(
+                &id,
+                within.min(patience.max(self.shortest_objective * WAIT_PART)).max(self.machine.tick),
+            );
         }
     }
 
@@ -796,9 +800,9 @@
         let mut hold = Vec::new();
         for id in self.pick(|held| held.stage == Stage::Held) {
             let held = &self.jobs[&id];
-            let late = if held.goal <= now { held.case.late_part } else { 1.0 };
-            let earns = held.case.earnings * late;
-            let (job_class, beyond) = (held.job.job_class, self.callers.over_quota_part);
+            let late = if held.goal <= now { held.case.late_weight_ratio } else { 1.0 };
+            let earns = held.case.priority_weight * late;
+            let (job_class, beyond) = (held.job.job_class, self.callers.over_quota_weight_ratio);
             let scale = self.callers.fleet * 1000.0 / self.fade.as_ms();
             let (rate, quota) = (self.quotas.get_mut(held.job.tenant), held.quota);
             let part = rate.map_or(1.0, |(sum, _)| part_in_quota(sum.read(now) * scale, quota, beyond));
@@ -845,7 +849,7 @@
             let core_time = self.core_time(now, job_class) * stretch;
             let starts_in = ahead * (1.0 / limit);
             let done = now + starts_in + self.whole[job_class].usual(now).max(core_time);
-            let patience = case.goal * HOLD_PART;
+            let patience = case.latency_objective * HOLD_PART;
             if done > self.useless_from(&self.jobs[&id]) || starts_in > patience {
                 let retry_after = self.hold_clears_in(now);
                 self.give_up(now, &id, true, Some(retry_after), out);
@@ -876,7 +880,7 @@
 
     /// Steers what is said to callers by how long a job waits here, unread and held, before it runs. A caller
     /// that comes less often than it forgets hears nothing of that. Where most do, a server that lags goes
-    /// off the list for a goal time, a third of the time at most, which all callers hear (it gets no jobs
+    /// off the list for a latency objective, a third of the time at most, which all callers hear (it gets no jobs
     /// then and wakes by itself). Guards against all that makes it lag; could hurt where all servers do.
     fn speak(&mut self, now: Time, out: Out) {
         if self.openness.next.is_some_and(|next| now < next) {
@@ -886,20 +890,20 @@
         let unread = self.unread.usual(now);
         let lived = self.started.map_or(self.fade, |start| now.since(start).min(self.fade));
         let heard = self.tries.read(now) * (self.callers.heeded_for / lived) / self.callers.count;
-        let back = self.away.is_none_or(|until| now.since(until) > self.shortest_goal * 2.0);
+        let back = self.away.is_none_or(|until| now.since(until) > self.shortest_objective * 2.0);
         // What stood still reads all that waited in one go and is as quick as ever then: no lag, as it may
         // have happened to many at once, and callers that all go elsewhere at once find nobody.
-        let lasts = self.shortest_goal * WAIT_PART;
+        let lasts = self.shortest_objective * WAIT_PART;
         let late = self.late_since.is_some_and(|since| now.since(since) >= lasts);
-        let lags = back && late && unread > self.shortest_goal * HOLD_PART;
+        let lags = back && late && unread > self.shortest_objective * HOLD_PART;
         if heard < SELDOM_HEARD && lags && !self.crowded(now, 0.15) {
-            self.away = Some(now + self.shortest_goal * (0.75 + 0.5 * self.chance.draw()));
+            self.away = Some(now + self.shortest_objective * (0.75 + 0.5 * self.chance.draw()));
         }
         let good = self.leaving.is_none() && self.away.is_none_or(|until| until <= now);
         if self.told_good.replace(good) != Some(good) {
             out.health(good, true);
         }
-        let wait = (self.hold_clears_in(now) + unread) / (self.shortest_goal * WAIT_PART);
+        let wait = (self.hold_clears_in(now) + unread) / (self.shortest_objective * WAIT_PART);
         let wait = if self.leaving.is_some() { f64::INFINITY } else { wait };
         let outstanding = 4.0 * self.trial.limit / self.callers.count;
         let value = self.openness.steer(wait, self.callers.signal, outstanding);
--- a/crates/hazelgrade/src/desk.rs
+++ b/crates/hazelgrade/src/desk.rs
@@ -16,12 +16,12 @@
     /// When it reached the machine, which may be long before it was read.
     pub reached: Time,
     /// When its caller stops waiting, where callers tell.
-    pub waits_until: Option<Time>,
+    pub caller_deadline: Option<Time>,
     /// Time on a standard core that it is expected to take, where that is told.
     pub work: Option<Span>,
     /// Memory it takes while held, in kilobytes.
     pub held_kb: f64,
-    /// Its place by earnings among all jobs, from 0 up to less than 1.
+    /// Its place by priority weight among all jobs, from 0 up to less than 1.
     pub rank: f64,
     /// Known to be a retry or a hedged request.
     pub is_retry: bool,
@@ -45,20 +45,20 @@
 
 #[derive(Clone, Debug)]
 pub struct JobClass {
-    pub goal: Span,
-    /// The goal time grows by this part of the job's work.
-    pub goal_per_work: f64,
-    pub cut_off: Span,
-    pub earnings: f64,
-    /// Part of the earnings for an answer after the goal time.
-    pub late_part: f64,
+    pub latency_objective: Span,
+    /// The latency objective grows by this part of the job's work.
+    pub objective_per_work: f64,
+    pub deadline: Span,
+    pub priority_weight: f64,
+    /// Part of the priority weight for an answer after the latency objective.
+    pub late_weight_ratio: f64,
     pub idempotency: Idempotency,
     /// How long after reaching the machine a keyed job may come again.
     pub window: Span,
     /// Its jobs may call what lies below.
     pub calls: bool,
-    /// Part of the earnings when a call was left out; 0 where it must not be.
-    pub part_without_call: f64,
+    /// Part of the priority weight when a call was left out; 0 where it must not be.
+    pub weight_ratio_without_call: f64,
 }
 
 #[derive(Clone, Debug)]
@@ -159,8 +159,8 @@
     pub mark_retries: bool,
     /// Servers beside this one, itself included, when it started.
     pub fleet: f64,
-    /// Part of the earnings for a tenant's jobs beyond its quota.
-    pub over_quota_part: f64,
+    /// Part of the priority weight for a tenant's jobs beyond its quota.
+    pub over_quota_weight_ratio: f64,
 }
 
 /// A job class at its place; one that is no longer in use keeps its place while jobs in hand may name it.
--- a/crates/hazelgrade/tests/common/mod.rs
+++ b/crates/hazelgrade/tests/common/mod.rs
@@ -76,31 +76,39 @@
 }
 
 pub fn setup() -> Setup {
-    let (goal, goal_per_work, cut_off, window) = (ms(2000.0), 0.0, ms(6000.0), ms(3000.0));
-    let (earnings, late_part, part_without_call) = (1.0, 0.0, 0.0);
+    let (goal, objective_per_work, deadline, window) = (ms(2000.0), 0.0, ms(6000.0), ms(3000.0));
+    let (priority_weight, late_weight_ratio, weight_ratio_without_call) = (1.0, 0.0, 0.0);
     let (repeats, calls) = (Idempotency::Idempotent, true);
     let (cores, memory_kb, running_factor, entry_kb) = (4.0, 20_000.0, 8.0, 10.0);
     let (cold, stopping, tick) = (false, Stopping::Drops, ms(10.0));
     let (answer_slack, cold_from, warm_up) = (ms(60.0), 0.2, ms(8000.0));
     let (drain_grace, crowd_per_core) = (ms(1000.0), 4.0);
     let (count, signal, heeded_for, max_retry_after) = (4.0, Signal::Weight, ms(1000.0), ms(1000.0));
-    let (mark_retries, fleet, over_quota_part) = (true, 5.0, 0.1);
+    let (mark_retries, fleet, over_quota_weight_ratio) = (true, 5.0, 0.1);
     Setup {
         job_classes: vec![JobClass {
-            goal,
-            goal_per_work,
-            cut_off,
-            earnings,
-            late_part,
+            latency_objective: goal,
+            objective_per_work,
+            deadline,
+            priority_weight,
+            late_weight_ratio,
             idempotency: repeats,
             window,
             calls,
-            part_without_call,
+            weight_ratio_without_call,
         }],
         machine: Machine { cores, memory_kb, running_factor, entry_kb, cold, stopping, tick },
         promises: Promises { answer_slack, cold_from, warm_up, drain_grace, crowd_per_core },
         below: Below { share: None, share_over: ms(5000.0), linger: ms(200.0) },
-        callers: Callers { count, signal, heeded_for, max_retry_after, mark_retries, fleet, over_quota_part },
+        callers: Callers {
+            count,
+            signal,
+            heeded_for,
+            max_retry_after,
+            mark_retries,
+            fleet,
+            over_quota_weight_ratio,
+        },
     }
 }
 
@@ -119,7 +127,7 @@
         job_class: 0,
         tenant: 0,
         reached,
-        waits_until: None,
+        caller_deadline: None,
         work: None,
         held_kb: 20.0,
         rank: 0.5,
--- a/crates/hazelgrade/tests/crowd.rs
+++ b/crates/hazelgrade/tests/crowd.rs
@@ -82,7 +82,7 @@
 
 #[derive(Default)]
 struct Seen {
-    /// By second in which they were made: requests, and those served within the goal time.
+    /// By second in which they were made: requests, and those served within the latency objective.
     made: Vec<u32>,
     served: Vec<u32>,
     rejections: Vec<u32>,
@@ -141,9 +141,9 @@
         let mut setup = setup();
         let base = setup.job_classes[0].clone();
         setup.job_classes = [(Idempotency::Idempotent, 1.0), (Idempotency::AtMostOnce, 3.0)]
-            .map(|(repeats, earnings)| JobClass {
+            .map(|(repeats, priority_weight)| JobClass {
                 idempotency: repeats,
-                earnings,
+                priority_weight,
                 calls: false,
                 ..base.clone()
             })
@@ -475,7 +475,7 @@
 }
 
 impl Seen {
-    /// The part of the requests made in these seconds that were served within their goal time.
+    /// The part of the requests made in these seconds that were served within their latency objective.
     fn part(&self, from: usize, to: usize) -> f64 {
         let sum = |of: &[u32]| f64::from(of[from..to.min(of.len())].iter().sum::<u32>());
         sum(&self.served) / sum(&self.made).max(1.0)
--- a/crates/hazelgrade/tests/decisions.rs
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -122,7 +122,7 @@
             job_class: (self.random.draw() * classes) as usize,
             tenant: (skew * skew * tenants) as usize,
             reached,
-            waits_until: self.happens(0.3).then(|| reached + ms(self.history.lasts_ms.min(2500.0))),
+            caller_deadline: self.happens(0.3).then(|| reached + ms(self.history.lasts_ms.min(2500.0))),
             work: self.happens(0.4).then(|| ms(80.0)),
             held_kb: self.history.job_kb * (0.5 + self.random.draw()),
             rank: self.random.draw(),
@@ -143,7 +143,7 @@
             reached: now,
             is_retry: self.history.setup.callers.mark_retries && self.happens(0.9),
             retry_of: linked.then(|| job.id.clone()),
-            waits_until: None,
+            caller_deadline: None,
             short: None,
             ..job.clone()
         }
@@ -367,7 +367,11 @@
     let classes = history.setup.job_classes.iter().cycle().take(history.setup.job_classes.len() + number + 1);
     let faster = 1.0 - 0.2 * number as f64;
     let placed = classes.enumerate().map(|(index, class)| Placed {
-        figures: JobClass { goal: class.goal * faster, earnings: class.earnings + 0.5, ..class.clone() },
+        figures: JobClass {
+            latency_objective: class.latency_objective * faster,
+            priority_weight: class.priority_weight + 0.5,
+            ..class.clone()
+        },
         in_use: index != number,
     });
     let mut tenants = history.tenants.clone();
@@ -411,17 +415,21 @@
     format!("{} events {} decisions {} {digest}", history.name, world.events, world.decisions)
 }
 
-fn class(repeats: Idempotency, earnings: f64) -> JobClass {
-    JobClass { idempotency: repeats, earnings, ..setup().job_classes[0].clone() }
+fn class(repeats: Idempotency, priority_weight: f64) -> JobClass {
+    JobClass { idempotency: repeats, priority_weight, ..setup().job_classes[0].clone() }
 }
 
 /// One class of each kind: idempotent, keyed, run at most once, one whose call may be left out, one that never calls.
 fn classes() -> Vec<JobClass> {
     vec![
-        JobClass { late_part: 0.3, goal_per_work: 1.0, ..class(Idempotency::Idempotent, 1.0) },
+        JobClass { late_weight_ratio: 0.3, objective_per_work: 1.0, ..class(Idempotency::Idempotent, 1.0) },
         JobClass { window: ms(4000.0), ..class(Idempotency::Keyed, 3.0) },
         class(Idempotency::AtMostOnce, 2.0),
-        JobClass { part_without_call: 0.6, goal: ms(1200.0), ..class(Idempotency::Idempotent, 0.5) },
+        JobClass {
+            weight_ratio_without_call: 0.6,
+            latency_objective: ms(1200.0),
+            ..class(Idempotency::Idempotent, 0.5)
+        },
         JobClass { calls: false, ..class(Idempotency::Idempotent, 1.5) },
     ]
 }
--- a/crates/hazelgrade/tests/failures.rs
+++ b/crates/hazelgrade/tests/failures.rs
@@ -168,7 +168,7 @@
 #[test]
 fn a_job_whose_call_is_slow_keeps_one_mean_core_time_to_finish() {
     let mut setup = setup();
-    setup.job_classes[0].part_without_call = 0.5;
+    setup.job_classes[0].weight_ratio_without_call = 0.5;
     let mut control = setup.control();
     for step in 0..40 {
         let (id, start) = (format!("t{step}"), 400.0 * f64::from(step));
@@ -185,7 +185,7 @@
     let acts = at_calls(&mut control, 20_000.0, 500, 1);
     let within =
         acts.iter().find_map(|act| if let Act::Call(_, within) = act { Some(*within) } else { None });
-    // The goal time is 2000 ms, the core time 200 ms.
+    // The latency objective is 2000 ms, the core time 200 ms.
     assert!(within.is_some_and(|within| within > ms(1780.0) && within < ms(1820.0)), "{within:?}");
 }
 
@@ -193,7 +193,7 @@
 #[test]
 fn a_call_that_may_be_left_out_is_not_tried_when_it_would_be_in_vain() {
     let mut setup = setup();
-    setup.job_classes[0].part_without_call = 0.5;
+    setup.job_classes[0].weight_ratio_without_call = 0.5;
     let mut control = setup.control();
     at_calls(&mut control, 0.0, 0, 4);
     (0..4).for_each(|number| drop(call_done(&mut control, &format!("c{number}"), 400.0)));
@@ -206,12 +206,12 @@
     assert!(acts.contains(&Act::Skip("none".into())) && made(&acts).is_empty(), "{acts:?}");
 }
 
-/// Found by a group of processes: one that had stood still for two goal times with calls in hand learned that calls take so long, and
+/// Found by a group of processes: one that had stood still for two latency objectives with calls in hand learned that calls take so long, and
 /// made none ever again, as each would have been in vain by what was learned.
 #[test]
 fn after_calls_that_took_longer_than_goals_one_at_a_time_is_tried() {
     let mut setup = setup();
-    setup.job_classes[0].part_without_call = 0.5;
+    setup.job_classes[0].weight_ratio_without_call = 0.5;
     let mut control = setup.control();
     at_calls(&mut control, 0.0, 0, 1);
     call_done(&mut control, "c0", 5000.0);
@@ -225,7 +225,7 @@
     assert_eq!(made(&at_calls(&mut control, 60_100.0, 4, 3)).len(), 3);
 }
 
-/// Found by a group of processes past what calls carry: the queue went by the cut-off, three goal times, so that each job came to its call
+/// Found by a group of processes past what calls carry: the queue went by the deadline, three latency objectives, so that each job came to its call
 /// with less time left than calls take, and nearly all calls were given up.
 #[test]
 fn the_call_queue_is_no_deeper_than_what_goes_through_within_the_goal_time() {
@@ -234,12 +234,12 @@
     let mut control = setup.control();
     at_calls(&mut control, 0.0, 0, 1);
     call_done(&mut control, "c0", 100.0);
-    // Eight permits and 100 ms a call: 80 in a second, for the 1900 ms that the goal time leaves.
+    // Eight permits and 100 ms a call: 80 in a second, for the 1900 ms that the latency objective leaves.
     let acts = at_calls(&mut control, 200.0, 1, 300);
     assert_eq!((made(&acts).len(), runs(&acts)), (8, 8 + 152));
 }
 
-/// Found on sockets: calls that were never answered held their permits until the cut-off, and after 25 of them calls
+/// Found on sockets: calls that were never answered held their permits until the deadline, and after 25 of them calls
 /// queued by the hundred while what lies below was idle.
 #[test]
 fn a_call_takes_no_longer_than_some_times_the_mean() {
@@ -249,7 +249,7 @@
     assert!(within(&at_calls(&mut control, 0.0, 0, 1)).is_some_and(|within| within > ms(1900.0)));
     call_done(&mut control, "c0", 50.0);
     assert_eq!(within(&at_calls(&mut control, 100.0, 1, 1)), Some(ms(800.0)));
-    // However fast calls are, they get a part of the goal time.
+    // However fast calls are, they get a part of the latency objective.
     call_done(&mut control, "c1", 101.0);
     (2..40).for_each(|number| {
         at_calls(&mut control, 200.0, number, 1);
--- a/crates/hazelgrade/tests/revisions.rs
+++ b/crates/hazelgrade/tests/revisions.rs
@@ -31,10 +31,10 @@
     });
     let held = 12 - first.iter().filter(|act| matches!(act, Act::Run(_))).count();
     assert!(held > 0);
-    let hasty = JobClass { goal: ms(50.0), cut_off: ms(100.0), ..setup.job_classes[0].clone() };
+    let hasty = JobClass { latency_objective: ms(50.0), deadline: ms(100.0), ..setup.job_classes[0].clone() };
     assert!(control.revise(at(10.0), revision(&setup, &[(hasty, true)], vec![])));
     round(&mut control, at(20.0), |inflow| inflow.arrived(job("b", at(20.0))));
-    // Long past the new cut-off, well within the old goal time.
+    // Long past the new deadline, well within the old latency objective.
     let later = round(&mut control, at(300.0), |inflow| inflow.woke(0, None));
     let given_up = later.iter().filter_map(|act| match act {
         Act::Reject(id, ..) | Act::Fail(id) => Some(&**id),
@@ -51,7 +51,7 @@
     let setup = setup();
     let mut control = setup.control();
     round(&mut control, at(0.0), |inflow| inflow.arrived(job("a", at(0.0))));
-    let other = JobClass { earnings: 2.0, ..setup.job_classes[0].clone() };
+    let other = JobClass { priority_weight: 2.0, ..setup.job_classes[0].clone() };
     let gone = [(setup.job_classes[0].clone(), false), (other, true)];
     assert!(control.revise(at(10.0), revision(&setup, &gone, vec![])));
     assert!(!control.revise(at(11.0), revision(&setup, &gone[..1], vec![])), "a job in hand may name it");
--- a/crates/hazelgrade/tests/rules.rs
+++ b/crates/hazelgrade/tests/rules.rs
@@ -112,7 +112,7 @@
                 self.flag(doubt && case.idempotency != Idempotency::Idempotent, "called again in doubt", id);
                 self.flag(!case.calls || stage != At::Call, "called when not at a call", id);
             }
-            Act::Skip(_) => self.flag(case.part_without_call <= 0.0, "bad skip", id),
+            Act::Skip(_) => self.flag(case.weight_ratio_without_call <= 0.0, "bad skip", id),
             Act::Stop(_) => self.flag(self.setup.machine.stopping == Stopping::Never, "bad stop", id),
             Act::Share(_) => self.flag(!repeats, "shared without a job to share", id),
             _ => {}
@@ -205,8 +205,8 @@
     setup.job_classes = [Idempotency::Idempotent, Idempotency::Keyed, Idempotency::AtMostOnce]
         .map(|repeats| JobClass {
             idempotency: repeats,
-            late_part: if chance.draw() < 0.5 { 0.0 } else { 0.3 },
-            part_without_call: if chance.draw() < 0.5 { 0.0 } else { 0.4 },
+            late_weight_ratio: if chance.draw() < 0.5 { 0.0 } else { 0.3 },
+            weight_ratio_without_call: if chance.draw() < 0.5 { 0.0 } else { 0.4 },
             calls: chance.draw() < 0.7,
             ..base.clone()
         })
@@ -278,7 +278,7 @@
             (job.job_class, job.is_retry) =
                 (job_class, id_before.is_some() && world.setup.callers.mark_retries);
             (job.retry_of, job.held_kb) = (linked, world.pick(5.0, 40.0));
-            let due = now + world.setup.job_classes[job_class].cut_off;
+            let due = now + world.setup.job_classes[job_class].deadline;
             let known = Known {
                 job,
                 request,
