--- a/crates/hazelgrade-config/src/document.rs
+++ b/crates/hazelgrade-config/src/document.rs
@@ -5,7 +5,7 @@
 use crate::fields::{self, Fields, Kind, Scalar};
 use crate::read::{Found, Reading};
 use crate::version::Digest;
-use hazelgrade::desk::{Idempotency, JobClass, Promises, Tenant};
+use hazelgrade::desk::{Idempotency, JobClass, ServiceLimits, Tenant};
 use hazelgrade::time::Span;
 use ipnet::IpNet;
 use std::collections::BTreeMap;
@@ -47,7 +47,7 @@
 pub struct Serving {
     pub job_classes: Vec<(String, JobClass)>,
     pub tenants: Vec<(String, Tenant)>,
-    pub promises: Promises,
+    pub promises: ServiceLimits,
 }
 
 /// Notes faults by path.
@@ -389,7 +389,7 @@
     }
 
     /// What the module takes. What the document leaves open in the promises is as in `usual`.
-    pub fn serving(&self, usual: &Promises) -> Serving {
+    pub fn serving(&self, usual: &ServiceLimits) -> Serving {
         let fields = &self.fields;
         let job_class = |name: &&str| {
             let number = |field: &str, absent: f64| {
@@ -422,12 +422,14 @@
         Serving {
             job_classes: fields.names("use_case").iter().map(job_class).collect(),
             tenants: fields.names("customer").iter().map(tenant).collect(),
-            promises: Promises {
+            promises: ServiceLimits {
                 answer_slack: span("promises/answer_slack_ms", usual.answer_slack),
-                cold_from: fields.number("promises/cold_from").unwrap_or(usual.cold_from),
+                cold_speed_ratio: fields.number("promises/cold_from").unwrap_or(usual.cold_speed_ratio),
                 warm_up: span("promises/warm_up_ms", usual.warm_up),
                 drain_grace: span("promises/drain_grace_ms", usual.drain_grace),
-                crowd_per_core: fields.number("promises/crowd_per_core").unwrap_or(usual.crowd_per_core),
+                max_jobs_per_core: fields
+                    .number("promises/crowd_per_core")
+                    .unwrap_or(usual.max_jobs_per_core),
             },
         }
     }
--- a/crates/hazelgrade-server/src/program/streaming.rs
+++ b/crates/hazelgrade-server/src/program/streaming.rs
@@ -6,7 +6,7 @@
 use crate::routing::job::Parts;
 use futures_lite::future::{BoxedLocal, FutureExt};
 use hazelgrade::chance::Chance;
-use hazelgrade::desk::{JobClass, Placed, Promises, Revision, Tenant};
+use hazelgrade::desk::{JobClass, Placed, Revision, ServiceLimits, Tenant};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::document::{MAX_JOB_CLASSES, MAX_TENANTS};
 use hazelgrade_config::operator::Streamed;
@@ -139,7 +139,7 @@
     /// The level that the command line named.
     pub usual_level: LevelFilter,
     /// As the settings say, for what a document leaves open.
-    pub promises: Promises,
+    pub promises: ServiceLimits,
     pub calls_below: bool,
 }
 
@@ -220,7 +220,7 @@
         let revision = Revision {
             job_classes: job_classes.figures.iter().enumerate().map(placed).collect(),
             tenants: tenants.figures.clone(),
-            promises,
+            limits: promises,
             reset_classes,
             reset_tenants,
         };
--- a/crates/hazelgrade-server/src/routing/budgets.rs
+++ b/crates/hazelgrade-server/src/routing/budgets.rs
@@ -5,7 +5,7 @@
 //! there is anything left; the module turns the job away.
 
 use hazelgrade::decay::DecaySum;
-use hazelgrade::desk::{Allowance, Job, Need};
+use hazelgrade::desk::{CallDemand, CallLease, Job};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_budget::bucket::Bucket;
 use hazelgrade_budget::holder::{Holder, Use};
@@ -121,22 +121,22 @@
     }
 
     /// What the module is allowed below, on its own clock; nothing where no budget of calls is known.
-    pub fn allowance(&self, module: Time) -> Option<Allowance> {
+    pub fn allowance(&self, module: Time) -> Option<CallLease> {
         let (now, in_hand) = (self.now(), self.in_hand.borrow());
         let allowed = self.holder.borrow().allowed(now, in_hand.as_ref()?);
         let on_module = |at: Time| module + at.since(now) * (1.0 / self.rate);
-        Some(Allowance {
+        Some(CallLease {
             calls: f64::from(allowed.units),
-            until: allowed.until.map_or(module, on_module),
-            alone: f64::from(allowed.alone),
-            longest: allowed.longest_use,
-            more_in: allowed.more_at.map_or(Span::ZERO, |at| at.since(now)),
+            expires: allowed.until.map_or(module, on_module),
+            calls_after_expiry: f64::from(allowed.alone),
+            max_call_time: allowed.longest_use,
+            retry_after: allowed.more_at.map_or(Span::ZERO, |at| at.since(now)),
         })
     }
 
     /// What the module has below after a round, and would have.
-    pub fn uses(&self, need: Need) {
-        let (used, wants) = (need.in_hand as u32, need.wants.round() as u32);
+    pub fn uses(&self, need: CallDemand) {
+        let (used, wants) = (need.in_flight as u32, need.wanted.round() as u32);
         self.used.set(used);
         let Some(budget) = self.in_hand.borrow().clone() else { return };
         let now = self.now();
--- a/crates/hazelgrade-server/src/routing/rounds.rs
+++ b/crates/hazelgrade-server/src/routing/rounds.rs
@@ -11,7 +11,7 @@
 use async_io::Timer;
 use futures_lite::future::or;
 use hazelgrade::control::{Control, Inflow};
-use hazelgrade::desk::{Allowance, Decisions, Job, JobId, Outcome, Revision};
+use hazelgrade::desk::{CallLease, Decisions, Job, JobId, Outcome, Revision};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_net::bell::Bell;
 use std::cell::{Cell, RefCell};
@@ -39,7 +39,7 @@
     Leaving(Time),
     Woke(u64, Option<f64>),
     /// A part of what all nodes may call below.
-    Allowed(Allowance),
+    Allowed(CallLease),
 }
 
 pub struct Rounds {
--- a/crates/hazelgrade-settings/src/lib.rs
+++ b/crates/hazelgrade-settings/src/lib.rs
@@ -24,7 +24,7 @@
     /// By place; none where the tenant is gone.
     pub tenants: Vec<Option<String>>,
     /// What the settings promise, for documents that leave it open.
-    pub promises: Promises,
+    pub promises: ServiceLimits,
     /// Callers are known: the tenant of a job need not be named.
     pub callers_known: bool,
     /// There is something below to call.
@@ -174,17 +174,17 @@
         },
         tick: Span::from_ms(Part { value: Some(settings), path: "" }.number("quantum", 1.0)?.max(0.001)),
     };
-    let promises = Promises {
+    let promises = ServiceLimits {
         answer_slack: guarantees.span("answerSlack", 0.0)?,
-        cold_from: guarantees.number("coldFrom", 1.0)?,
+        cold_speed_ratio: guarantees.number("coldFrom", 1.0)?,
         warm_up: guarantees.span("warmUp", 0.0)?,
         drain_grace: guarantees.span("drainGrace", 0.0)?,
-        crowd_per_core: guarantees.number("tipMultiple", f64::INFINITY)?.max(1.0),
+        max_jobs_per_core: guarantees.number("tipMultiple", f64::INFINITY)?.max(1.0),
     };
     let told = specifics.number("callsOut", 0.0)?;
-    let below = Below {
-        share: (told > 0.0).then_some(told),
-        share_over: specifics.span("callsOver", 0.0)?,
+    let below = Dependency {
+        max_calls: (told > 0.0).then_some(told),
+        max_calls_window: specifics.span("callsOver", 0.0)?,
         linger: specifics.span("linger", 0.0)?,
     };
     let ceilings = Part::of(settings, "ceilings");
--- a/crates/hazelgrade/src/control.rs
+++ b/crates/hazelgrade/src/control.rs
@@ -76,8 +76,8 @@
 
 /// The design's semaphore and bounded queue before what lies below.
 struct CallGate {
-    below: Below,
-    allowed: Option<Allowance>, // of calls that all servers share; none where each has its own
+    below: Dependency,
+    allowed: Option<CallLease>, // of calls that all servers share; none where each has its own
     short: DecaySum,            // calls that were rejected for want of it
     permits: f64,               // calls that may be in hand; see `tune`
     best: Option<f64>, // the lowest mean latency, drifting up, so that a lasting change is taken as it is
@@ -101,7 +101,7 @@
         self.past.iter().filter(|(left, _)| *left > now).count()
     }
 
-    /// The allowance, and not the permits, is what keeps a call waiting.
+    /// The call lease, and not the permits, is what keeps a call waiting.
     fn is_short(&self, now: Time) -> bool {
         let most = self.most(now);
         most < self.permits() && (self.in_hand + self.lingering(now)) as f64 >= most
@@ -111,13 +111,13 @@
     /// a round trip at first; while calls are much slower they shrink, to half the start, not to add to it.
     fn tune(&mut self, now: Time) {
         // A mean over fewer calls than the start of the permits is chance.
-        let start = self.below.share.unwrap_or(UNTOLD_PERMITS);
+        let start = self.below.max_calls.unwrap_or(UNTOLD_PERMITS);
         let enough = self.latency.count(now) >= start.max(UNTOLD_PERMITS);
         let Some(mean) = self.latency.mean(now).map(Span::as_ms).filter(|_| enough) else { return };
         let best = self.best.map_or(mean, |best| (best * (1.0 + 0.002 / self.permits)).min(mean));
         self.best = Some(best);
         // Exception: where no share is told, permits may grow; under a told share they never go past it.
-        let most = self.below.share.unwrap_or(4.0 * UNTOLD_PERMITS);
+        let most = self.below.max_calls.unwrap_or(4.0 * UNTOLD_PERMITS);
         if mean > best * CALLS_CROWDED {
             self.permits -= 0.5 / self.permits;
         } else if !self.queue.is_empty() && mean < best * (1.0 + CALLS_CROWDED) / 2.0 {
@@ -149,14 +149,17 @@
 
     /// With a share under one call: how long the next may take, by what was used over the share's time.
     fn part_left(&self) -> Option<Span> {
-        let share = self.below.share.filter(|share| *share < 1.0)?;
+        let share = self.below.max_calls.filter(|share| *share < 1.0)?;
         let used = self.past.iter().fold(self.below.linger, |used, (_, lasted)| used + *lasted);
-        Some((self.below.share_over * share).less(used))
+        Some((self.below.max_calls_window * share).less(used))
     }
 
     fn may_call(&mut self, now: Time) -> bool {
-        let kept =
-            self.below.share.filter(|share| *share < 1.0).map_or(Span::ZERO, |_| self.below.share_over);
+        let kept = self
+            .below
+            .max_calls
+            .filter(|share| *share < 1.0)
+            .map_or(Span::ZERO, |_| self.below.max_calls_window);
         self.past.retain(|(left, _)| *left + kept > now);
         let in_hand = (self.in_hand + self.lingering(now)) as f64;
         let latency = self.latency.usual(now);
@@ -271,7 +274,7 @@
 pub struct Control {
     job_classes: Vec<Rc<JobClass>>,
     machine: Machine,
-    promises: Promises,
+    promises: ServiceLimits,
     callers: Callers,
     jobs: BTreeMap<JobId, InHand>,
     fresh: Vec<JobId>,
@@ -413,7 +416,7 @@
     }
 
     /// This server's part of the calls that all may have below is this from now on.
-    pub fn allowed(&mut self, allowed: Allowance) {
+    pub fn allowed(&mut self, allowed: CallLease) {
         self.control.gate.allowed = Some(allowed);
     }
 
@@ -431,8 +434,8 @@
         job_classes: Vec<JobClass>,
         tenants: Vec<Tenant>,
         machine: Machine,
-        promises: Promises,
-        below: Below,
+        promises: ServiceLimits,
+        below: Dependency,
         callers: Callers,
         chance: Chance,
     ) -> Control {
@@ -450,7 +453,7 @@
             fresh: Vec::new(),
             entries: BTreeMap::new(),
             gate: CallGate {
-                permits: below.share.unwrap_or(UNTOLD_PERMITS),
+                permits: below.max_calls.unwrap_or(UNTOLD_PERMITS),
                 below,
                 allowed: None,
                 short: DecaySum::new(fade),
@@ -486,7 +489,7 @@
     /// stays with its place, but for places that stand for something else now; jobs in hand keep the figures
     /// that they arrived under. Places may be added at the end; `false`, and no change, if any is taken away.
     pub fn revise(&mut self, now: Time, to: Revision) -> bool {
-        let Revision { job_classes, tenants, promises, reset_classes, reset_tenants } = to;
+        let Revision { job_classes, tenants, limits: promises, reset_classes, reset_tenants } = to;
         // A place that a job in hand may still name must stand.
         if job_classes.len() < self.job_classes.len() || tenants.len() < self.quotas.len() {
             return false;
@@ -521,11 +524,14 @@
     }
 
     /// What is in hand below, and what would be: those that wait, and those rejected for want of a share.
-    pub fn need(&mut self, now: Time) -> Need {
+    pub fn need(&mut self, now: Time) -> CallDemand {
         let gate = &mut self.gate;
         let in_hand = (gate.in_hand + gate.lingering(now)) as f64;
         let turned_away = gate.short.read(now) * (gate.latency.usual(now) / self.fade);
-        Need { in_hand, wants: in_hand + (gate.queue.len() as f64 + turned_away).min(gate.permits()) }
+        CallDemand {
+            in_flight: in_hand,
+            wanted: in_hand + (gate.queue.len() as f64 + turned_away).min(gate.permits()),
+        }
     }
 
     /// One batch: hears all that came in, then writes the decisions.
@@ -682,7 +688,8 @@
         let wait = self.call_wait(now, &self.jobs[id]);
         if case.calls && self.gate.full(now, wait) {
             let short = self.gate.is_short(now); // exception: what is used up here may be free elsewhere
-            let more_in = self.gate.allowed.filter(|_| short).map_or(Span::ZERO, |allowed| allowed.more_in);
+            let more_in =
+                self.gate.allowed.filter(|_| short).map_or(Span::ZERO, |allowed| allowed.retry_after);
             if short {
                 self.gate.short.add(now, 1.0);
                 out.short(id);
@@ -739,7 +746,7 @@
             let patience = self.gate.latency.mean(now).map_or(until, |mean| mean * CALL_PATIENCE);
             let within = self.gate.part_left().map_or(until, |left| until.min(left));
             // Of the longest use of a share the way there and the linger are part.
-            let longest = |allowed: Allowance| allowed.longest.less(self.gate.below.linger) * RULE_ROOM;
+            let longest = |allowed: CallLease| allowed.max_call_time.less(self.gate.below.linger) * RULE_ROOM;
             let within = self.gate.allowed.map_or(within, |allowed| within.min(longest(allowed)));
             self.enter(now, &id, Stage::Calling);
             self.gate.in_hand += 1;
@@ -759,9 +766,9 @@
     /// The crowd that the cores are sure to live through, at the slowest warming that is promised.
     fn crowd_cap(&self, now: Time) -> f64 {
         let age = self.started.map_or(Span::ZERO, |start| now.since(start)) / self.promises.warm_up;
-        let speed = if self.machine.cold { self.promises.cold_from } else { 1.0 };
+        let speed = if self.machine.cold { self.promises.cold_speed_ratio } else { 1.0 };
         let speed = (speed + (1.0 - speed) * age).min(1.0);
-        self.machine.cores * (1.0 + (self.promises.crowd_per_core - 1.0) * speed) * RULE_ROOM
+        self.machine.cores * (1.0 + (self.promises.max_jobs_per_core - 1.0) * speed) * RULE_ROOM
     }
 
     fn used_kb(&self, now: Time) -> f64 {
@@ -919,7 +926,7 @@
         let speak = self.openness.next.filter(|_| !self.jobs.is_empty() || self.told_good == Some(false));
         let mut next = next.chain(speak).min();
         if !self.gate.queue.is_empty() {
-            let over = self.gate.below.share_over;
+            let over = self.gate.below.max_calls_window;
             let gate = self.gate.past.iter().flat_map(|(left, _)| [*left, *left + over]);
             next = next.into_iter().chain(gate.filter(|at| *at > now)).min();
         }
--- a/crates/hazelgrade/src/desk.rs
+++ b/crates/hazelgrade/src/desk.rs
@@ -91,50 +91,50 @@
 
 /// The figures behind the rules.
 #[derive(Clone, Debug)]
-pub struct Promises {
+pub struct ServiceLimits {
     pub answer_slack: Span,
-    pub cold_from: f64,
+    pub cold_speed_ratio: f64,
     pub warm_up: Span,
     pub drain_grace: Span,
     /// Jobs a core that a warm machine lives through, in the mean of some seconds.
-    pub crowd_per_core: f64,
+    pub max_jobs_per_core: f64,
 }
 
 /// What jobs call.
 #[derive(Clone, Debug)]
-pub struct Below {
-    /// Calls that this server may have there, in the mean of `share_over`, where it is told.
-    pub share: Option<f64>,
-    pub share_over: Span,
+pub struct Dependency {
+    /// Calls that this server may have there, in the mean of `max_calls_window`, where it is told.
+    pub max_calls: Option<f64>,
+    pub max_calls_window: Span,
     /// How long a call that was given up may stay there.
     pub linger: Span,
 }
 
 /// This server's part of the calls that all servers together may have below.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowance {
+pub struct CallLease {
     /// Until `until`; from then on `alone`.
     pub calls: f64,
-    pub until: Time,
-    pub alone: f64,
+    pub expires: Time,
+    pub calls_after_expiry: f64,
     /// What is called under it must be over so long after, the linger included.
-    pub longest: Span,
+    pub max_call_time: Span,
     /// About when there may be more.
-    pub more_in: Span,
+    pub retry_after: Span,
 }
 
-impl Allowance {
+impl CallLease {
     /// Calls that may be in hand at this time.
     pub fn at(&self, now: Time) -> f64 {
-        if now < self.until { self.calls } else { self.alone }
+        if now < self.expires { self.calls } else { self.calls_after_expiry }
     }
 }
 
 /// What this server has in hand below, and would have if it might.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Need {
-    pub in_hand: f64,
-    pub wants: f64,
+pub struct CallDemand {
+    pub in_flight: f64,
+    pub wanted: f64,
 }
 
 /// What callers do with the value that is said to them.
@@ -175,7 +175,7 @@
 pub struct Revision {
     pub job_classes: Vec<Placed>,
     pub tenants: Vec<Tenant>,
-    pub promises: Promises,
+    pub limits: ServiceLimits,
     /// Places that stand for something else than before: nothing that was learned of them counts.
     pub reset_classes: Vec<usize>,
     pub reset_tenants: Vec<usize>,
--- a/crates/hazelgrade/tests/common/mod.rs
+++ b/crates/hazelgrade/tests/common/mod.rs
@@ -62,8 +62,8 @@
 pub struct Setup {
     pub job_classes: Vec<JobClass>,
     pub machine: Machine,
-    pub promises: Promises,
-    pub below: Below,
+    pub promises: ServiceLimits,
+    pub below: Dependency,
     pub callers: Callers,
 }
 
@@ -81,8 +81,8 @@
     let (repeats, calls) = (Idempotency::Idempotent, true);
     let (cores, memory_kb, running_factor, entry_kb) = (4.0, 20_000.0, 8.0, 10.0);
     let (cold, stopping, tick) = (false, Stopping::Drops, ms(10.0));
-    let (answer_slack, cold_from, warm_up) = (ms(60.0), 0.2, ms(8000.0));
-    let (drain_grace, crowd_per_core) = (ms(1000.0), 4.0);
+    let (answer_slack, cold_speed_ratio, warm_up) = (ms(60.0), 0.2, ms(8000.0));
+    let (drain_grace, max_jobs_per_core) = (ms(1000.0), 4.0);
     let (count, signal, heeded_for, max_retry_after) = (4.0, Signal::Weight, ms(1000.0), ms(1000.0));
     let (mark_retries, fleet, over_quota_weight_ratio) = (true, 5.0, 0.1);
     Setup {
@@ -98,8 +98,8 @@
             weight_ratio_without_call,
         }],
         machine: Machine { cores, memory_kb, running_factor, entry_kb, cold, stopping, tick },
-        promises: Promises { answer_slack, cold_from, warm_up, drain_grace, crowd_per_core },
-        below: Below { share: None, share_over: ms(5000.0), linger: ms(200.0) },
+        promises: ServiceLimits { answer_slack, cold_speed_ratio, warm_up, drain_grace, max_jobs_per_core },
+        below: Dependency { max_calls: None, max_calls_window: ms(5000.0), linger: ms(200.0) },
         callers: Callers {
             count,
             signal,
--- a/crates/hazelgrade/tests/crowd.rs
+++ b/crates/hazelgrade/tests/crowd.rs
@@ -150,7 +150,7 @@
             .to_vec();
         setup.machine.cores = CORES;
         setup.promises.warm_up = ms(WARM_UP);
-        setup.promises.cold_from = COLD;
+        setup.promises.cold_speed_ratio = COLD;
         setup.callers.count = callers as f64;
         setup.callers.fleet = size as f64;
         let mut chance = Chance::new(seed);
@@ -347,7 +347,7 @@
         let server = &self.servers[number];
         // What it lives through: less while it is cold.
         let warm = (COLD + (1.0 - COLD) * (now - server.begun) / WARM_UP).min(1.0);
-        let crowd = CORES * (1.0 + (self.setup.promises.crowd_per_core - 1.0) * warm);
+        let crowd = CORES * (1.0 + (self.setup.promises.max_jobs_per_core - 1.0) * warm);
         if warm < 1.0 {
             self.seen.cold = self.seen.cold.max(server.running.len() as f64 / crowd);
         }
--- a/crates/hazelgrade/tests/decisions.rs
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -198,7 +198,13 @@
             let calls = self.between(0.0, 6.0).floor();
             let until = now + ms(self.between(100.0, 600.0));
             let longest = ms(self.between(300.0, 2000.0));
-            inflow.allowed(Allowance { calls, until, alone: 1.0, longest, more_in: ms(250.0) });
+            inflow.allowed(CallLease {
+                calls,
+                expires: until,
+                calls_after_expiry: 1.0,
+                max_call_time: longest,
+                retry_after: ms(250.0),
+            });
             self.events += 1;
         }
         if let Some((at, lasts)) = self.history.drain_ms
@@ -379,7 +385,7 @@
     Revision {
         job_classes: placed.collect(),
         tenants: tenants,
-        promises: history.setup.promises.clone(),
+        limits: history.setup.promises.clone(),
         reset_classes: vec![0],
         reset_tenants: vec![0],
     }
@@ -399,7 +405,7 @@
             world.apply(act, now);
         }
         let need = control.need(now);
-        world.digest.update(format!("need {} {}\n", need.in_hand, need.wants).as_bytes());
+        world.digest.update(format!("need {} {}\n", need.in_flight, need.wanted).as_bytes());
         if history.updates_ms.get(updates).is_some_and(|due| *due <= now_ms) {
             let taken = control.revise(now, update(history, updates));
             world.digest.update(format!("update {taken}\n").as_bytes());
@@ -462,14 +468,14 @@
     all.push(overload);
 
     let mut limited = plain("call-limit", 12);
-    limited.setup.below.share = Some(6.0);
+    limited.setup.below.max_calls = Some(6.0);
     limited.setup.callers.signal = Signal::Credit;
     limited.silent_calls = 0.1;
     limited.drain_ms = Some((30_000.0, 6_000.0));
     all.push(limited);
 
     let mut fraction = plain("call-limit-below-one", 13);
-    fraction.setup.below.share = Some(0.7);
+    fraction.setup.below.max_calls = Some(0.7);
     fraction.setup.callers.signal = Signal::Level;
     all.push(fraction);
 
@@ -487,7 +493,7 @@
 
     let mut cold = plain("cold-start", 16);
     cold.setup.machine.cold = true;
-    cold.setup.promises.crowd_per_core = 2.0;
+    cold.setup.promises.max_jobs_per_core = 2.0;
     cold.setup.machine.stopping = Stopping::Never;
     all.push(cold);
 
--- a/crates/hazelgrade/tests/failures.rs
+++ b/crates/hazelgrade/tests/failures.rs
@@ -142,7 +142,7 @@
 #[test]
 fn permits_double_in_a_round_trip_at_the_start() {
     let mut setup = setup();
-    setup.promises.crowd_per_core = 20.0;
+    setup.promises.max_jobs_per_core = 20.0;
     let mut control = setup.control();
     at_calls(&mut control, 0.0, 0, 16);
     for number in 0..8 {
--- a/crates/hazelgrade/tests/revisions.rs
+++ b/crates/hazelgrade/tests/revisions.rs
@@ -11,7 +11,7 @@
     Revision {
         job_classes: placed.collect(),
         tenants: vec![],
-        promises: setup.promises.clone(),
+        limits: setup.promises.clone(),
         reset_classes: anew,
         reset_tenants: vec![],
     }
--- a/crates/hazelgrade/tests/rules.rs
+++ b/crates/hazelgrade/tests/rules.rs
@@ -173,14 +173,15 @@
         self.crowd.push((now, on_cores));
         self.calls.push((now, (out + self.lingering.len()) as f64));
         let promises = &self.setup.promises;
-        let warm = if machine.cold { promises.cold_from } else { 1.0 };
+        let warm = if machine.cold { promises.cold_speed_ratio } else { 1.0 };
         let speed = (warm + (1.0 - warm) * (now.since(begun) / promises.warm_up)).min(1.0);
-        let cap = machine.cores * (1.0 + (promises.crowd_per_core - 1.0) * speed);
+        let cap = machine.cores * (1.0 + (promises.max_jobs_per_core - 1.0) * speed);
         let crowded = Self::mean(&self.crowd, now, ms(2000.0)) > cap + 1e-6;
         let below = &self.setup.below;
         // Calls end at a tick or after a pause: up to 200 ms in the 5 s are the world's doing.
-        let flooded =
-            below.share.is_some_and(|share| Self::mean(&self.calls, now, below.share_over) > share + 0.04);
+        let flooded = below
+            .max_calls
+            .is_some_and(|share| Self::mean(&self.calls, now, below.max_calls_window) > share + 0.04);
         let lost = self.jobs.values().find(|known| {
             let due = self.notice.map_or(known.due, |(_, stop)| known.due.min(stop));
             known.owed && !matches!(known.at, At::Unread) && now > due + promises.answer_slack
@@ -215,7 +216,7 @@
     (setup.machine.memory_kb, setup.machine.entry_kb) =
         one_of(&mut chance, &[(3_000.0, 10.0), (3_000.0, 300.0), (20_000.0, 10.0)]);
     setup.machine.stopping = one_of(&mut chance, &[Stopping::Never, Stopping::Drops, Stopping::Pauses]);
-    setup.below.share = one_of(&mut chance, &[None, Some(0.04), Some(0.4), Some(3.5)]);
+    setup.below.max_calls = one_of(&mut chance, &[None, Some(0.04), Some(0.4), Some(3.5)]);
     use Signal::*;
     setup.callers.signal = one_of(&mut chance, &[Silent, Level, Credit, Weight]);
     (setup.machine.cold, setup.callers.mark_retries) = (chance.draw() < 0.5, chance.draw() < 0.7);
