--- a/crates/hazelgrade-server/src/routing/job.rs
+++ b/crates/hazelgrade-server/src/routing/job.rs
@@ -152,7 +152,7 @@
                 }
                 Turn::Shared(body) => {
                     let answer = body.clone().map_or(Answer::Failed, Answer::Succeeded);
-                    let outcome = body.as_ref().map_or(Outcome::Errored, |_| Outcome::Completed);
+                    let outcome = body.as_ref().map_or(Outcome::Failed, |_| Outcome::Completed);
                     parts.answer(&id, &answer);
                     parts.rounds.tell(Event::RunEnded(id.clone(), outcome, Span::ZERO));
                     result = body;
@@ -266,7 +266,7 @@
         parts.calls.give_up(&id, false);
         let outcome = outcome::of_run(end);
         tracing::trace!(job = &*id, ?outcome, lasted_ms = lasted.as_ms(), "run ended");
-        let held_again = outcome == Outcome::Stopped && parts.hand.is_owed(&id);
+        let held_again = outcome == Outcome::Cancelled && parts.hand.is_owed(&id);
         parts.rounds.tell(Event::RunEnded(id.clone(), outcome, lasted));
         if held_again {
             continue;
--- a/crates/hazelgrade-server/src/routing/outcome.rs
+++ b/crates/hazelgrade-server/src/routing/outcome.rs
@@ -17,19 +17,19 @@
 pub fn of_run(end: RunEnd) -> Outcome {
     match end {
         RunEnd::Good => Outcome::Completed,
-        RunEnd::Bad => Outcome::Errored,
-        RunEnd::Cut => Outcome::Stopped,
-        RunEnd::Gone => Outcome::Moot,
+        RunEnd::Bad => Outcome::Failed,
+        RunEnd::Cut => Outcome::Cancelled,
+        RunEnd::Gone => Outcome::Superseded,
     }
 }
 
 pub fn of_call(end: &CallEnd) -> Outcome {
     match end {
         CallEnd::Replied(Reply::Rows, _) => Outcome::Completed,
-        CallEnd::Replied(Reply::Full, _) => Outcome::Full,
-        CallEnd::Replied(Reply::Fail, _) => Outcome::Errored,
-        CallEnd::Replied(Reply::Timeout, _) | CallEnd::Silent => Outcome::Overdue,
-        CallEnd::Replied(Reply::Nobody, _) => Outcome::Moot,
+        CallEnd::Replied(Reply::Full, _) => Outcome::Rejected,
+        CallEnd::Replied(Reply::Fail, _) => Outcome::Failed,
+        CallEnd::Replied(Reply::Timeout, _) | CallEnd::Silent => Outcome::TimedOut,
+        CallEnd::Replied(Reply::Nobody, _) => Outcome::Superseded,
         CallEnd::Lost(ConnectionEnd::Unreachable | ConnectionEnd::Unsent) => Outcome::Unreachable,
         CallEnd::Lost(
             ConnectionEnd::Closed
@@ -42,7 +42,7 @@
             | ConnectionEnd::Overrun
             | ConnectionEnd::Idle
             | ConnectionEnd::Moved,
-        ) => Outcome::Severed,
+        ) => Outcome::ConnectionLost,
     }
 }
 
--- a/crates/hazelgrade-settings/src/lib.rs
+++ b/crates/hazelgrade-settings/src/lib.rs
@@ -166,10 +166,10 @@
         running_factor: specifics.number("blowup", 1.0)?,
         entry_kb: specifics.number("keyKb", 0.0)?,
         cold: specifics.truth("cold")?,
-        stopping: match specifics.word("halt", "silent")? {
-            "silent" | "none" => Stopping::Never,
-            "drop" => Stopping::Drops,
-            "pause" => Stopping::Pauses,
+        cancellation: match specifics.word("halt", "silent")? {
+            "silent" | "none" => Cancellation::Unsupported,
+            "drop" => Cancellation::Discards,
+            "pause" => Cancellation::Requeues,
             _ => return fault("settings.specifics.halt", "silent, drop or pause"),
         },
         tick: Span::from_ms(Part { value: Some(settings), path: "" }.number("quantum", 1.0)?.max(0.001)),
--- a/crates/hazelgrade-simulator-adapter/src/wire.rs
+++ b/crates/hazelgrade-simulator-adapter/src/wire.rs
@@ -72,13 +72,13 @@
     fn outcome(&mut self, field: &str) -> Result<Outcome, Fault> {
         Ok(match self.text(field)? {
             "completed" => Outcome::Completed,
-            "errored" => Outcome::Errored,
-            "saturated" => Outcome::Full,
-            "overdue" => Outcome::Overdue,
+            "errored" => Outcome::Failed,
+            "saturated" => Outcome::Rejected,
+            "overdue" => Outcome::TimedOut,
             "refused_conn" => Outcome::Unreachable,
-            "severed" => Outcome::Severed,
-            "recalled" => Outcome::Stopped,
-            "superseded" => Outcome::Moot,
+            "severed" => Outcome::ConnectionLost,
+            "recalled" => Outcome::Cancelled,
+            "superseded" => Outcome::Superseded,
             _ => return fault(field, "one of the outcome codes"),
         })
     }
--- a/crates/hazelgrade/src/control.rs
+++ b/crates/hazelgrade/src/control.rs
@@ -360,7 +360,7 @@
             Stage::OnCores => held.on_cores += now.since(held.since),
             Stage::Held | Stage::Sharing => return,
         }
-        if outcome == Outcome::Stopped && !held.answered {
+        if outcome == Outcome::Cancelled && !held.answered {
             (held.stage, held.since) = (Stage::Held, now);
             control.jobs.insert(id.clone(), held);
         } else if outcome == Outcome::Completed {
@@ -384,8 +384,8 @@
     pub fn call_ended(&mut self, id: &JobId, outcome: Outcome, took: Span) {
         let (now, control) = (self.now, &mut *self.control);
         let Some(held) = control.jobs.get_mut(id).filter(|held| held.stage == Stage::Calling) else { return };
-        control.gate.over(now, took, outcome == Outcome::Overdue);
-        if !outcome.never_ran() && outcome != Outcome::Severed {
+        control.gate.over(now, took, outcome == Outcome::TimedOut);
+        if !outcome.never_ran() && outcome != Outcome::ConnectionLost {
             control.gate.latency.learn(now, took);
             control.gate.tune(now);
         }
@@ -640,7 +640,7 @@
 
     fn stoppable(&self, held: &InHand) -> bool {
         let again = held.case.idempotency == Idempotency::Idempotent;
-        self.machine.stopping != Stopping::Never && again && held.stage == Stage::OnCores
+        self.machine.cancellation != Cancellation::Unsupported && again && held.stage == Stage::OnCores
     }
 
     /// A run that nobody waits for is stopped, where that is allowed and the job may run again.
--- a/crates/hazelgrade/src/desk.rs
+++ b/crates/hazelgrade/src/desk.rs
@@ -76,17 +76,17 @@
     pub entry_kb: f64,
     /// It started just now and is slow.
     pub cold: bool,
-    pub stopping: Stopping,
+    pub cancellation: Cancellation,
     /// The shortest time between rounds.
     pub tick: Span,
 }
 
 /// What stopping a running job does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stopping {
-    Never,
-    Drops,
-    Pauses,
+pub enum Cancellation {
+    Unsupported,
+    Discards,
+    Requeues,
 }
 
 /// The figures behind the rules.
@@ -185,21 +185,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Completed,
-    Errored,
+    Failed,
     /// Sent back unseen.
-    Full,
-    Overdue,
+    Rejected,
+    TimedOut,
     Unreachable,
-    Severed,
-    Stopped,
+    ConnectionLost,
+    Cancelled,
     /// Nothing started: the job was over.
-    Moot,
+    Superseded,
 }
 
 impl Outcome {
     /// It is certain that nothing ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::Unreachable | Outcome::Moot)
+        matches!(self, Outcome::Rejected | Outcome::Unreachable | Outcome::Superseded)
     }
 }
 
--- a/crates/hazelgrade/tests/common/mod.rs
+++ b/crates/hazelgrade/tests/common/mod.rs
@@ -80,7 +80,7 @@
     let (priority_weight, late_weight_ratio, weight_ratio_without_call) = (1.0, 0.0, 0.0);
     let (repeats, calls) = (Idempotency::Idempotent, true);
     let (cores, memory_kb, running_factor, entry_kb) = (4.0, 20_000.0, 8.0, 10.0);
-    let (cold, stopping, tick) = (false, Stopping::Drops, ms(10.0));
+    let (cold, stopping, tick) = (false, Cancellation::Discards, ms(10.0));
     let (answer_slack, cold_speed_ratio, warm_up) = (ms(60.0), 0.2, ms(8000.0));
     let (drain_grace, max_jobs_per_core) = (ms(1000.0), 4.0);
     let (count, signal, heeded_for, max_retry_after) = (4.0, Signal::Weight, ms(1000.0), ms(1000.0));
@@ -97,7 +97,7 @@
             calls,
             weight_ratio_without_call,
         }],
-        machine: Machine { cores, memory_kb, running_factor, entry_kb, cold, stopping, tick },
+        machine: Machine { cores, memory_kb, running_factor, entry_kb, cold, cancellation: stopping, tick },
         promises: ServiceLimits { answer_slack, cold_speed_ratio, warm_up, drain_grace, max_jobs_per_core },
         below: Dependency { max_calls: None, max_calls_window: ms(5000.0), linger: ms(200.0) },
         callers: Callers {
--- a/crates/hazelgrade/tests/crowd.rs
+++ b/crates/hazelgrade/tests/crowd.rs
@@ -382,7 +382,7 @@
                     server.running.iter().find(|(run, ..)| *run == id).map_or(now, |(.., since)| *since);
                 server.running.retain(|(run, ..)| *run != id);
                 let acts = round(&mut server.control, now, |inflow| {
-                    inflow.run_ended(&id, Outcome::Stopped, now.since(since));
+                    inflow.run_ended(&id, Outcome::Cancelled, now.since(since));
                 });
                 acts.into_iter().for_each(|act| self.apply(number, act));
             }
--- a/crates/hazelgrade/tests/decisions.rs
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -250,7 +250,7 @@
         let tracked = self.jobs.get_mut(id).expect("tracked");
         self.events += 1;
         if tracked.cancelled || preempted {
-            inflow.run_ended(id, Outcome::Stopped, now.since(tracked.began));
+            inflow.run_ended(id, Outcome::Cancelled, now.since(tracked.began));
             let pauses = !tracked.answered;
             tracked.at = At::Queued;
             tracked.cancelled = false;
@@ -262,7 +262,7 @@
             tracked.at = At::AtCall;
             inflow.at_call(id);
         } else {
-            let outcome = if ends { Outcome::Errored } else { Outcome::Completed };
+            let outcome = if ends { Outcome::Failed } else { Outcome::Completed };
             inflow.run_ended(id, outcome, now.since(tracked.began));
             self.jobs.remove(id);
         }
@@ -289,15 +289,15 @@
         let took = ms(self.between(20.0, 120.0) * if self.happens(0.1) { 6.0 } else { 1.0 });
         let fate = self.random.draw();
         let (ends, outcome) = match fate {
-            fate if fate < self.history.silent_calls => (over, Outcome::Overdue),
-            fate if fate > 0.99 => (now + ms(10.0), Outcome::Full),
+            fate if fate < self.history.silent_calls => (over, Outcome::TimedOut),
+            fate if fate > 0.99 => (now + ms(10.0), Outcome::Rejected),
             fate if fate > 0.98 => (now + ms(10.0), Outcome::Unreachable),
-            fate if fate > 0.96 => (now + took, Outcome::Severed),
-            fate if fate > 0.94 => (now + took, Outcome::Errored),
-            fate if fate > 0.93 => (now + took, Outcome::Moot),
+            fate if fate > 0.96 => (now + took, Outcome::ConnectionLost),
+            fate if fate > 0.94 => (now + took, Outcome::Failed),
+            fate if fate > 0.93 => (now + took, Outcome::Superseded),
             _ => (now + took, Outcome::Completed),
         };
-        if ends >= over { (over, Outcome::Overdue) } else { (ends, outcome) }
+        if ends >= over { (over, Outcome::TimedOut) } else { (ends, outcome) }
     }
 
     fn answered(&mut self, id: &JobId, retry_after: Option<Span>, now: Time) {
@@ -488,13 +488,13 @@
     let mut memory = plain("memory", 15);
     memory.job_kb = 300.0;
     memory.setup.machine.memory_kb = 12_000.0;
-    memory.setup.machine.stopping = Stopping::Pauses;
+    memory.setup.machine.cancellation = Cancellation::Requeues;
     all.push(memory);
 
     let mut cold = plain("cold-start", 16);
     cold.setup.machine.cold = true;
     cold.setup.promises.max_jobs_per_core = 2.0;
-    cold.setup.machine.stopping = Stopping::Never;
+    cold.setup.machine.cancellation = Cancellation::Unsupported;
     all.push(cold);
 
     let mut unmarked = plain("unmarked-retries", 17);
--- a/crates/hazelgrade/tests/failures.rs
+++ b/crates/hazelgrade/tests/failures.rs
@@ -266,7 +266,9 @@
     let mut control = setup().control();
     at_calls(&mut control, 0.0, 0, 2);
     call_done(&mut control, "c0", 100.0);
-    round(&mut control, at(100.0), |inflow| inflow.call_ended(&"c1".into(), Outcome::Severed, ms(1.0)));
+    round(&mut control, at(100.0), |inflow| {
+        inflow.call_ended(&"c1".into(), Outcome::ConnectionLost, ms(1.0))
+    });
     let acts = at_calls(&mut control, 100.0, 5, 1);
     assert!(acts.contains(&Act::Call("c5".into(), ms(1600.0))), "{acts:?}");
 }
--- a/crates/hazelgrade/tests/rules.rs
+++ b/crates/hazelgrade/tests/rules.rs
@@ -113,7 +113,9 @@
                 self.flag(!case.calls || stage != At::Call, "called when not at a call", id);
             }
             Act::Skip(_) => self.flag(case.weight_ratio_without_call <= 0.0, "bad skip", id),
-            Act::Stop(_) => self.flag(self.setup.machine.stopping == Stopping::Never, "bad stop", id),
+            Act::Stop(_) => {
+                self.flag(self.setup.machine.cancellation == Cancellation::Unsupported, "bad stop", id)
+            }
             Act::Share(_) => self.flag(!repeats, "shared without a job to share", id),
             _ => {}
         }
@@ -215,7 +217,8 @@
     setup.machine.cores = one_of(&mut chance, &[1.0, 2.0, 4.0]);
     (setup.machine.memory_kb, setup.machine.entry_kb) =
         one_of(&mut chance, &[(3_000.0, 10.0), (3_000.0, 300.0), (20_000.0, 10.0)]);
-    setup.machine.stopping = one_of(&mut chance, &[Stopping::Never, Stopping::Drops, Stopping::Pauses]);
+    setup.machine.cancellation =
+        one_of(&mut chance, &[Cancellation::Unsupported, Cancellation::Discards, Cancellation::Requeues]);
     setup.below.max_calls = one_of(&mut chance, &[None, Some(0.04), Some(0.4), Some(3.5)]);
     use Signal::*;
     setup.callers.signal = one_of(&mut chance, &[Silent, Level, Credit, Weight]);
@@ -334,28 +337,28 @@
                     at_call.push(id.clone());
                 } else {
                     (known.at, known.owed) = (At::Over, false);
-                    let outcome = if luck < 0.1 { Outcome::Errored } else { Outcome::Completed };
+                    let outcome = if luck < 0.1 { Outcome::Failed } else { Outcome::Completed };
                     ended.push((id.clone(), outcome, now.since(known.started)));
                 }
             }
             At::Call if !known.owed => {
                 known.at = At::Over;
-                ended.push((id.clone(), Outcome::Stopped, now.since(known.started)));
+                ended.push((id.clone(), Outcome::Cancelled, now.since(known.started)));
             }
             At::Below { since, .. } if !known.owed => {
                 known.at = At::Over;
                 world.lingering.push(now + linger);
-                ended.push((id.clone(), Outcome::Stopped, now.since(since)));
+                ended.push((id.clone(), Outcome::Cancelled, now.since(since)));
             }
             At::Below { since, ends, given_up } if ends <= now || given_up <= now => {
                 let outcome = match luck {
-                    _ if given_up < ends => Outcome::Overdue,
-                    _ if luck < 0.1 => Outcome::Errored,
-                    _ if luck < 0.2 => Outcome::Full,
-                    _ if luck < 0.3 => Outcome::Severed,
+                    _ if given_up < ends => Outcome::TimedOut,
+                    _ if luck < 0.1 => Outcome::Failed,
+                    _ if luck < 0.2 => Outcome::Rejected,
+                    _ if luck < 0.3 => Outcome::ConnectionLost,
                     _ => Outcome::Completed,
                 };
-                world.lingering.extend((outcome == Outcome::Overdue).then_some(now + linger));
+                world.lingering.extend((outcome == Outcome::TimedOut).then_some(now + linger));
                 known.call_doubt = outcome != Outcome::Completed && !outcome.never_ran();
                 known.at = if outcome == Outcome::Completed { At::Cores(now + ms(work)) } else { At::Call };
                 returned.push((id.clone(), outcome, now.since(since)));
@@ -392,7 +395,7 @@
         return None;
     }
     Some(round(control, now, |inflow| {
-        inflow.run_ended(&"stranger".into(), Outcome::Moot, Span::ZERO); // odd but legal, as is the next
+        inflow.run_ended(&"stranger".into(), Outcome::Superseded, Span::ZERO); // odd but legal, as is the next
         inflow.woke(u64::MAX, None);
         arrived.into_iter().for_each(|job| inflow.arrived(job));
         ended.iter().for_each(|(id, outcome, took)| inflow.run_ended(id, *outcome, *took));
