--- a/crates/hazelgrade-server/src/routing/rounds.rs
+++ b/crates/hazelgrade-server/src/routing/rounds.rs
@@ -10,7 +10,7 @@
 use crate::transport::executor::Link;
 use async_io::Timer;
 use futures_lite::future::or;
-use hazelgrade::control::{Control, Inflow};
+use hazelgrade::control::{Controller, EventSink};
 use hazelgrade::desk::{CallLease, Decisions, Job, JobId, Outcome, Revision};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_net::bell::Bell;
@@ -43,7 +43,7 @@
 }
 
 pub struct Rounds {
-    control: RefCell<Control>,
+    control: RefCell<Controller>,
     pub clock: Clock,
     tick: Duration,
     events: RefCell<Vec<Event>>,
@@ -74,7 +74,7 @@
 
 impl Rounds {
     pub fn new(
-        control: Control,
+        control: Controller,
         tick: Span,
         hand: Rc<Hand>,
         result_cache: Rc<ResultCache>,
@@ -135,7 +135,7 @@
 
     /// Other figures to go by, from the next round on.
     pub fn revise(&self, to: Revision) -> bool {
-        self.control.borrow_mut().revise(self.clock.now(), to)
+        self.control.borrow_mut().update_settings(self.clock.now(), to)
     }
 
     /// From now on calls below go by this node's part of what all nodes share.
@@ -236,23 +236,23 @@
     fn round(&self) {
         let (began, now) = (Instant::now(), self.clock.now());
         let events = self.events.take();
-        let feed = |inflow: &mut Inflow| {
+        let feed = |inflow: &mut EventSink| {
             for event in events {
                 match event {
-                    Event::Arrived(job) => inflow.arrived(job),
+                    Event::Arrived(job) => inflow.job_arrived(job),
                     Event::RunEnded(id, outcome, took) => inflow.run_ended(&id, outcome, took),
-                    Event::AtCall(id) => inflow.at_call(&id),
+                    Event::AtCall(id) => inflow.call_requested(&id),
                     Event::CallEnded(id, outcome, took) => inflow.call_ended(&id, outcome, took),
-                    Event::CallerGone(id) => inflow.caller_gone(&id),
-                    Event::Leaving(stop) => inflow.leaving(stop),
-                    Event::Woke(token, cores_used) => inflow.woke(token, cores_used),
-                    Event::Allowed(allowance) => inflow.allowed(allowance),
+                    Event::CallerGone(id) => inflow.caller_disconnected(&id),
+                    Event::Leaving(stop) => inflow.drain_started(stop),
+                    Event::Woke(token, cores_used) => inflow.timer_fired(token, cores_used),
+                    Event::Allowed(allowance) => inflow.call_lease_updated(allowance),
                 }
             }
         };
         self.control.borrow_mut().round(now, feed, &mut Writer { rounds: self, now });
         if let Some(seat) = &*self.seat.borrow() {
-            seat.uses(self.control.borrow_mut().need(now));
+            seat.uses(self.control.borrow_mut().call_demand(now));
         }
         self.alive();
         self.rounds.set(self.rounds.get() + 1);
@@ -273,7 +273,7 @@
 }
 
 impl Decisions for Writer<'_> {
-    fn run(&mut self, id: &JobId) {
+    fn start_run(&mut self, id: &JobId) {
         self.turn(id, Turn::Run);
     }
 
@@ -285,7 +285,7 @@
         self.turn(id, Turn::Answer(Answer::Failed));
     }
 
-    fn call(&mut self, id: &JobId, within: Span) {
+    fn start_call(&mut self, id: &JobId, within: Span) {
         self.turn(id, Turn::Call(within));
     }
 
@@ -293,33 +293,33 @@
         self.turn(id, Turn::SkipCall);
     }
 
-    fn stop(&mut self, id: &JobId) {
+    fn cancel_run(&mut self, id: &JobId) {
         self.turn(id, Turn::Stop);
     }
 
-    fn share(&mut self, id: &JobId) {
+    fn await_original(&mut self, id: &JobId) {
         self.turn(id, Turn::Share);
     }
 
-    fn remember(&mut self, id: &JobId, span: Span) {
+    fn store_record(&mut self, id: &JobId, span: Span) {
         self.rounds.result_cache.remember(id, self.now, span);
     }
 
-    fn forget(&mut self, id: &JobId) {
+    fn remove_record(&mut self, id: &JobId) {
         self.rounds.result_cache.forget(id);
     }
 
-    fn say(&mut self, value: f64) {
+    fn publish_load_signal(&mut self, value: f64) {
         self.rounds.said.set(Some(value));
     }
 
-    fn health(&mut self, good: bool, _from_store: bool) {
+    fn publish_health(&mut self, good: bool, _from_store: bool) {
         if self.rounds.good.replace(good) != good {
             self.rounds.health_changed.ring();
         }
     }
 
-    fn wake_at(&mut self, at: Time, token: u64) {
+    fn set_timer(&mut self, at: Time, token: u64) {
         let mut timers = self.rounds.timers.borrow_mut();
         timers.insert((at, token));
         if timers.len() > TIMERS {
@@ -327,7 +327,7 @@
         }
     }
 
-    fn short(&mut self, id: &JobId) {
+    fn limited_by_lease(&mut self, id: &JobId) {
         tracing::debug!(
             job = &**id,
             "rejected for want of a part of what all nodes share, not by a full queue"
@@ -337,7 +337,7 @@
         }
     }
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         tracing::debug!(text, "the module notes");
     }
 }
--- a/crates/hazelgrade-settings/src/lib.rs
+++ b/crates/hazelgrade-settings/src/lib.rs
@@ -1,10 +1,10 @@
-//! The settings object that an instance is started with, decoded once for every host: into a `Control`, and
+//! The settings object that an instance is started with, decoded once for every host: into a `Controller`, and
 //! into what the host itself goes by. `places.rs` says which place a name has when job classes and tenants come and go.
 
 pub mod places;
 
 use hazelgrade::chance::Chance;
-use hazelgrade::control::Control;
+use hazelgrade::control::Controller;
 use hazelgrade::desk::*;
 use hazelgrade::time::Span;
 use serde_json::Value;
@@ -116,7 +116,7 @@
 }
 
 /// Decodes the settings into a new instance of the module.
-pub fn instance(settings: &Value, seed: u64) -> Result<(Control, Site), Fault> {
+pub fn instance(settings: &Value, seed: u64) -> Result<(Controller, Site), Fault> {
     if !settings.is_object() {
         return fault("settings", "a JSON object");
     }
@@ -217,5 +217,5 @@
         shared_for: specifics.span("shareFor", 0.0)?,
         linger: below.linger,
     };
-    Ok((Control::new(job_classes, tenants, machine, promises, below, callers, Chance::new(seed)), site))
+    Ok((Controller::new(job_classes, tenants, machine, promises, below, callers, Chance::new(seed)), site))
 }
--- a/crates/hazelgrade-simulator-adapter/src/main.rs
+++ b/crates/hazelgrade-simulator-adapter/src/main.rs
@@ -3,7 +3,7 @@
 
 mod wire;
 
-use hazelgrade::control::Control;
+use hazelgrade::control::Controller;
 use hazelgrade_settings::Fault;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -11,7 +11,7 @@
 use wire::{Counts, Fields, Reply};
 
 /// Instances by number; one that crashed and was not launched again stays as `None`.
-type Fleet = BTreeMap<u64, Option<(Control, Counts)>>;
+type Fleet = BTreeMap<u64, Option<(Controller, Counts)>>;
 
 /// An event of a batch, not yet decoded: the number of its line, its name and the fields after the instance.
 type Pending<'a> = Vec<(usize, &'a str, &'a str)>;
@@ -129,7 +129,7 @@
             continue;
         };
         let mut outcome = Ok(());
-        let feed = |inflow: &mut hazelgrade::control::Inflow| {
+        let feed = |inflow: &mut hazelgrade::control::EventSink| {
             for (offset, name, rest) in events {
                 if let Err(fault) = wire::tell(name, &mut Fields::new(rest), *counts, now, inflow) {
                     outcome = Err((offset, fault));
--- a/crates/hazelgrade-simulator-adapter/src/wire.rs
+++ b/crates/hazelgrade-simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
-//! The line protocol: decodes each line into a call on `Inflow`, encodes decisions into lines.
+//! The line protocol: decodes each line into a call on `EventSink`, encodes decisions into lines.
 
-use hazelgrade::control::{Control, Inflow};
+use hazelgrade::control::{Controller, EventSink};
 use hazelgrade::desk::*;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_settings::{Fault, fault};
@@ -95,13 +95,13 @@
     fields: &mut Fields,
     counts: Counts,
     now: Time,
-    inflow: &mut Inflow,
+    inflow: &mut EventSink,
 ) -> Result<(), Fault> {
     match name {
         "ingress" => {
             let job = job(fields, counts, now)?;
             fields.end()?;
-            inflow.arrived(job);
+            inflow.job_arrived(job);
         }
         "wound_up" | "returned" => {
             let (id, outcome, took) = (fields.id("handle")?, fields.outcome("result")?, fields.span("rtt")?);
@@ -114,23 +114,23 @@
         "needs_dep" => {
             let id = fields.id("handle")?;
             fields.end()?;
-            inflow.at_call(&id);
+            inflow.call_requested(&id);
         }
         "timed_out_client" => {
             let id = fields.id("handle")?;
             fields.end()?;
-            inflow.caller_gone(&id);
+            inflow.caller_disconnected(&id);
         }
         "retire_soon" => {
             let stop = fields.time("expires")?;
             fields.end()?;
-            inflow.leaving(stop);
+            inflow.drain_started(stop);
         }
         "timeout_fired" => {
             let token = fields.whole("cookie")?;
             let cores_used = cores_used(fields.text("serverStats")?)?;
             fields.end()?;
-            inflow.woke(token, cores_used);
+            inflow.timer_fired(token, cores_used);
         }
         _ => return fault("message", "a known message name"),
     }
@@ -206,7 +206,7 @@
 }
 
 /// Decodes the rest of a `launch` line into a new instance.
-pub fn launch(fields: &mut Fields) -> Result<(Control, Counts), Fault> {
+pub fn launch(fields: &mut Fields) -> Result<(Controller, Counts), Fault> {
     let seed = fields.whole("prng")?;
     let text = fields.remainder("settings")?;
     let Ok(settings) = serde_json::from_str::<Value>(text) else {
@@ -230,7 +230,7 @@
 }
 
 impl Decisions for Reply<'_> {
-    fn run(&mut self, id: &JobId) {
+    fn start_run(&mut self, id: &JobId) {
         self.line("execute", id, format_args!(""));
     }
 
@@ -242,7 +242,7 @@
         self.line("finish_error", id, format_args!(""));
     }
 
-    fn call(&mut self, id: &JobId, within: Span) {
+    fn start_call(&mut self, id: &JobId, within: Span) {
         self.line("call_dep", id, format_args!("\t{}", within.as_ms()));
     }
 
@@ -250,35 +250,35 @@
         self.line("go_on", id, format_args!(""));
     }
 
-    fn stop(&mut self, id: &JobId) {
+    fn cancel_run(&mut self, id: &JobId) {
         self.line("halt", id, format_args!(""));
     }
 
-    fn share(&mut self, id: &JobId) {
+    fn await_original(&mut self, id: &JobId) {
         self.line("join", id, format_args!(""));
     }
 
-    fn remember(&mut self, id: &JobId, span: Span) {
+    fn store_record(&mut self, id: &JobId, span: Span) {
         self.line("keep", id, format_args!("\t{}", span.as_ms()));
     }
 
-    fn forget(&mut self, id: &JobId) {
+    fn remove_record(&mut self, id: &JobId) {
         self.line("drop_key", id, format_args!(""));
     }
 
-    fn say(&mut self, value: f64) {
+    fn publish_load_signal(&mut self, value: f64) {
         self.line("announce", "", format_args!("{value}"));
     }
 
-    fn health(&mut self, good: bool, from_store: bool) {
+    fn publish_health(&mut self, good: bool, from_store: bool) {
         self.line("set_health", "", format_args!("{}\t{}", u8::from(from_store), u8::from(good)));
     }
 
-    fn wake_at(&mut self, at: Time, token: u64) {
+    fn set_timer(&mut self, at: Time, token: u64) {
         self.line("timer", "", format_args!("{}\t{token}", at.as_ms()));
     }
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         self.line("print", "", format_args!("{}", text.replace(['\t', '\n', '\r'], " ")));
     }
 }
--- a/crates/hazelgrade/src/control.rs
+++ b/crates/hazelgrade/src/control.rs
@@ -1,7 +1,7 @@
 //! The decision module: what one server takes, runs and rejects.
 //!
 //! How it is called: once a batch, `control.round(now, |inflow| …, &mut writer)`. The closure tells
-//! `Inflow` what came in, in order; then the module decides into the writer. The interface is `desk.rs`.
+//! `EventSink` what came in, in order; then the module decides into the writer. The interface is `desk.rs`.
 //!
 //! The design (`docs/design.md`) is `CallGate`: permits, a bounded queue, a learned depth, a wait budget,
 //! rejects at arrival. Beside it stand six mechanisms:
@@ -271,7 +271,7 @@
     }
 }
 
-pub struct Control {
+pub struct Controller {
     job_classes: Vec<Rc<JobClass>>,
     machine: Machine,
     promises: ServiceLimits,
@@ -304,13 +304,13 @@
 }
 
 /// Tells the module what came in; the events of a round, in order.
-pub struct Inflow<'a> {
-    control: &'a mut Control,
+pub struct EventSink<'a> {
+    control: &'a mut Controller,
     now: Time,
 }
 
-impl Inflow<'_> {
-    pub fn arrived(&mut self, job: Job) {
+impl EventSink<'_> {
+    pub fn job_arrived(&mut self, job: Job) {
         let (now, control) = (self.now, &mut *self.control);
         let Some(case) = control.job_classes.get(job.job_class).cloned() else { return };
         let counts = f64::from(u8::from(job.known)); // a stranger's may be made up, and are read late for it
@@ -372,7 +372,7 @@
         }
     }
 
-    pub fn at_call(&mut self, id: &JobId) {
+    pub fn call_requested(&mut self, id: &JobId) {
         let now = self.now;
         if let Some(held) = self.control.jobs.get_mut(id).filter(|held| held.stage == Stage::OnCores) {
             held.on_cores += now.since(held.since);
@@ -398,7 +398,7 @@
         }
     }
 
-    pub fn caller_gone(&mut self, id: &JobId) {
+    pub fn caller_disconnected(&mut self, id: &JobId) {
         let control = &mut *self.control;
         let Some(held) = control.jobs.get_mut(id) else { return };
         held.answered = true;
@@ -410,17 +410,17 @@
         }
     }
 
-    pub fn leaving(&mut self, stopped_at: Time) {
+    pub fn drain_started(&mut self, stopped_at: Time) {
         self.control.leaving.get_or_insert((self.now, stopped_at));
         self.control.openness.next = None;
     }
 
     /// This server's part of the calls that all may have below is this from now on.
-    pub fn allowed(&mut self, allowed: CallLease) {
+    pub fn call_lease_updated(&mut self, allowed: CallLease) {
         self.control.gate.allowed = Some(allowed);
     }
 
-    pub fn woke(&mut self, token: u64, cores_used: Option<f64>) {
+    pub fn timer_fired(&mut self, token: u64, cores_used: Option<f64>) {
         if let Some(used) = cores_used.filter(|_| self.control.trial.jobs_wait) {
             self.control.cores_used.learn(self.now, used);
         }
@@ -428,7 +428,7 @@
     }
 }
 
-impl Control {
+impl Controller {
     /// A server that has just started; it knows nothing but this.
     pub fn new(
         job_classes: Vec<JobClass>,
@@ -438,11 +438,11 @@
         below: Dependency,
         callers: Callers,
         chance: Chance,
-    ) -> Control {
+    ) -> Controller {
         let (shortest_objective, mean_objective) = goals(job_classes.iter());
         let fade = shortest_objective * MEMORY_IN_OBJECTIVES;
         let paces = || job_classes.iter().map(|_| Pace::new(fade)).collect::<Vec<_>>();
-        Control {
+        Controller {
             on_cores: paces(),
             whole: paces(),
             any: Pace::new(fade),
@@ -488,7 +488,7 @@
     /// Between two rounds: other figures for job classes, tenants and promises, by place. What was learned
     /// stays with its place, but for places that stand for something else now; jobs in hand keep the figures
     /// that they arrived under. Places may be added at the end; `false`, and no change, if any is taken away.
-    pub fn revise(&mut self, now: Time, to: Revision) -> bool {
+    pub fn update_settings(&mut self, now: Time, to: Revision) -> bool {
         let Revision { job_classes, tenants, limits: promises, reset_classes, reset_tenants } = to;
         // A place that a job in hand may still name must stand.
         if job_classes.len() < self.job_classes.len() || tenants.len() < self.quotas.len() {
@@ -524,7 +524,7 @@
     }
 
     /// What is in hand below, and what would be: those that wait, and those rejected for want of a share.
-    pub fn need(&mut self, now: Time) -> CallDemand {
+    pub fn call_demand(&mut self, now: Time) -> CallDemand {
         let gate = &mut self.gate;
         let in_hand = (gate.in_hand + gate.lingering(now)) as f64;
         let turned_away = gate.short.read(now) * (gate.latency.usual(now) / self.fade);
@@ -535,9 +535,9 @@
     }
 
     /// One batch: hears all that came in, then writes the decisions.
-    pub fn round(&mut self, now: Time, feed: impl FnOnce(&mut Inflow), out: Out) {
+    pub fn round(&mut self, now: Time, feed: impl FnOnce(&mut EventSink), out: Out) {
         self.started.get_or_insert(now);
-        feed(&mut Inflow { control: self, now });
+        feed(&mut EventSink { control: self, now });
         self.speak(now, out);
         for id in std::mem::take(&mut self.fresh) {
             match self.jobs.get(&id).map(|held| held.stage) {
@@ -633,7 +633,7 @@
             self.jobs.remove(id);
             if self.entries.get(id).is_some_and(|entry| !entry.ran && !blind) {
                 self.entries.remove(id);
-                out.forget(id);
+                out.remove_record(id);
             }
         }
     }
@@ -646,7 +646,7 @@
     /// A run that nobody waits for is stopped, where that is allowed and the job may run again.
     fn stop_unwanted(&self, id: &JobId, out: Out) {
         if self.jobs.get(id).is_some_and(|held| held.answered && self.stoppable(held)) {
-            out.stop(id);
+            out.cancel_run(id);
         }
     }
 
@@ -659,7 +659,7 @@
             // Two that came in one batch name each other: the first of them has no entry yet and stands.
             let stands = |prior: &JobId| self.entries.contains_key(prior) || !self.jobs.contains_key(prior);
             if job.retry_of.as_ref().is_some_and(stands) {
-                out.share(id);
+                out.await_original(id);
                 return self.enter(now, id, Stage::Sharing);
             }
             if self.blind(held) {
@@ -668,7 +668,7 @@
             let until = job.reached + case.window + self.machine.tick;
             let span = until.since(now);
             if span > Span::ZERO {
-                out.remember(id, span);
+                out.store_record(id, span);
             }
             let named_until = until.max(now) + case.deadline;
             let (job_class, reached, again) = (job.job_class, job.reached, job.is_retry);
@@ -682,7 +682,7 @@
             return self.give_up(now, id, true, Some(Span::ZERO), out);
         }
         if let Some(retry_after) = job.short {
-            out.short(id);
+            out.limited_by_lease(id);
             return self.give_up(now, id, false, Some(retry_after), out);
         }
         let wait = self.call_wait(now, &self.jobs[id]);
@@ -692,7 +692,7 @@
                 self.gate.allowed.filter(|_| short).map_or(Span::ZERO, |allowed| allowed.retry_after);
             if short {
                 self.gate.short.add(now, 1.0);
-                out.short(id);
+                out.limited_by_lease(id);
             }
             let retry_after = self.gate.budget(now, wait).max(more_in);
             self.give_up(now, id, short, Some(retry_after), out);
@@ -750,7 +750,7 @@
             let within = self.gate.allowed.map_or(within, |allowed| within.min(longest(allowed)));
             self.enter(now, &id, Stage::Calling);
             self.gate.in_hand += 1;
-            out.call(
+            out.start_call(
                 &id,
                 within.min(patience.max(self.shortest_objective * WAIT_PART)).max(self.machine.tick),
             );
@@ -840,12 +840,12 @@
                     self.give_up(now, &id, false, None, out);
                     continue;
                 }
-                out.run(&id);
+                out.start_run(&id);
                 self.enter(now, &id, Stage::OnCores);
                 if let Some(entry) = self.entries.get_mut(&id) {
                     entry.ran = true;
                     // A blind repeat may have taken the entry over meanwhile.
-                    out.remember(&id, entry.until.since(now));
+                    out.store_record(&id, entry.until.since(now));
                 }
                 on_cores += 1.0;
                 crowd += 1.0;
@@ -908,7 +908,7 @@
         }
         let good = self.leaving.is_none() && self.away.is_none_or(|until| until <= now);
         if self.told_good.replace(good) != Some(good) {
-            out.health(good, true);
+            out.publish_health(good, true);
         }
         let wait = (self.hold_clears_in(now) + unread) / (self.shortest_objective * WAIT_PART);
         let wait = if self.leaving.is_some() { f64::INFINITY } else { wait };
@@ -916,7 +916,7 @@
         let value = self.openness.steer(wait, self.callers.signal, outstanding);
         if let Some(value) = value.filter(|value| self.openness.told != Some(*value)) {
             self.openness.told = Some(value);
-            out.say(value);
+            out.publish_load_signal(value);
         }
     }
 
@@ -934,7 +934,7 @@
         if self.alarm.is_none_or(|(at, _)| next < at) {
             self.numbers += 1;
             self.alarm = Some((next, self.numbers));
-            out.wake_at(next, self.numbers);
+            out.set_timer(next, self.numbers);
         }
     }
 }
--- a/crates/hazelgrade/src/desk.rs
+++ b/crates/hazelgrade/src/desk.rs
@@ -205,19 +205,19 @@
 
 /// Takes the decisions of a round, in order.
 pub trait Decisions {
-    fn run(&mut self, id: &JobId);
+    fn start_run(&mut self, id: &JobId);
     fn reject(&mut self, id: &JobId, not_elsewhere: bool, retry_after: Span);
     fn fail(&mut self, id: &JobId);
-    fn call(&mut self, id: &JobId, within: Span);
+    fn start_call(&mut self, id: &JobId, within: Span);
     fn skip_call(&mut self, id: &JobId);
-    fn stop(&mut self, id: &JobId);
-    fn share(&mut self, id: &JobId);
-    fn remember(&mut self, id: &JobId, span: Span);
-    fn forget(&mut self, id: &JobId);
-    fn say(&mut self, value: f64);
-    fn health(&mut self, good: bool, from_store: bool);
-    fn wake_at(&mut self, at: Time, token: u64);
-    fn note(&mut self, text: &str);
+    fn cancel_run(&mut self, id: &JobId);
+    fn await_original(&mut self, id: &JobId);
+    fn store_record(&mut self, id: &JobId, span: Span);
+    fn remove_record(&mut self, id: &JobId);
+    fn publish_load_signal(&mut self, value: f64);
+    fn publish_health(&mut self, good: bool, from_store: bool);
+    fn set_timer(&mut self, at: Time, token: u64);
+    fn log(&mut self, text: &str);
     /// What is decided next about this job is for want of a part of what all servers may use together.
-    fn short(&mut self, _id: &JobId) {}
+    fn limited_by_lease(&mut self, _id: &JobId) {}
 }
--- a/crates/hazelgrade/src/lib.rs
+++ b/crates/hazelgrade/src/lib.rs
@@ -1,6 +1,6 @@
 //! Decides, inside one server of a fleet, what it takes, runs and rejects.
 //!
-//! [`control::Control`] holds all decisions; the other modules hold types and arithmetic only. See
+//! [`control::Controller`] holds all decisions; the other modules hold types and arithmetic only. See
 //! `docs/design.md` for the mechanism and its exceptions.
 
 pub mod chance;
--- a/crates/hazelgrade/tests/common/mod.rs
+++ b/crates/hazelgrade/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A writer that records, and an instance with settings to change, for all tests.
 
 use hazelgrade::chance::Chance;
-use hazelgrade::control::{Control, Inflow};
+use hazelgrade::control::{Controller, EventSink};
 use hazelgrade::desk::*;
 use hazelgrade::time::{Span, Time};
 
@@ -32,27 +32,27 @@
 }
 
 impl Decisions for Record {
-    record!(run => Run, fail => Fail, skip_call => Skip, stop => Stop, share => Share, forget => Forget,);
+    record!(start_run => Run, fail => Fail, skip_call => Skip, cancel_run => Stop, await_original => Share, remove_record => Forget,);
     fn reject(&mut self, id: &JobId, not_elsewhere: bool, retry_after: Span) {
         self.0.push(Act::Reject(id.clone(), retry_after, not_elsewhere));
     }
-    fn call(&mut self, id: &JobId, within: Span) {
+    fn start_call(&mut self, id: &JobId, within: Span) {
         self.0.push(Act::Call(id.clone(), within));
     }
-    fn remember(&mut self, id: &JobId, span: Span) {
+    fn store_record(&mut self, id: &JobId, span: Span) {
         self.0.push(Act::Remember(id.clone(), span));
     }
-    fn say(&mut self, value: f64) {
+    fn publish_load_signal(&mut self, value: f64) {
         self.0.push(Act::Say(value));
     }
-    fn health(&mut self, good: bool, _: bool) {
+    fn publish_health(&mut self, good: bool, _: bool) {
         self.0.push(Act::Health(good));
     }
-    fn wake_at(&mut self, at: Time, token: u64) {
+    fn set_timer(&mut self, at: Time, token: u64) {
         self.0.push(Act::Wake(at, token));
     }
-    fn note(&mut self, _: &str) {}
-    fn short(&mut self, id: &JobId) {
+    fn log(&mut self, _: &str) {}
+    fn limited_by_lease(&mut self, id: &JobId) {
         self.0.push(Act::Limited(id.clone()));
     }
 }
@@ -114,9 +114,9 @@
 
 impl Setup {
     #[allow(dead_code)] // not every test that includes this file makes one by it
-    pub fn control(&self) -> Control {
+    pub fn control(&self) -> Controller {
         let Setup { job_classes, machine, promises, below, callers } = self.clone();
-        Control::new(job_classes, vec![], machine, promises, below, callers, Chance::new(7))
+        Controller::new(job_classes, vec![], machine, promises, below, callers, Chance::new(7))
     }
 }
 
@@ -140,7 +140,7 @@
 }
 
 /// One round; what was decided in it.
-pub fn round(control: &mut Control, now: Time, feed: impl FnOnce(&mut Inflow)) -> Vec<Act> {
+pub fn round(control: &mut Controller, now: Time, feed: impl FnOnce(&mut EventSink)) -> Vec<Act> {
     let mut record = Record::default();
     control.round(now, feed, &mut record);
     record.0
--- a/crates/hazelgrade/tests/crowd.rs
+++ b/crates/hazelgrade/tests/crowd.rs
@@ -6,7 +6,7 @@
 
 use common::*;
 use hazelgrade::chance::Chance;
-use hazelgrade::control::Control;
+use hazelgrade::control::Controller;
 use hazelgrade::desk::*;
 use hazelgrade::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
@@ -42,7 +42,7 @@
 }
 
 struct Server {
-    control: Control,
+    control: Controller,
     zone: usize,
     begun: f64,
     speed: f64,
@@ -119,7 +119,7 @@
     let Setup { job_classes, machine, promises, below, callers } = setup;
     let chance = Chance::new(seed);
     Server {
-        control: Control::new(job_classes, vec![], machine, promises, below, callers, chance),
+        control: Controller::new(job_classes, vec![], machine, promises, below, callers, chance),
         zone: number % ZONES,
         begun: if cold { now } else { now - WARM_UP },
         speed: 1.0,
@@ -331,12 +331,12 @@
         }
         let busy = (sharing / CORES).min(1.0);
         let acts = round(&mut server.control, at(now), |inflow| {
-            arrived.into_iter().for_each(|(job, _)| inflow.arrived(job));
+            arrived.into_iter().for_each(|(job, _)| inflow.job_arrived(job));
             for (id, _, since) in over {
                 inflow.run_ended(&id, Outcome::Completed, at(now).since(since));
                 done.push(id);
             }
-            fired.iter().for_each(|token| inflow.woke(*token, Some(busy)));
+            fired.iter().for_each(|token| inflow.timer_fired(*token, Some(busy)));
         });
         for id in done {
             self.answered(number, &id, true, None);
@@ -664,7 +664,7 @@
     for seed in 0..300 {
         let Setup { job_classes, machine, promises, below, callers } = setup.clone();
         let mut control =
-            Control::new(job_classes, vec![], machine, promises, below, callers, Chance::new(seed));
+            Controller::new(job_classes, vec![], machine, promises, below, callers, Chance::new(seed));
         let (mut off, mut told, mut runs) = (None, None, VecDeque::new());
         for step in 0..600 {
             let now = at(f64::from(step) * 10.0);
@@ -675,10 +675,10 @@
             let acts = round(&mut control, now, |inflow| {
                 for number in 0..count {
                     let late = if step == 100 { 0.0 } else { 1500.0 };
-                    inflow.arrived(job(&format!("{step}-{number}"), now - ms(late)));
+                    inflow.job_arrived(job(&format!("{step}-{number}"), now - ms(late)));
                 }
                 ended.iter().for_each(|(id, _)| inflow.run_ended(id, Outcome::Completed, ms(300.0)));
-                inflow.woke(u64::MAX, Some(0.5));
+                inflow.timer_fired(u64::MAX, Some(0.5));
             });
             for act in acts {
                 match act {
--- a/crates/hazelgrade/tests/decisions.rs
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -6,7 +6,7 @@
 
 use common::*;
 use hazelgrade::chance::Chance;
-use hazelgrade::control::{Control, Inflow};
+use hazelgrade::control::{Controller, EventSink};
 use hazelgrade::desk::*;
 use hazelgrade::time::{Span, Time};
 use sha2::{Digest, Sha256};
@@ -172,10 +172,10 @@
     }
 
     /// Tells the controller all that happens in this tick.
-    fn feed(&mut self, now: Time, inflow: &mut Inflow) {
+    fn feed(&mut self, now: Time, inflow: &mut EventSink) {
         for job in self.arrivals(now) {
             let calls_left = (self.random.draw() * 3.0) as u32;
-            inflow.arrived(job.clone());
+            inflow.job_arrived(job.clone());
             self.events += 1;
             let tracked =
                 Tracked { job, at: At::Queued, answered: false, calls_left, began: now, cancelled: false };
@@ -190,7 +190,7 @@
                 continue;
             }
             let used = self.happens(0.8).then(|| 0.5 + 0.5 * self.random.draw());
-            inflow.woke(token, used);
+            inflow.timer_fired(token, used);
             self.events += 1;
         }
         let quarter = (now.as_ms() / TICK_MS) as u64 % 25 == 0;
@@ -198,7 +198,7 @@
             let calls = self.between(0.0, 6.0).floor();
             let until = now + ms(self.between(100.0, 600.0));
             let longest = ms(self.between(300.0, 2000.0));
-            inflow.allowed(CallLease {
+            inflow.call_lease_updated(CallLease {
                 calls,
                 expires: until,
                 calls_after_expiry: 1.0,
@@ -211,13 +211,13 @@
             && now.as_ms() >= at
             && now.as_ms() < at + TICK_MS
         {
-            inflow.leaving(now + ms(lasts));
+            inflow.drain_started(now + ms(lasts));
             self.events += 1;
         }
     }
 
     /// Runs and calls go on, and end.
-    fn progress(&mut self, now: Time, inflow: &mut Inflow) {
+    fn progress(&mut self, now: Time, inflow: &mut EventSink) {
         let running = self.jobs.values().filter(|job| matches!(job.at, At::Running { .. })).count() as f64;
         let step = TICK_MS * (self.history.setup.machine.cores / running.max(1.0)).min(1.0);
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
@@ -244,7 +244,7 @@
         }
     }
 
-    fn run_step_over(&mut self, id: &JobId, now: Time, calls: bool, inflow: &mut Inflow) {
+    fn run_step_over(&mut self, id: &JobId, now: Time, calls: bool, inflow: &mut EventSink) {
         let ends = self.happens(0.03);
         let preempted = self.happens(0.01);
         let tracked = self.jobs.get_mut(id).expect("tracked");
@@ -260,7 +260,7 @@
         } else if calls && tracked.calls_left > 0 {
             tracked.calls_left -= 1;
             tracked.at = At::AtCall;
-            inflow.at_call(id);
+            inflow.call_requested(id);
         } else {
             let outcome = if ends { Outcome::Failed } else { Outcome::Completed };
             inflow.run_ended(id, outcome, now.since(tracked.began));
@@ -268,7 +268,7 @@
         }
     }
 
-    fn disconnects(&mut self, inflow: &mut Inflow) {
+    fn disconnects(&mut self, inflow: &mut EventSink) {
         if !self.happens(0.05) || self.jobs.is_empty() {
             return;
         }
@@ -277,7 +277,7 @@
         let Some(tracked) = self.jobs.get_mut(&id).filter(|tracked| !tracked.answered) else { return };
         tracked.answered = true;
         let waits = matches!(tracked.at, At::Queued | At::Original);
-        inflow.caller_gone(&id);
+        inflow.caller_disconnected(&id);
         self.events += 1;
         if waits {
             self.jobs.remove(&id);
@@ -395,7 +395,7 @@
     let Setup { job_classes, machine, promises, below, callers } = history.setup.clone();
     let tenants = history.tenants.clone();
     let random = Chance::new(history.seed + 1);
-    let mut control = Control::new(job_classes, tenants, machine, promises, below, callers, random);
+    let mut control = Controller::new(job_classes, tenants, machine, promises, below, callers, random);
     let mut world = World::new(history);
     let (mut now_ms, mut updates) = (0.0, 0);
     while now_ms < history.lasts_ms {
@@ -404,10 +404,10 @@
         for act in &decided {
             world.apply(act, now);
         }
-        let need = control.need(now);
+        let need = control.call_demand(now);
         world.digest.update(format!("need {} {}\n", need.in_flight, need.wanted).as_bytes());
         if history.updates_ms.get(updates).is_some_and(|due| *due <= now_ms) {
-            let taken = control.revise(now, update(history, updates));
+            let taken = control.update_settings(now, update(history, updates));
             world.digest.update(format!("update {taken}\n").as_bytes());
             updates += 1;
         }
--- a/crates/hazelgrade/tests/failures.rs
+++ b/crates/hazelgrade/tests/failures.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use hazelgrade::control::{Control, Inflow};
+use hazelgrade::control::{Controller, EventSink};
 use hazelgrade::desk::*;
 use hazelgrade::time::{Span, Time};
 
@@ -16,18 +16,18 @@
 }
 
 /// Brings `count` jobs to their call at `now`, each after a run of 10 ms.
-fn at_calls(control: &mut Control, now: f64, from: usize, count: usize) -> Vec<Act> {
+fn at_calls(control: &mut Controller, now: f64, from: usize, count: usize) -> Vec<Act> {
     let mut acts = vec![];
     for number in from..from + count {
         let id = format!("c{number}");
-        acts.extend(round(control, at(now), |inflow| inflow.arrived(job(&id, at(now)))));
-        acts.extend(round(control, at(now), |inflow| inflow.at_call(&id.as_str().into())));
+        acts.extend(round(control, at(now), |inflow| inflow.job_arrived(job(&id, at(now)))));
+        acts.extend(round(control, at(now), |inflow| inflow.call_requested(&id.as_str().into())));
     }
     acts
 }
 
 /// The call of job `id`, made at 0, comes back at `now`.
-fn call_done(control: &mut Control, id: &str, now: f64) -> Vec<Act> {
+fn call_done(control: &mut Controller, id: &str, now: f64) -> Vec<Act> {
     round(control, at(now), |inflow| inflow.call_ended(&id.into(), Outcome::Completed, ms(now)))
 }
 
@@ -40,7 +40,7 @@
     let mut control = setup().control();
     let acts = at_calls(&mut control, 0.0, 0, 16);
     assert_eq!(made(&acts).len(), 8, "eight permits at the start");
-    let acts = round(&mut control, at(1.0), |inflow| inflow.arrived(job("late", at(1.0))));
+    let acts = round(&mut control, at(1.0), |inflow| inflow.job_arrived(job("late", at(1.0))));
     let retry_after = acts
         .iter()
         .find_map(|act| if let Act::Reject(_, retry_after, _) = act { Some(*retry_after) } else { None });
@@ -58,12 +58,12 @@
     for number in 0..50 {
         let mut again = job(&format!("r{number}"), at(5.0));
         again.is_retry = true;
-        let acts = round(&mut control, at(5.0), |inflow| inflow.arrived(again));
+        let acts = round(&mut control, at(5.0), |inflow| inflow.job_arrived(again));
         assert!(rejected(&acts, &format!("r{number}")), "the queue is as full as before");
     }
     let acts = call_done(&mut control, "c0", 100.0);
     assert_eq!(made(&acts).len(), 1, "one permit came back");
-    let acts = round(&mut control, at(101.0), |inflow| inflow.arrived(job("new", at(101.0))));
+    let acts = round(&mut control, at(101.0), |inflow| inflow.job_arrived(job("new", at(101.0))));
     assert!(!rejected(&acts, "new"), "the learned depth takes it");
 }
 
@@ -88,7 +88,7 @@
 fn a_call_queued_past_its_budget_or_whose_caller_left_is_never_made() {
     let mut control = setup().control();
     at_calls(&mut control, 0.0, 0, 9);
-    let acts = round(&mut control, at(2100.0), |inflow| inflow.woke(1, None));
+    let acts = round(&mut control, at(2100.0), |inflow| inflow.timer_fired(1, None));
     assert!(rejected(&acts, "c8"), "{acts:?}");
     let acts = call_done(&mut control, "c0", 2200.0);
     assert!(made(&acts).is_empty(), "{acts:?}");
@@ -96,7 +96,7 @@
     let mut control = setup().control();
     at_calls(&mut control, 0.0, 0, 10);
     let acts = round(&mut control, at(50.0), |inflow| {
-        inflow.caller_gone(&"c8".into());
+        inflow.caller_disconnected(&"c8".into());
         inflow.call_ended(&"c0".into(), Outcome::Completed, ms(50.0));
     });
     assert_eq!(made(&acts), vec!["c9".into()]);
@@ -108,10 +108,10 @@
     let mut setup = setup();
     setup.job_classes[0].idempotency = Idempotency::Keyed;
     let mut control = setup.control();
-    assert_eq!(runs(&round(&mut control, at(500.0), |inflow| inflow.arrived(job("first", at(0.0))))), 1);
+    assert_eq!(runs(&round(&mut control, at(500.0), |inflow| inflow.job_arrived(job("first", at(0.0))))), 1);
     let mut again = job("again", at(400.0));
     again.is_retry = true;
-    let acts = round(&mut control, at(600.0), |inflow| inflow.arrived(again));
+    let acts = round(&mut control, at(600.0), |inflow| inflow.job_arrived(again));
     assert!(acts.contains(&Act::Fail("again".into())) && runs(&acts) == 0, "{acts:?}");
 }
 
@@ -157,7 +157,7 @@
     let mut calls = 0;
     for number in 8..16 {
         let id: JobId = format!("c{number}").as_str().into();
-        let ended = |inflow: &mut Inflow| inflow.call_ended(&id, Outcome::Completed, ms(100.0));
+        let ended = |inflow: &mut EventSink| inflow.call_ended(&id, Outcome::Completed, ms(100.0));
         calls += made(&round(&mut control, at(200.0), ended)).len();
     }
     assert!(calls >= 12, "{calls} calls, 8 of them for those that came back");
@@ -173,8 +173,8 @@
     for step in 0..40 {
         let (id, start) = (format!("t{step}"), 400.0 * f64::from(step));
         let took = if step < 20 { 60.0 } else { 180.0 };
-        round(&mut control, at(start), |inflow| inflow.arrived(job(&id, at(start))));
-        round(&mut control, at(start + 100.0), |inflow| inflow.at_call(&id.as_str().into()));
+        round(&mut control, at(start), |inflow| inflow.job_arrived(job(&id, at(start))));
+        round(&mut control, at(start + 100.0), |inflow| inflow.call_requested(&id.as_str().into()));
         round(&mut control, at(start + 100.0 + took), |inflow| {
             inflow.call_ended(&id.as_str().into(), Outcome::Completed, ms(took));
         });
@@ -197,9 +197,9 @@
     let mut control = setup.control();
     at_calls(&mut control, 0.0, 0, 4);
     (0..4).for_each(|number| drop(call_done(&mut control, &format!("c{number}"), 400.0)));
-    let late = |control: &mut Control, id: &str, start: f64, age: f64| {
-        round(control, at(start), |inflow| inflow.arrived(job(id, at(start))));
-        round(control, at(start + age), |inflow| inflow.at_call(&id.into()))
+    let late = |control: &mut Controller, id: &str, start: f64, age: f64| {
+        round(control, at(start), |inflow| inflow.job_arrived(job(id, at(start))));
+        round(control, at(start + age), |inflow| inflow.call_requested(&id.into()))
     };
     assert_eq!(made(&late(&mut control, "some", 2000.0, 1750.0)), vec!["some".into()]);
     let acts = late(&mut control, "none", 6000.0, 1850.0);
@@ -281,7 +281,7 @@
         round(&mut control, at(5000.0), |inflow| {
             for number in 0..12 {
                 let job = job(&format!("j{number}"), at(5000.0 - unread));
-                inflow.arrived(Job { known, ..job });
+                inflow.job_arrived(Job { known, ..job });
             }
         })
     };
@@ -301,9 +301,9 @@
         for step in 1..60 {
             let now = at(100.0 * f64::from(step));
             let acts = round(&mut control, now, |inflow| {
-                inflow.woke(0, Some(used));
+                inflow.timer_fired(0, Some(used));
                 last.iter().for_each(|id| inflow.run_ended(id, Outcome::Completed, ms(100.0)));
-                (0..12).for_each(|number| inflow.arrived(job(&format!("j{step}-{number}"), now)));
+                (0..12).for_each(|number| inflow.job_arrived(job(&format!("j{step}-{number}"), now)));
             });
             last = acts
                 .iter()
@@ -329,9 +329,10 @@
             continue;
         }
         let acts = round(&mut control, now, |inflow| {
-            due.iter().for_each(|(_, token)| inflow.woke(*token, None));
+            due.iter().for_each(|(_, token)| inflow.timer_fired(*token, None));
             ran.drain(..).for_each(|id| inflow.run_ended(&id, Outcome::Completed, ms(10.0)));
-            (0..u32::from(comes)).for_each(|_| inflow.arrived(job(&format!("j{step}"), now - ms(1900.0))));
+            (0..u32::from(comes))
+                .for_each(|_| inflow.job_arrived(job(&format!("j{step}"), now - ms(1900.0))));
         });
         for act in acts {
             match act {
@@ -356,14 +357,14 @@
 }
 
 /// A server of `cores` cores without calls that has learned that jobs take 350 ms, by `at(2200.0)`.
-fn taught(cores: f64, mark_retries: bool) -> Control {
+fn taught(cores: f64, mark_retries: bool) -> Controller {
     let mut setup = setup();
     (setup.machine.cores, setup.job_classes[0].calls, setup.callers.mark_retries) =
         (cores, false, mark_retries);
     let mut control = setup.control();
     for step in 0..6 {
         let (id, now) = (format!("t{step}"), 350.0 * f64::from(step));
-        round(&mut control, at(now), |inflow| inflow.arrived(job(&id, at(now))));
+        round(&mut control, at(now), |inflow| inflow.job_arrived(job(&id, at(now))));
         round(&mut control, at(now + 350.0), |inflow| {
             inflow.run_ended(&id.as_str().into(), Outcome::Completed, ms(350.0));
         });
@@ -376,7 +377,7 @@
 fn a_job_is_not_bounced_for_the_time_of_its_own_run() {
     let mut control = taught(1.0, true);
     let acts = round(&mut control, at(2200.0), |inflow| {
-        ["runs", "head"].iter().for_each(|id| inflow.arrived(job(id, at(1500.0))));
+        ["runs", "head"].iter().for_each(|id| inflow.job_arrived(job(id, at(1500.0))));
     });
     assert!(runs(&acts) == 1 && !rejected(&acts, "head"), "{acts:?}");
 }
@@ -385,9 +386,9 @@
 #[test]
 fn one_long_run_does_not_bounce_the_hold() {
     let mut control = taught(2.0, true);
-    round(&mut control, at(2200.0), |inflow| inflow.arrived(job("long", at(2200.0))));
+    round(&mut control, at(2200.0), |inflow| inflow.job_arrived(job("long", at(2200.0))));
     let acts = round(&mut control, at(4100.0), |inflow| {
-        ["a", "b", "c", "d"].iter().for_each(|id| inflow.arrived(job(id, at(4100.0))));
+        ["a", "b", "c", "d"].iter().for_each(|id| inflow.job_arrived(job(id, at(4100.0))));
     });
     assert!(["a", "b", "c", "d"].iter().all(|id| !rejected(&acts, id)), "{acts:?}");
 }
@@ -396,7 +397,7 @@
 #[test]
 fn own_bounces_tell_crowding_where_retries_are_not_marked() {
     let acts = round(&mut taught(2.0, false), at(2200.0), |inflow| {
-        (0..40).for_each(|number| inflow.arrived(job(&format!("j{number}"), at(2200.0))));
+        (0..40).for_each(|number| inflow.job_arrived(job(&format!("j{number}"), at(2200.0))));
     });
     let mut last = acts.iter().filter_map(|a| if let Act::Reject(.., last) = a { Some(*last) } else { None });
     assert!(last.next() == Some(false) && last.next_back() == Some(true), "{acts:?}");
--- a/crates/hazelgrade/tests/rules.rs
+++ b/crates/hazelgrade/tests/rules.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use hazelgrade::chance::Chance;
-use hazelgrade::control::Control;
+use hazelgrade::control::Controller;
 use hazelgrade::desk::*;
 use hazelgrade::time::{Span, Time};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -316,7 +316,7 @@
 }
 
 /// All that happens in the world at a tick, told to the module; its decisions, if anything happened.
-fn events(world: &mut World, control: &mut Control, now: Time, leaves: Time) -> Option<Vec<Act>> {
+fn events(world: &mut World, control: &mut Controller, now: Time, leaves: Time) -> Option<Vec<Act>> {
     let (mut arrived, mut ended, mut at_call, mut returned, mut gone) =
         (vec![], vec![], vec![], vec![], vec![]);
     let ids: Vec<JobId> = world.jobs.keys().cloned().collect();
@@ -396,15 +396,15 @@
     }
     Some(round(control, now, |inflow| {
         inflow.run_ended(&"stranger".into(), Outcome::Superseded, Span::ZERO); // odd but legal, as is the next
-        inflow.woke(u64::MAX, None);
-        arrived.into_iter().for_each(|job| inflow.arrived(job));
+        inflow.timer_fired(u64::MAX, None);
+        arrived.into_iter().for_each(|job| inflow.job_arrived(job));
         ended.iter().for_each(|(id, outcome, took)| inflow.run_ended(id, *outcome, *took));
-        at_call.iter().for_each(|id| inflow.at_call(id));
+        at_call.iter().for_each(|id| inflow.call_requested(id));
         returned.iter().for_each(|(id, outcome, took)| inflow.call_ended(id, *outcome, *took));
-        gone.iter().for_each(|id| inflow.caller_gone(id));
-        fired.iter().for_each(|token| inflow.woke(*token, Some(busy)));
+        gone.iter().for_each(|id| inflow.caller_disconnected(id));
+        fired.iter().for_each(|token| inflow.timer_fired(*token, Some(busy)));
         if let Some(stop) = leaving {
-            inflow.leaving(stop);
+            inflow.drain_started(stop);
         }
     }))
 }
