--- a/crates/hazelgrade-config/src/document.rs
+++ b/crates/hazelgrade-config/src/document.rs
@@ -408,15 +408,15 @@
                 priority_weight: number("earnings", 1.0),
                 late_weight_ratio: number("late_part", 0.0),
                 idempotency: repeats,
-                window: span("window_ms"),
-                calls: fields.truth(&format!("use_case/{name}/calls")).unwrap_or(true),
+                retry_window: span("window_ms"),
+                calls_dependency: fields.truth(&format!("use_case/{name}/calls")).unwrap_or(true),
                 weight_ratio_without_call: number("part_without_call", 0.0),
             };
             ((*name).to_owned(), case)
         };
         let tenant = |name: &&str| {
             let quota = fields.number(&format!("customer/{name}/quota_per_s")).unwrap_or(f64::INFINITY);
-            ((*name).to_owned(), Tenant { quota })
+            ((*name).to_owned(), Tenant { quota_per_s: quota })
         };
         let span = |path: &str, usual: Span| fields.number(path).map_or(usual, Span::from_ms);
         Serving {
--- a/crates/hazelgrade-server/src/program/streaming.rs
+++ b/crates/hazelgrade-server/src/program/streaming.rs
@@ -6,7 +6,7 @@
 use crate::routing::job::Parts;
 use futures_lite::future::{BoxedLocal, FutureExt};
 use hazelgrade::chance::Chance;
-use hazelgrade::desk::{JobClass, Placed, Revision, ServiceLimits, Tenant};
+use hazelgrade::desk::{ClassSlot, JobClass, ServiceLimits, SettingsUpdate, Tenant};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::document::{MAX_JOB_CLASSES, MAX_TENANTS};
 use hazelgrade_config::operator::Streamed;
@@ -197,8 +197,8 @@
             Some(serving) => (serving.job_classes, serving.tenants, serving.promises),
             None => (Vec::new(), Vec::new(), around.promises.clone()),
         };
-        cases.iter_mut().for_each(|(_, case)| case.calls &= around.calls_below);
-        let rest = |case: &JobClass| (case.deadline + case.window) * REST;
+        cases.iter_mut().for_each(|(_, case)| case.calls_dependency &= around.calls_below);
+        let rest = |case: &JobClass| (case.deadline + case.retry_window) * REST;
         let longest = cases.iter().map(|(_, case)| rest(case)).max().unwrap_or(Span::ZERO);
         let (job_classes, reset_classes) =
             self.job_classes.borrow().revised(now, &cases, rest, MAX_JOB_CLASSES, |place| {
@@ -215,9 +215,11 @@
         let places = document.map(|document| document.places(&around.name)).unwrap_or_default();
         around.reload.stream(places)?;
         let in_use = |place: usize| job_classes.places.name(place).is_some_and(|(_, in_use)| in_use);
-        let placed =
-            |(place, figures): (usize, &JobClass)| Placed { figures: figures.clone(), in_use: in_use(place) };
-        let revision = Revision {
+        let placed = |(place, figures): (usize, &JobClass)| ClassSlot {
+            class: figures.clone(),
+            in_use: in_use(place),
+        };
+        let revision = SettingsUpdate {
             job_classes: job_classes.figures.iter().enumerate().map(placed).collect(),
             tenants: tenants.figures.clone(),
             limits: promises,
--- a/crates/hazelgrade-server/src/protocol/jsonrpc.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc.rs
@@ -185,7 +185,8 @@
         None | Some(Value::Null) => false,
         Some(_) => params.number("resent", |mark| mark == 0.0 || mark == 1.0, "1, or no such field")? > 0.0,
     };
-    let held_kb = params.number("need", |kb| kb > 0.0 && kb < 2000.0, "kilobytes, above 0 and under 2000")?;
+    let queued_kb =
+        params.number("need", |kb| kb > 0.0 && kb < 2000.0, "kilobytes, above 0 and under 2000")?;
     let rank = params.number("level", |rank| (0.0..1.0).contains(&rank), "from 0 to under 1")?;
     // The page of the protocol names no mark for keyed jobs; the site's list of names calls it `opkey`.
     let (name, shown) = match site.job_classes[job_class].repeats {
@@ -201,16 +202,16 @@
         id: id.into(),
         job_class,
         tenant,
-        reached: Time::from_ms(reached),
+        received_at: Time::from_ms(reached),
         caller_deadline: None,
-        work: None,
-        held_kb,
-        rank,
+        expected_work: None,
+        queued_kb,
+        priority_rank: rank,
         is_retry: again,
         retry_of: None,
-        known: false,
-        beyond: false,
-        short: None,
+        from_known_caller: false,
+        over_caller_limit: false,
+        lease_retry_after: None,
     };
     let token = if site.callers_known { token(params)? } else { None };
     Ok(Asked { call, job, body, mark, token, for_customer })
--- a/crates/hazelgrade-server/src/routing/callers.rs
+++ b/crates/hazelgrade-server/src/routing/callers.rs
@@ -114,7 +114,7 @@
         });
         match may {
             Ok((tenant, beyond)) => {
-                (asked.job.tenant, asked.job.beyond) = (tenant, beyond);
+                (asked.job.tenant, asked.job.over_caller_limit) = (tenant, beyond);
                 Ok(())
             }
             Err(refused) => {
--- a/crates/hazelgrade-server/src/routing/front.rs
+++ b/crates/hazelgrade-server/src/routing/front.rs
@@ -133,7 +133,7 @@
             client.put(&jsonrpc::encode(call, &answer, parts.rounds.said()));
             return client.misused();
         }
-        let reached = parts.rounds.clock.past(asked.job.reached);
+        let reached = parts.rounds.clock.past(asked.job.received_at);
         let now = parts.rounds.clock.now();
         let (deadline, numbered) = {
             let site = parts.site.borrow();
@@ -147,7 +147,7 @@
             let rejected = Answer::Rejected { not_elsewhere: false, retry_after: Span::ZERO };
             return client.put(&jsonrpc::encode(call, &rejected, parts.rounds.said()));
         }
-        if over || asked.job.reached > now + Span::from_ms(AHEAD_MS) {
+        if over || asked.job.received_at > now + Span::from_ms(AHEAD_MS) {
             return self.refuse(client, &jsonrpc::wrong_time(call));
         }
         let mark = asked.mark.take().filter(|_| numbered);
@@ -162,13 +162,13 @@
             return client.misused();
         }
         client.open(call, id.clone());
-        asked.job.reached = reached;
-        asked.job.known = client.is_proved();
+        asked.job.received_at = reached;
+        asked.job.from_known_caller = client.is_proved();
         asked.job.retry_of = key.and_then(|key| parts.result_cache.arrived(&id, key, reached, deadline));
         if let Some(seat) = parts.rounds.seat() {
             let site = parts.site.borrow();
             let tenant = site.tenants.get(asked.job.tenant).and_then(Option::as_deref);
-            asked.job.short = seat.arrived(&asked.job, tenant);
+            asked.job.lease_retry_after = seat.arrived(&asked.job, tenant);
         }
         parts.tally.borrow_mut().arrived += 1;
         let turns = parts.hand.take(id, words, asker);
--- a/crates/hazelgrade-server/src/routing/hand.rs
+++ b/crates/hazelgrade-server/src/routing/hand.rs
@@ -61,7 +61,14 @@
 impl Words {
     pub fn of(asked: &Asked) -> Words {
         let job = &asked.job;
-        Words(job.job_class, job.tenant, job.reached, job.held_kb, job.rank, asked.body.clone())
+        Words(
+            job.job_class,
+            job.tenant,
+            job.received_at,
+            job.queued_kb,
+            job.priority_rank,
+            asked.body.clone(),
+        )
     }
 }
 
--- a/crates/hazelgrade-server/src/routing/job.rs
+++ b/crates/hazelgrade-server/src/routing/job.rs
@@ -129,7 +129,7 @@
 
     // It has arrived; the module hears of it, and its verdict comes as a turn. With `--log trace` a job can be followed
     // by its id through every instance that touched it.
-    let unread_ms = parts.rounds.clock.now().since(job.reached).as_ms();
+    let unread_ms = parts.rounds.clock.now().since(job.received_at).as_ms();
     tracing::trace!(job = &*id, job_class, again = job.is_retry, unread_ms, "arrived");
     parts.rounds.tell(Event::Arrived(job));
     let mut result = None;
--- a/crates/hazelgrade-server/src/routing/rounds.rs
+++ b/crates/hazelgrade-server/src/routing/rounds.rs
@@ -11,7 +11,7 @@
 use async_io::Timer;
 use futures_lite::future::or;
 use hazelgrade::control::{Controller, EventSink};
-use hazelgrade::desk::{CallLease, Decisions, Job, JobId, Outcome, Revision};
+use hazelgrade::desk::{CallLease, Decisions, Job, JobId, Outcome, SettingsUpdate};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_net::bell::Bell;
 use std::cell::{Cell, RefCell};
@@ -134,7 +134,7 @@
     }
 
     /// Other figures to go by, from the next round on.
-    pub fn revise(&self, to: Revision) -> bool {
+    pub fn revise(&self, to: SettingsUpdate) -> bool {
         self.control.borrow_mut().update_settings(self.clock.now(), to)
     }
 
--- a/crates/hazelgrade-settings/src/lib.rs
+++ b/crates/hazelgrade-settings/src/lib.rs
@@ -142,8 +142,8 @@
                 "unsafe" => Idempotency::AtMostOnce,
                 _ => return fault("settings.classes.idempotency", "safe, keyed or unsafe"),
             },
-            window: part.span("window", 0.0)?,
-            calls: calls_below && at(calls).and_then(|value| value.as_bool()).unwrap_or(true),
+            retry_window: part.span("window", 0.0)?,
+            calls_dependency: calls_below && at(calls).and_then(|value| value.as_bool()).unwrap_or(true),
             weight_ratio_without_call: at(skips).and_then(|value| value.as_f64()).unwrap_or(0.0),
         });
         named.push(Named {
@@ -156,15 +156,15 @@
     let (mut tenants, mut names) = (Vec::new(), Vec::new());
     for tenant in list(settings, "customers")? {
         let part = Part { value: Some(tenant), path: "customers" };
-        tenants.push(Tenant { quota: part.number("quotaPerS", f64::INFINITY)? });
+        tenants.push(Tenant { quota_per_s: part.number("quotaPerS", f64::INFINITY)? });
         names.push(Some(part.word("name", "")?.into()));
     }
     let guarantees = Part::of(settings, "guarantees");
     let machine = Machine {
         cores: specifics.number("cores", 1.0)?.max(1.0),
         memory_kb: specifics.number("memoryKb", f64::INFINITY)?,
-        running_factor: specifics.number("blowup", 1.0)?,
-        entry_kb: specifics.number("keyKb", 0.0)?,
+        running_memory_ratio: specifics.number("blowup", 1.0)?,
+        record_kb: specifics.number("keyKb", 0.0)?,
         cold: specifics.truth("cold")?,
         cancellation: match specifics.word("halt", "silent")? {
             "silent" | "none" => Cancellation::Unsupported,
@@ -189,19 +189,19 @@
     };
     let ceilings = Part::of(settings, "ceilings");
     let advice = ceilings.truth("retryAfter")?;
-    let callers = Callers {
+    let callers = CallerSettings {
         count: specifics.number("callers", 1.0)?,
         signal: match specifics.word("signal", "silent")? {
-            "silent" | "none" => Signal::Silent,
-            "level" => Signal::Level,
-            "credit" => Signal::Credit,
-            "weight" => Signal::Weight,
+            "silent" | "none" => LoadSignal::Silent,
+            "level" => LoadSignal::Level,
+            "credit" => LoadSignal::Credit,
+            "weight" => LoadSignal::Weight,
             _ => return fault("settings.specifics.signal", "silent, level, credit or weight"),
         },
-        heeded_for: specifics.span("saidFor", 1000.0)?,
+        signal_lifetime: specifics.span("saidFor", 1000.0)?,
         max_retry_after: if advice { ceilings.span("maxRetryAfter", 0.0)? } else { Span::ZERO },
         mark_retries: Part::of(settings, "clients").truth("marksRetry")?,
-        fleet: Part { value: Some(settings), path: "" }.number("fleetSize", 1.0)?,
+        fleet_size: Part { value: Some(settings), path: "" }.number("fleetSize", 1.0)?,
         over_quota_weight_ratio: Part { value: Some(settings), path: "" }.number("overShareWorth", 1.0)?,
     };
     let gauges = list(specifics.value.unwrap_or(&Value::Null), "ownStats")?;
--- a/crates/hazelgrade-simulator-adapter/src/wire.rs
+++ b/crates/hazelgrade-simulator-adapter/src/wire.rs
@@ -157,7 +157,7 @@
     fields.text("affinity")?;
     let expires = fields.number("expires", f64::MIN, Some(0.0))?;
     let cost = fields.number("costGuess", 0.0, Some(0.0))?;
-    let held_kb = fields.number("sizeKb", 0.0, Some(0.0))?;
+    let queued_kb = fields.number("sizeKb", 0.0, Some(0.0))?;
     let rank = fields.number("standing", 0.0, Some(0.0))?;
     if rank >= 1.0 {
         return fault("standing", "a number from 0 up to less than 1");
@@ -179,16 +179,16 @@
         id,
         job_class,
         tenant,
-        reached: now - lay,
+        received_at: now - lay,
         caller_deadline,
-        work,
-        held_kb,
-        rank,
+        expected_work: work,
+        queued_kb,
+        priority_rank: rank,
         is_retry: again,
         retry_of: repeats,
-        known: true,
-        beyond: false,
-        short: None,
+        from_known_caller: true,
+        over_caller_limit: false,
+        lease_retry_after: None,
     })
 }
 
--- a/crates/hazelgrade/src/control.rs
+++ b/crates/hazelgrade/src/control.rs
@@ -234,17 +234,17 @@
 }
 
 impl Openness {
-    fn steer(&mut self, wait: f64, signal: Signal, outstanding: f64) -> Option<f64> {
+    fn steer(&mut self, wait: f64, signal: LoadSignal, outstanding: f64) -> Option<f64> {
         // Only a credit means anything above 1; the others would just be late to close.
-        let most = if signal == Signal::Credit { 5.0 } else { 1.0 };
+        let most = if signal == LoadSignal::Credit { 5.0 } else { 1.0 };
         let factor = if wait > 1.0 { 1.0 - 0.01 * (wait - 1.0).min(1.0) } else { 1.0 + 0.06 * (1.0 - wait) };
         self.open = (self.open * factor).clamp(0.08, most);
         let open = self.open / wait.max(1.0).sqrt();
         match signal {
-            Signal::Silent => None,
-            Signal::Weight => Some(open),
-            Signal::Credit => Some(open * outstanding),
-            Signal::Level => Some(1.0 - open),
+            LoadSignal::Silent => None,
+            LoadSignal::Weight => Some(open),
+            LoadSignal::Credit => Some(open * outstanding),
+            LoadSignal::Level => Some(1.0 - open),
         }
     }
 }
@@ -264,9 +264,9 @@
     /// A keyed job that no entry links may still repeat one that ran, if both were on the machine unread
     /// at a time. With marked repeats one of the two is marked; else they lie a wait of a caller apart.
     fn may_be(&self, job: &Job, read: Time, marked: bool, apart: Span) -> bool {
-        let between = job.reached.since(self.reached) + self.reached.since(job.reached);
+        let between = job.received_at.since(self.reached) + self.reached.since(job.received_at);
         let lie = if marked { self.again || job.is_retry } else { between >= apart };
-        let unread_together = self.kept != read && job.reached < self.kept && self.reached < read;
+        let unread_together = self.kept != read && job.received_at < self.kept && self.reached < read;
         self.ran && self.job_class == job.job_class && unread_together && lie
     }
 }
@@ -275,7 +275,7 @@
     job_classes: Vec<Rc<JobClass>>,
     machine: Machine,
     promises: ServiceLimits,
-    callers: Callers,
+    callers: CallerSettings,
     jobs: BTreeMap<JobId, InHand>,
     fresh: Vec<JobId>,
     entries: BTreeMap<JobId, Entry>,
@@ -313,9 +313,9 @@
     pub fn job_arrived(&mut self, job: Job) {
         let (now, control) = (self.now, &mut *self.control);
         let Some(case) = control.job_classes.get(job.job_class).cloned() else { return };
-        let counts = f64::from(u8::from(job.known)); // a stranger's may be made up, and are read late for it
-        if job.known {
-            let waited = now.since(job.reached);
+        let counts = f64::from(u8::from(job.from_known_caller)); // a stranger's may be made up, and are read late for it
+        if job.from_known_caller {
+            let waited = now.since(job.received_at);
             control.unread.learn(now, waited);
             let late = waited > control.shortest_objective * HOLD_PART;
             control.late_since = control.late_since.or(Some(now)).filter(|_| late);
@@ -327,10 +327,10 @@
             rate.add(now, counts);
         }
         let quota = control.quotas.get(job.tenant).map_or(f64::INFINITY, |(_, quota)| *quota);
-        let due = job.caller_deadline.unwrap_or(job.reached + case.deadline);
-        let stretched = job.work.map_or(Span::ZERO, |work| work * case.objective_per_work);
-        let goal = (job.reached + case.latency_objective + stretched).min(due);
-        let last = due - control.promises.answer_slack.min(due.since(job.reached) * 0.1);
+        let due = job.caller_deadline.unwrap_or(job.received_at + case.deadline);
+        let stretched = job.expected_work.map_or(Span::ZERO, |work| work * case.objective_per_work);
+        let goal = (job.received_at + case.latency_objective + stretched).min(due);
+        let last = due - control.promises.answer_slack.min(due.since(job.received_at) * 0.1);
         control.numbers += 1;
         control.fresh.push(job.id.clone());
         let held = InHand {
@@ -436,7 +436,7 @@
         machine: Machine,
         promises: ServiceLimits,
         below: Dependency,
-        callers: Callers,
+        callers: CallerSettings,
         chance: Chance,
     ) -> Controller {
         let (shortest_objective, mean_objective) = goals(job_classes.iter());
@@ -465,7 +465,7 @@
             },
             trial: RunTrial { limit: (machine.cores * 1.5).floor().max(1.0), ..RunTrial::default() },
             cores_used: Mean::new(fade),
-            quotas: tenants.iter().map(|tenant| (DecaySum::new(fade), tenant.quota)).collect(),
+            quotas: tenants.iter().map(|tenant| (DecaySum::new(fade), tenant.quota_per_s)).collect(),
             openness: Openness { open: 1.0, told: None, next: None },
             chance,
             unread_most: mean_objective * UNREAD_PART,
@@ -481,21 +481,21 @@
             job_classes: job_classes.into_iter().map(Rc::new).collect(),
             machine,
             promises,
-            callers: Callers { count: callers.count.max(1.0), ..callers },
+            callers: CallerSettings { count: callers.count.max(1.0), ..callers },
         }
     }
 
     /// Between two rounds: other figures for job classes, tenants and promises, by place. What was learned
     /// stays with its place, but for places that stand for something else now; jobs in hand keep the figures
     /// that they arrived under. Places may be added at the end; `false`, and no change, if any is taken away.
-    pub fn update_settings(&mut self, now: Time, to: Revision) -> bool {
-        let Revision { job_classes, tenants, limits: promises, reset_classes, reset_tenants } = to;
+    pub fn update_settings(&mut self, now: Time, to: SettingsUpdate) -> bool {
+        let SettingsUpdate { job_classes, tenants, limits: promises, reset_classes, reset_tenants } = to;
         // A place that a job in hand may still name must stand.
         if job_classes.len() < self.job_classes.len() || tenants.len() < self.quotas.len() {
             return false;
         }
         let served =
-            job_classes.iter().enumerate().filter(|(_, case)| case.in_use).map(|(_, case)| &case.figures);
+            job_classes.iter().enumerate().filter(|(_, case)| case.in_use).map(|(_, case)| &case.class);
         let (shortest_objective, mean_objective) = goals(served);
         (self.shortest_objective, self.unread_most) = (shortest_objective, mean_objective * UNREAD_PART);
         self.fade = shortest_objective * MEMORY_IN_OBJECTIVES;
@@ -517,8 +517,8 @@
         self.cores_used.refade(now, self.fade);
         self.quotas.iter_mut().for_each(|(rate, _)| rate.refade(now, self.fade));
         [&mut self.tries, &mut self.tries_again].into_iter().for_each(|sum| sum.refade(now, self.fade));
-        self.quotas.iter_mut().zip(tenants).for_each(|((_, quota), tenant)| *quota = tenant.quota);
-        self.job_classes = job_classes.into_iter().map(|case| Rc::new(case.figures)).collect();
+        self.quotas.iter_mut().zip(tenants).for_each(|((_, quota), tenant)| *quota = tenant.quota_per_s);
+        self.job_classes = job_classes.into_iter().map(|case| Rc::new(case.class)).collect();
         self.promises = promises;
         true
     }
@@ -663,30 +663,30 @@
                 return self.enter(now, id, Stage::Sharing);
             }
             if self.blind(held) {
-                return self.give_up(now, id, true, Some(case.window), out);
+                return self.give_up(now, id, true, Some(case.retry_window), out);
             }
-            let until = job.reached + case.window + self.machine.tick;
+            let until = job.received_at + case.retry_window + self.machine.tick;
             let span = until.since(now);
             if span > Span::ZERO {
                 out.store_record(id, span);
             }
             let named_until = until.max(now) + case.deadline;
-            let (job_class, reached, again) = (job.job_class, job.reached, job.is_retry);
+            let (job_class, reached, again) = (job.job_class, job.received_at, job.is_retry);
             let entry = Entry { until, named_until, job_class, reached, kept: now, again, ran: false };
             self.entries.insert(id.clone(), entry);
         }
         if let Some((notice, _)) = self.leaving
-            && (job.reached > notice + self.promises.drain_grace
+            && (job.received_at > notice + self.promises.drain_grace
                 || now + self.whole[job.job_class].usual(now) > self.last_moment(&self.jobs[id]))
         {
             return self.give_up(now, id, true, Some(Span::ZERO), out);
         }
-        if let Some(retry_after) = job.short {
+        if let Some(retry_after) = job.lease_retry_after {
             out.limited_by_lease(id);
             return self.give_up(now, id, false, Some(retry_after), out);
         }
         let wait = self.call_wait(now, &self.jobs[id]);
-        if case.calls && self.gate.full(now, wait) {
+        if case.calls_dependency && self.gate.full(now, wait) {
             let short = self.gate.is_short(now); // exception: what is used up here may be free elsewhere
             let more_in =
                 self.gate.allowed.filter(|_| short).map_or(Span::ZERO, |allowed| allowed.retry_after);
@@ -773,11 +773,11 @@
 
     fn used_kb(&self, now: Time) -> f64 {
         let entries = self.entries.values().filter(|entry| entry.until > now).count() as f64;
-        self.jobs.values().map(|held| self.kb(held)).sum::<f64>() + entries * self.machine.entry_kb
+        self.jobs.values().map(|held| self.kb(held)).sum::<f64>() + entries * self.machine.record_kb
     }
 
     fn kb(&self, held: &InHand) -> f64 {
-        held.job.held_kb * if held.running() { self.machine.running_factor } else { 1.0 }
+        held.job.queued_kb * if held.running() { self.machine.running_memory_ratio } else { 1.0 }
     }
 
     /// How much slower the jobs on the cores are than those that ended: seen before any of them ends.
@@ -810,11 +810,11 @@
             let late = if held.goal <= now { held.case.late_weight_ratio } else { 1.0 };
             let earns = held.case.priority_weight * late;
             let (job_class, beyond) = (held.job.job_class, self.callers.over_quota_weight_ratio);
-            let scale = self.callers.fleet * 1000.0 / self.fade.as_ms();
+            let scale = self.callers.fleet_size * 1000.0 / self.fade.as_ms();
             let (rate, quota) = (self.quotas.get_mut(held.job.tenant), held.quota);
             let part = rate.map_or(1.0, |(sum, _)| part_in_quota(sum.read(now) * scale, quota, beyond));
             // A caller beyond its ceiling counts as a tenant beyond its quota does.
-            let part = if held.job.beyond { part * beyond } else { part };
+            let part = if held.job.over_caller_limit { part * beyond } else { part };
             hold.push((earns * part / self.core_time(now, job_class).as_ms().max(0.001), job_class, id));
         }
         // Stable: among equals the one read first.
@@ -829,12 +829,12 @@
         let (mut memory, mut ahead, mut waiting) = (self.used_kb(now), Span::ZERO, false);
         for (_, job_class, id) in hold {
             let held = &self.jobs[&id];
-            let needs = held.job.held_kb * (self.machine.running_factor - 1.0);
+            let needs = held.job.queued_kb * (self.machine.running_memory_ratio - 1.0);
             let (case, wait) = (held.case.clone(), self.call_wait(now, held));
             let room = on_cores < limit
                 && crowd < cap
                 && memory + needs <= self.machine.memory_kb * RULE_ROOM
-                && !(case.calls && self.gate.full(now, wait));
+                && !(case.calls_dependency && self.gate.full(now, wait));
             if room {
                 if self.blind(&self.jobs[&id]) {
                     self.give_up(now, &id, false, None, out);
@@ -893,10 +893,10 @@
         if self.openness.next.is_some_and(|next| now < next) {
             return;
         }
-        self.openness.next = Some(now + self.callers.heeded_for * 0.1);
+        self.openness.next = Some(now + self.callers.signal_lifetime * 0.1);
         let unread = self.unread.usual(now);
         let lived = self.started.map_or(self.fade, |start| now.since(start).min(self.fade));
-        let heard = self.tries.read(now) * (self.callers.heeded_for / lived) / self.callers.count;
+        let heard = self.tries.read(now) * (self.callers.signal_lifetime / lived) / self.callers.count;
         let back = self.away.is_none_or(|until| now.since(until) > self.shortest_objective * 2.0);
         // What stood still reads all that waited in one go and is as quick as ever then: no lag, as it may
         // have happened to many at once, and callers that all go elsewhere at once find nobody.
--- a/crates/hazelgrade/src/desk.rs
+++ b/crates/hazelgrade/src/desk.rs
@@ -14,25 +14,25 @@
     pub job_class: usize,
     pub tenant: usize,
     /// When it reached the machine, which may be long before it was read.
-    pub reached: Time,
+    pub received_at: Time,
     /// When its caller stops waiting, where callers tell.
     pub caller_deadline: Option<Time>,
     /// Time on a standard core that it is expected to take, where that is told.
-    pub work: Option<Span>,
+    pub expected_work: Option<Span>,
     /// Memory it takes while held, in kilobytes.
-    pub held_kb: f64,
+    pub queued_kb: f64,
     /// Its place by priority weight among all jobs, from 0 up to less than 1.
-    pub rank: f64,
+    pub priority_rank: f64,
     /// Known to be a retry or a hedged request.
     pub is_retry: bool,
     /// The job that this one repeats.
     pub retry_of: Option<JobId>,
     /// Its caller has had a job run before: what it sends tells of the load.
-    pub known: bool,
+    pub from_known_caller: bool,
     /// Its caller asks for more than its ceiling, where it has one: a hint, no verdict.
-    pub beyond: bool,
+    pub over_caller_limit: bool,
     /// A limit of all servers together leaves nothing for it now: when there may be more.
-    pub short: Option<Span>,
+    pub lease_retry_after: Option<Span>,
 }
 
 /// May a job of a job class run again?
@@ -54,9 +54,9 @@
     pub late_weight_ratio: f64,
     pub idempotency: Idempotency,
     /// How long after reaching the machine a keyed job may come again.
-    pub window: Span,
+    pub retry_window: Span,
     /// Its jobs may call what lies below.
-    pub calls: bool,
+    pub calls_dependency: bool,
     /// Part of the priority weight when a call was left out; 0 where it must not be.
     pub weight_ratio_without_call: f64,
 }
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug)]
 pub struct Tenant {
     /// Jobs a second over the whole fleet that earn in full.
-    pub quota: f64,
+    pub quota_per_s: f64,
 }
 
 #[derive(Clone, Debug)]
@@ -72,8 +72,8 @@
     pub cores: f64,
     pub memory_kb: f64,
     /// Memory of a running job over that of a held one.
-    pub running_factor: f64,
-    pub entry_kb: f64,
+    pub running_memory_ratio: f64,
+    pub record_kb: f64,
     /// It started just now and is slow.
     pub cold: bool,
     pub cancellation: Cancellation,
@@ -139,7 +139,7 @@
 
 /// What callers do with the value that is said to them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Signal {
+pub enum LoadSignal {
     Silent,
     /// They send nothing ranked below it.
     Level,
@@ -150,30 +150,30 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Callers {
+pub struct CallerSettings {
     pub count: f64,
-    pub signal: Signal,
+    pub signal: LoadSignal,
     /// How long they keep a value in mind.
-    pub heeded_for: Span,
+    pub signal_lifetime: Span,
     pub max_retry_after: Span,
     pub mark_retries: bool,
     /// Servers beside this one, itself included, when it started.
-    pub fleet: f64,
+    pub fleet_size: f64,
     /// Part of the priority weight for a tenant's jobs beyond its quota.
     pub over_quota_weight_ratio: f64,
 }
 
 /// A job class at its place; one that is no longer in use keeps its place while jobs in hand may name it.
 #[derive(Clone, Debug)]
-pub struct Placed {
-    pub figures: JobClass,
+pub struct ClassSlot {
+    pub class: JobClass,
     pub in_use: bool,
 }
 
 /// Other figures to go by, by place: at least as many places as before.
 #[derive(Clone, Debug)]
-pub struct Revision {
-    pub job_classes: Vec<Placed>,
+pub struct SettingsUpdate {
+    pub job_classes: Vec<ClassSlot>,
     pub tenants: Vec<Tenant>,
     pub limits: ServiceLimits,
     /// Places that stand for something else than before: nothing that was learned of them counts.
--- a/crates/hazelgrade/tests/common/mod.rs
+++ b/crates/hazelgrade/tests/common/mod.rs
@@ -64,7 +64,7 @@
     pub machine: Machine,
     pub promises: ServiceLimits,
     pub below: Dependency,
-    pub callers: Callers,
+    pub callers: CallerSettings,
 }
 
 pub fn ms(ms: f64) -> Span {
@@ -79,11 +79,11 @@
     let (goal, objective_per_work, deadline, window) = (ms(2000.0), 0.0, ms(6000.0), ms(3000.0));
     let (priority_weight, late_weight_ratio, weight_ratio_without_call) = (1.0, 0.0, 0.0);
     let (repeats, calls) = (Idempotency::Idempotent, true);
-    let (cores, memory_kb, running_factor, entry_kb) = (4.0, 20_000.0, 8.0, 10.0);
+    let (cores, memory_kb, running_memory_ratio, record_kb) = (4.0, 20_000.0, 8.0, 10.0);
     let (cold, stopping, tick) = (false, Cancellation::Discards, ms(10.0));
     let (answer_slack, cold_speed_ratio, warm_up) = (ms(60.0), 0.2, ms(8000.0));
     let (drain_grace, max_jobs_per_core) = (ms(1000.0), 4.0);
-    let (count, signal, heeded_for, max_retry_after) = (4.0, Signal::Weight, ms(1000.0), ms(1000.0));
+    let (count, signal, signal_lifetime, max_retry_after) = (4.0, LoadSignal::Weight, ms(1000.0), ms(1000.0));
     let (mark_retries, fleet, over_quota_weight_ratio) = (true, 5.0, 0.1);
     Setup {
         job_classes: vec![JobClass {
@@ -93,20 +93,28 @@
             priority_weight,
             late_weight_ratio,
             idempotency: repeats,
-            window,
-            calls,
+            retry_window: window,
+            calls_dependency: calls,
             weight_ratio_without_call,
         }],
-        machine: Machine { cores, memory_kb, running_factor, entry_kb, cold, cancellation: stopping, tick },
+        machine: Machine {
+            cores,
+            memory_kb,
+            running_memory_ratio,
+            record_kb,
+            cold,
+            cancellation: stopping,
+            tick,
+        },
         promises: ServiceLimits { answer_slack, cold_speed_ratio, warm_up, drain_grace, max_jobs_per_core },
         below: Dependency { max_calls: None, max_calls_window: ms(5000.0), linger: ms(200.0) },
-        callers: Callers {
+        callers: CallerSettings {
             count,
             signal,
-            heeded_for,
+            signal_lifetime,
             max_retry_after,
             mark_retries,
-            fleet,
+            fleet_size: fleet,
             over_quota_weight_ratio,
         },
     }
@@ -126,16 +134,16 @@
         id: id.into(),
         job_class: 0,
         tenant: 0,
-        reached,
+        received_at: reached,
         caller_deadline: None,
-        work: None,
-        held_kb: 20.0,
-        rank: 0.5,
+        expected_work: None,
+        queued_kb: 20.0,
+        priority_rank: 0.5,
         is_retry: false,
         retry_of: None,
-        known: true,
-        beyond: false,
-        short: None,
+        from_known_caller: true,
+        over_caller_limit: false,
+        lease_retry_after: None,
     }
 }
 
--- a/crates/hazelgrade/tests/crowd.rs
+++ b/crates/hazelgrade/tests/crowd.rs
@@ -144,7 +144,7 @@
             .map(|(repeats, priority_weight)| JobClass {
                 idempotency: repeats,
                 priority_weight,
-                calls: false,
+                calls_dependency: false,
                 ..base.clone()
             })
             .to_vec();
@@ -152,7 +152,7 @@
         setup.promises.warm_up = ms(WARM_UP);
         setup.promises.cold_speed_ratio = COLD;
         setup.callers.count = callers as f64;
-        setup.callers.fleet = size as f64;
+        setup.callers.fleet_size = size as f64;
         let mut chance = Chance::new(seed);
         let servers = (0..size).map(|n| server(&setup, n, seed * 1000 + n as u64, 0.0, false)).collect();
         let callers = (0..callers).map(|number| Caller {
@@ -658,8 +658,8 @@
 #[test]
 fn modules_in_the_same_case_do_not_act_in_step() {
     let mut setup = setup();
-    (setup.callers.count, setup.callers.fleet) = (150.0, 300.0);
-    setup.job_classes[0].calls = false;
+    (setup.callers.count, setup.callers.fleet_size) = (150.0, 300.0);
+    setup.job_classes[0].calls_dependency = false;
     let (mut off_for, mut retry_after) = (vec![], vec![]);
     for seed in 0..300 {
         let Setup { job_classes, machine, promises, below, callers } = setup.clone();
--- a/crates/hazelgrade/tests/decisions.rs
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -121,16 +121,16 @@
             id: format!("j{}", self.made).into(),
             job_class: (self.random.draw() * classes) as usize,
             tenant: (skew * skew * tenants) as usize,
-            reached,
+            received_at: reached,
             caller_deadline: self.happens(0.3).then(|| reached + ms(self.history.lasts_ms.min(2500.0))),
-            work: self.happens(0.4).then(|| ms(80.0)),
-            held_kb: self.history.job_kb * (0.5 + self.random.draw()),
-            rank: self.random.draw(),
+            expected_work: self.happens(0.4).then(|| ms(80.0)),
+            queued_kb: self.history.job_kb * (0.5 + self.random.draw()),
+            priority_rank: self.random.draw(),
             is_retry: false,
             retry_of: None,
-            known: !self.happens(0.05),
-            beyond: self.happens(0.05),
-            short: self.happens(0.02).then(|| ms(150.0)),
+            from_known_caller: !self.happens(0.05),
+            over_caller_limit: self.happens(0.05),
+            lease_retry_after: self.happens(0.02).then(|| ms(150.0)),
         }
     }
 
@@ -140,11 +140,11 @@
         let linked = self.happens(0.6);
         Job {
             id: format!("r{}", self.made).into(),
-            reached: now,
+            received_at: now,
             is_retry: self.history.setup.callers.mark_retries && self.happens(0.9),
             retry_of: linked.then(|| job.id.clone()),
             caller_deadline: None,
-            short: None,
+            lease_retry_after: None,
             ..job.clone()
         }
     }
@@ -228,7 +228,7 @@
                 At::Running { left_ms } if left_ms > step && !tracked.cancelled => {
                     self.jobs.get_mut(&id).expect("tracked").at = At::Running { left_ms: left_ms - step };
                 }
-                At::Running { .. } => self.run_step_over(&id, now, class.calls, inflow),
+                At::Running { .. } => self.run_step_over(&id, now, class.calls_dependency, inflow),
                 At::Calling { made, ends, outcome } if ends <= now => {
                     inflow.call_ended(&id, outcome, now.since(made));
                     self.events += 1;
@@ -369,11 +369,11 @@
 }
 
 /// New figures for the classes that stand, and one more class each time.
-fn update(history: &History, number: usize) -> Revision {
+fn update(history: &History, number: usize) -> SettingsUpdate {
     let classes = history.setup.job_classes.iter().cycle().take(history.setup.job_classes.len() + number + 1);
     let faster = 1.0 - 0.2 * number as f64;
-    let placed = classes.enumerate().map(|(index, class)| Placed {
-        figures: JobClass {
+    let placed = classes.enumerate().map(|(index, class)| ClassSlot {
+        class: JobClass {
             latency_objective: class.latency_objective * faster,
             priority_weight: class.priority_weight + 0.5,
             ..class.clone()
@@ -381,8 +381,8 @@
         in_use: index != number,
     });
     let mut tenants = history.tenants.clone();
-    tenants.push(Tenant { quota: 5.0 });
-    Revision {
+    tenants.push(Tenant { quota_per_s: 5.0 });
+    SettingsUpdate {
         job_classes: placed.collect(),
         tenants: tenants,
         limits: history.setup.promises.clone(),
@@ -429,14 +429,14 @@
 fn classes() -> Vec<JobClass> {
     vec![
         JobClass { late_weight_ratio: 0.3, objective_per_work: 1.0, ..class(Idempotency::Idempotent, 1.0) },
-        JobClass { window: ms(4000.0), ..class(Idempotency::Keyed, 3.0) },
+        JobClass { retry_window: ms(4000.0), ..class(Idempotency::Keyed, 3.0) },
         class(Idempotency::AtMostOnce, 2.0),
         JobClass {
             weight_ratio_without_call: 0.6,
             latency_objective: ms(1200.0),
             ..class(Idempotency::Idempotent, 0.5)
         },
-        JobClass { calls: false, ..class(Idempotency::Idempotent, 1.5) },
+        JobClass { calls_dependency: false, ..class(Idempotency::Idempotent, 1.5) },
     ]
 }
 
@@ -447,7 +447,11 @@
         name,
         seed,
         setup,
-        tenants: vec![Tenant { quota: 20.0 }, Tenant { quota: 4.0 }, Tenant { quota: f64::INFINITY }],
+        tenants: vec![
+            Tenant { quota_per_s: 20.0 },
+            Tenant { quota_per_s: 4.0 },
+            Tenant { quota_per_s: f64::INFINITY },
+        ],
         lasts_ms: 40_000.0,
         rate: 35.0,
         silent_calls: 0.02,
@@ -469,19 +473,19 @@
 
     let mut limited = plain("call-limit", 12);
     limited.setup.below.max_calls = Some(6.0);
-    limited.setup.callers.signal = Signal::Credit;
+    limited.setup.callers.signal = LoadSignal::Credit;
     limited.silent_calls = 0.1;
     limited.drain_ms = Some((30_000.0, 6_000.0));
     all.push(limited);
 
     let mut fraction = plain("call-limit-below-one", 13);
     fraction.setup.below.max_calls = Some(0.7);
-    fraction.setup.callers.signal = Signal::Level;
+    fraction.setup.callers.signal = LoadSignal::Level;
     all.push(fraction);
 
     let mut leased = plain("leased-calls", 14);
     leased.leased = true;
-    leased.setup.callers.signal = Signal::Silent;
+    leased.setup.callers.signal = LoadSignal::Silent;
     leased.updates_ms = vec![15_000.0];
     all.push(leased);
 
--- a/crates/hazelgrade/tests/failures.rs
+++ b/crates/hazelgrade/tests/failures.rs
@@ -281,7 +281,7 @@
         round(&mut control, at(5000.0), |inflow| {
             for number in 0..12 {
                 let job = job(&format!("j{number}"), at(5000.0 - unread));
-                inflow.job_arrived(Job { known, ..job });
+                inflow.job_arrived(Job { from_known_caller: known, ..job });
             }
         })
     };
@@ -296,7 +296,7 @@
 fn runs_go_up_while_cores_idle_and_down_while_they_are_busy() {
     let run_at_last = |used: f64| {
         let mut setup = setup();
-        setup.job_classes[0].calls = false;
+        setup.job_classes[0].calls_dependency = false;
         let (mut control, mut last) = (setup.control(), vec![]);
         for step in 1..60 {
             let now = at(100.0 * f64::from(step));
@@ -318,7 +318,7 @@
 /// A server whose jobs, up to step `last` of 10 ms, lay unread for two seconds; what it said of its health.
 fn health_when_lagging(callers: f64, last: u32) -> Vec<bool> {
     let mut setup = setup();
-    (setup.callers.count, setup.job_classes[0].calls) = (callers, false);
+    (setup.callers.count, setup.job_classes[0].calls_dependency) = (callers, false);
     let (mut control, mut said, mut wakes, mut ran) = (setup.control(), vec![], vec![], vec![]);
     for step in 0..2000 {
         let now = at(5000.0 + 10.0 * f64::from(step));
@@ -359,7 +359,7 @@
 /// A server of `cores` cores without calls that has learned that jobs take 350 ms, by `at(2200.0)`.
 fn taught(cores: f64, mark_retries: bool) -> Controller {
     let mut setup = setup();
-    (setup.machine.cores, setup.job_classes[0].calls, setup.callers.mark_retries) =
+    (setup.machine.cores, setup.job_classes[0].calls_dependency, setup.callers.mark_retries) =
         (cores, false, mark_retries);
     let mut control = setup.control();
     for step in 0..6 {
--- a/crates/hazelgrade/tests/revisions.rs
+++ b/crates/hazelgrade/tests/revisions.rs
@@ -5,10 +5,10 @@
 use common::*;
 use hazelgrade::desk::*;
 
-fn revision(setup: &Setup, job_classes: &[(JobClass, bool)], anew: Vec<usize>) -> Revision {
+fn revision(setup: &Setup, job_classes: &[(JobClass, bool)], anew: Vec<usize>) -> SettingsUpdate {
     let placed =
-        job_classes.iter().map(|(figures, in_use)| Placed { figures: figures.clone(), in_use: *in_use });
-    Revision {
+        job_classes.iter().map(|(figures, in_use)| ClassSlot { class: figures.clone(), in_use: *in_use });
+    SettingsUpdate {
         job_classes: placed.collect(),
         tenants: vec![],
         limits: setup.promises.clone(),
@@ -112,7 +112,7 @@
     });
     let running = first.iter().filter(|act| matches!(act, Act::Run(_))).count();
     round(&mut control, at(10.0), |inflow| {
-        inflow.job_arrived(Job { beyond: true, ..job("beyond", at(10.0)) });
+        inflow.job_arrived(Job { over_caller_limit: true, ..job("beyond", at(10.0)) });
         inflow.job_arrived(job("within", at(10.0)));
     });
     let mut order = Vec::new();
--- a/crates/hazelgrade/tests/rules.rs
+++ b/crates/hazelgrade/tests/rules.rs
@@ -77,7 +77,9 @@
         else {
             match act {
                 Act::Wake(at, token) => self.timers.push((*at, *token)),
-                Act::Say(_) => self.flag(self.setup.callers.signal == Signal::Silent, "bad say", &"-".into()),
+                Act::Say(_) => {
+                    self.flag(self.setup.callers.signal == LoadSignal::Silent, "bad say", &"-".into())
+                }
                 _ => {}
             }
             return;
@@ -85,10 +87,13 @@
         let (work, fate, below) = (self.pick(50.0, 900.0), self.chance.draw(), self.pick(20.0, 1500.0));
         let Some(known) = self.jobs.get(id) else { return self.flag(true, "unknown job", id) };
         let case = self.setup.job_classes[known.job.job_class].clone();
-        let (stage, request, reached, doubt) = (known.at, known.request, known.job.reached, known.call_doubt);
+        let (stage, request, reached, doubt) =
+            (known.at, known.request, known.job.received_at, known.call_doubt);
         let (ran_ever, repeats) = (known.ran_ever, known.job.retry_of.is_some());
         let ran_before = match case.idempotency {
-            Idempotency::Keyed => self.ran.get(&request).is_some_and(|ran| reached.since(*ran) < case.window),
+            Idempotency::Keyed => {
+                self.ran.get(&request).is_some_and(|ran| reached.since(*ran) < case.retry_window)
+            }
             Idempotency::AtMostOnce => ran_ever,
             Idempotency::Idempotent => false,
         };
@@ -110,7 +115,7 @@
             }
             Act::Call(..) => {
                 self.flag(doubt && case.idempotency != Idempotency::Idempotent, "called again in doubt", id);
-                self.flag(!case.calls || stage != At::Call, "called when not at a call", id);
+                self.flag(!case.calls_dependency || stage != At::Call, "called when not at a call", id);
             }
             Act::Skip(_) => self.flag(case.weight_ratio_without_call <= 0.0, "bad skip", id),
             Act::Stop(_) => {
@@ -159,10 +164,10 @@
         let machine = &self.setup.machine;
         let running = |known: &&Known| matches!(known.at, At::Cores(_) | At::Call | At::Below { .. });
         let held = |known: &&Known| matches!(known.at, At::Held | At::Shared);
-        let run_kb: f64 = self.jobs.values().filter(running).map(|known| known.job.held_kb).sum();
-        let held_kb: f64 = self.jobs.values().filter(held).map(|known| known.job.held_kb).sum();
+        let run_kb: f64 = self.jobs.values().filter(running).map(|known| known.job.queued_kb).sum();
+        let queued_kb: f64 = self.jobs.values().filter(held).map(|known| known.job.queued_kb).sum();
         let entries = self.entries.values().filter(|(_, until)| *until > now).count() as f64;
-        let needed = run_kb * machine.running_factor + held_kb + entries * machine.entry_kb;
+        let needed = run_kb * machine.running_memory_ratio + queued_kb + entries * machine.record_kb;
         let memory_gone = needed > machine.memory_kb;
         let on_cores = self.jobs.values().filter(|known| matches!(known.at, At::Cores(_))).count() as f64;
         let out = self.jobs.values().filter(|known| matches!(known.at, At::Below { .. })).count();
@@ -171,7 +176,7 @@
             let old = steps.iter().take_while(|(at, _)| now.since(*at) > ms(6000.0)).count();
             steps.drain(..old.saturating_sub(1));
         }
-        self.jobs.retain(|_, known| known.at != At::Over || now.since(known.job.reached) < ms(4000.0));
+        self.jobs.retain(|_, known| known.at != At::Over || now.since(known.job.received_at) < ms(4000.0));
         self.crowd.push((now, on_cores));
         self.calls.push((now, (out + self.lingering.len()) as f64));
         let promises = &self.setup.promises;
@@ -210,21 +215,21 @@
             idempotency: repeats,
             late_weight_ratio: if chance.draw() < 0.5 { 0.0 } else { 0.3 },
             weight_ratio_without_call: if chance.draw() < 0.5 { 0.0 } else { 0.4 },
-            calls: chance.draw() < 0.7,
+            calls_dependency: chance.draw() < 0.7,
             ..base.clone()
         })
         .to_vec();
     setup.machine.cores = one_of(&mut chance, &[1.0, 2.0, 4.0]);
-    (setup.machine.memory_kb, setup.machine.entry_kb) =
+    (setup.machine.memory_kb, setup.machine.record_kb) =
         one_of(&mut chance, &[(3_000.0, 10.0), (3_000.0, 300.0), (20_000.0, 10.0)]);
     setup.machine.cancellation =
         one_of(&mut chance, &[Cancellation::Unsupported, Cancellation::Discards, Cancellation::Requeues]);
     setup.below.max_calls = one_of(&mut chance, &[None, Some(0.04), Some(0.4), Some(3.5)]);
-    use Signal::*;
+    use LoadSignal::*;
     setup.callers.signal = one_of(&mut chance, &[Silent, Level, Credit, Weight]);
     (setup.machine.cold, setup.callers.mark_retries) = (chance.draw() < 0.5, chance.draw() < 0.7);
     let sizes = [(1.0, 1.0), (4.0, 5.0), (3_000.0, 400.0)];
-    (setup.callers.count, setup.callers.fleet) = one_of(&mut chance, &sizes);
+    (setup.callers.count, setup.callers.fleet_size) = one_of(&mut chance, &sizes);
     World {
         setup,
         chance,
@@ -267,7 +272,8 @@
             if again {
                 let (number, id) = old[(world.chance.draw() * old.len() as f64) as usize].clone();
                 // A caller waits a while for one try before it sends the next.
-                let last = world.jobs.values().filter(|k| k.request == number).map(|k| k.job.reached).max();
+                let last =
+                    world.jobs.values().filter(|k| k.request == number).map(|k| k.job.received_at).max();
                 let waited = last.is_some_and(|last| now.since(last) > ms(400.0));
                 if world.jobs[&id].job.job_class == 1 && waited {
                     (request, id_before) = (number, Some(id));
@@ -281,7 +287,7 @@
             let mut job = job(&id, now);
             (job.job_class, job.is_retry) =
                 (job_class, id_before.is_some() && world.setup.callers.mark_retries);
-            (job.retry_of, job.held_kb) = (linked, world.pick(5.0, 40.0));
+            (job.retry_of, job.queued_kb) = (linked, world.pick(5.0, 40.0));
             let due = now + world.setup.job_classes[job_class].deadline;
             let known = Known {
                 job,
@@ -323,7 +329,7 @@
     for id in ids {
         let (luck, leaving, work) =
             (world.chance.draw(), world.chance.draw() < 0.0005, world.pick(20.0, 1500.0));
-        let calls = world.setup.job_classes[world.jobs[&id].job.job_class].calls;
+        let calls = world.setup.job_classes[world.jobs[&id].job.job_class].calls_dependency;
         let linger = world.setup.below.linger;
         let Some(known) = world.jobs.get_mut(&id) else { continue };
         match known.at {
