--- a/crates/hazelgrade-budget/src/holder.rs
+++ b/crates/hazelgrade-budget/src/holder.rs
@@ -7,7 +7,7 @@
 
 use crate::message::{Ask, Given, Grant, Line, MOST_LINES};
 use crate::{DRIFT, Units};
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use std::collections::BTreeMap;
 
@@ -98,14 +98,20 @@
     next: Time,
     leaving: bool,
     own: BTreeMap<String, Own>,
-    chance: Chance,
+    chance: MultiplyWithCarry,
     /// Answers that were not taken: late, doubled, or of an earlier start.
     pub refused: u64,
 }
 
 impl Holder {
     /// `alone`: what this node may use for itself, by budget.
-    pub fn new(now: Time, name: &str, run: u64, alone: &BTreeMap<String, Units>, chance: Chance) -> Holder {
+    pub fn new(
+        now: Time,
+        name: &str,
+        run: u64,
+        alone: &BTreeMap<String, Units>,
+        chance: MultiplyWithCarry,
+    ) -> Holder {
         let own = alone.iter().map(|(name, units)| {
             (
                 name.clone(),
--- a/crates/hazelgrade-budget/tests/histories.rs
+++ b/crates/hazelgrade-budget/tests/histories.rs
@@ -1,12 +1,12 @@
 //! Thousands of seeded histories of the real machines in simulated time, with all kinds of trouble, against a plain count of
 //! what is in use at each instant; and how the division follows what happens.
 
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade_fakes::fleet::{Fault, Fleet, Setting};
 
 /// A history of trouble by seed; gives the fleet, its faults over, some leases later.
 fn history(seed: u64, nodes: usize, sites: usize, faults: usize) -> Fleet {
-    let mut chance = Chance::new(seed);
+    let mut chance = MultiplyWithCarry::new(seed);
     let mut pick = |of: usize| ((chance.draw() * of as f64) as usize).min(of - 1);
     let whole = (sites * (2 + pick(12)) + pick(nodes * 2)) as u32;
     let alone = pick(2) as u32;
--- a/crates/hazelgrade-budget/tests/pure.rs
+++ b/crates/hazelgrade-budget/tests/pure.rs
@@ -1,6 +1,6 @@
 //! Division, buckets, holders and owners by themselves: generated inputs against plain rules.
 
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_budget::bucket::Bucket;
 use hazelgrade_budget::divide::{Claim, Turn, divide};
@@ -107,7 +107,8 @@
 #[test]
 fn a_holder_takes_the_answer_to_its_latest_ask_only() {
     let at = Time::from_ms;
-    let mut holder = Holder::new(at(0.0), "n0", 7, &[("calls".to_owned(), 1)].into(), Chance::new(1));
+    let mut holder =
+        Holder::new(at(0.0), "n0", 7, &[("calls".to_owned(), 1)].into(), MultiplyWithCarry::new(1));
     holder.bind(at(0.0), &["calls".to_owned()]);
     assert_eq!(holder.allowed(at(0.0), "calls").units, 1, "what it may use alone");
     assert_eq!(holder.ask(at(0.0)).map(|ask| ask.count), Some(1));
@@ -175,7 +176,7 @@
 #[test]
 fn a_holder_has_one_ask_out_at_a_time() {
     let at = Time::from_ms;
-    let mut holder = Holder::new(at(0.0), "n0", 7, &BTreeMap::new(), Chance::new(1));
+    let mut holder = Holder::new(at(0.0), "n0", 7, &BTreeMap::new(), MultiplyWithCarry::new(1));
     holder.bind(at(0.0), &["calls".to_owned()]);
     assert!(holder.ask(at(0.0)).is_some());
     for ms in 1..100u32 {
@@ -238,7 +239,7 @@
 #[test]
 fn sites_own_no_more_than_the_whole_together_and_lose_nothing() {
     for seed in 0..400 {
-        let mut chance = Chance::new(seed);
+        let mut chance = MultiplyWithCarry::new(seed);
         let mut pick = |of: usize| ((chance.draw() * of as f64) as usize).min(of - 1);
         let owners = SITES.iter().map(|site| Owner::new(site, 0, Ledger::default())).collect();
         let mut keepers = Keepers { owners, disks: vec![Ledger::default(); 3], starts: [0; 3] };
--- a/crates/hazelgrade-budget/tests/states.rs
+++ b/crates/hazelgrade-budget/tests/states.rs
@@ -2,7 +2,7 @@
 //! the keeper is killed and comes back, holders die and come back, and calls go on past what they were begun under. Time
 //! goes on in steps, for each at the rate of its own clock.
 
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_budget::holder::{Holder, Use};
 use hazelgrade_budget::keeper::{Action, Book, Event, Keeper};
@@ -93,7 +93,8 @@
 }
 
 fn holder(t: u64, place: usize, run: u64) -> Holder {
-    let mut holder = Holder::new(slow(t), &format!("n{place}"), run, &BTreeMap::new(), Chance::new(1));
+    let mut holder =
+        Holder::new(slow(t), &format!("n{place}"), run, &BTreeMap::new(), MultiplyWithCarry::new(1));
     holder.bind(slow(t), &[BUDGET.to_owned()]);
     holder
 }
--- a/crates/hazelgrade-config/src/document.rs
+++ b/crates/hazelgrade-config/src/document.rs
@@ -5,7 +5,7 @@
 use crate::fields::{self, Fields, Kind, Scalar};
 use crate::read::{Found, Reading};
 use crate::version::Digest;
-use hazelgrade::desk::{Idempotency, JobClass, ServiceLimits, Tenant};
+use hazelgrade::api::{Idempotency, JobClass, ServiceLimits, Tenant};
 use hazelgrade::time::Span;
 use ipnet::IpNet;
 use std::collections::BTreeMap;
--- a/crates/hazelgrade-demo/src/measure/streaming.rs
+++ b/crates/hazelgrade-demo/src/measure/streaming.rs
@@ -6,7 +6,7 @@
 use async_io::Timer;
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use futures_lite::future::{BoxedLocal, FutureExt, or};
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::operator::Trial;
 use hazelgrade_config::{Document, Kind, Version};
@@ -120,7 +120,7 @@
         lineage: None,
         rules: Trial { span: Span::from_ms(100.0), ..Trial::default() },
         controls,
-        chance: Chance::new(seed),
+        chance: MultiplyWithCarry::new(seed),
         backoff,
         kept: Kept::default(),
         file: None,
--- a/crates/hazelgrade-fakes/src/fleet.rs
+++ b/crates/hazelgrade-fakes/src/fleet.rs
@@ -2,8 +2,8 @@
 //! clocks that drift, with messages that are late, lost or doubled, processes that die, stand still and come back, and stores
 //! that are old. What is in use is counted where it takes effect, by the simulated clock alone.
 
-use hazelgrade::chance::Chance;
-use hazelgrade::decay::DecaySum;
+use hazelgrade::random::MultiplyWithCarry;
+use hazelgrade::statistics::DecayingSum;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_budget::holder::{Holder, Use};
 use hazelgrade_budget::keeper::{self, Book, Keeper};
@@ -129,7 +129,7 @@
     lie: u32,
     /// Calls that it knows to be in hand.
     used: u32,
-    turned_away: DecaySum,
+    turned_away: DecayingSum,
     /// What came while it stood still.
     late: Vec<What>,
 }
@@ -173,7 +173,7 @@
     numbers: u64,
     queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     what: BTreeMap<usize, What>,
-    chance: Chance,
+    chance: MultiplyWithCarry,
     nodes: Vec<Node>,
     sites: Vec<Site>,
     sites_cut: bool,
@@ -199,7 +199,7 @@
 
 impl Fleet {
     pub fn new(setting: Setting) -> Fleet {
-        let mut chance = Chance::new(setting.seed);
+        let mut chance = MultiplyWithCarry::new(setting.seed);
         let mut rate = || 1.0 + setting.drift * (2.0 * chance.draw() - 1.0) / 2.0;
         let site = |place: usize, rate: f64| {
             let book = Book { site: name(place), ..Book::default() };
@@ -220,7 +220,7 @@
         };
         let sites = (0..setting.sites).map(|place| site(place, rate())).collect();
         let node = |place: usize, rate: f64| Node {
-            holder: Holder::new(Time::from_ms(0.0), "", 0, &BTreeMap::new(), Chance::new(0)),
+            holder: Holder::new(Time::from_ms(0.0), "", 0, &BTreeMap::new(), MultiplyWithCarry::new(0)),
             run: 0,
             site: place % setting.sites,
             rate,
@@ -231,7 +231,7 @@
             demand: f64::from(setting.whole) / setting.nodes as f64,
             lie: 0,
             used: 0,
-            turned_away: DecaySum::new(Span::from_ms(500.0)),
+            turned_away: DecayingSum::new(Span::from_ms(500.0)),
             late: Vec::new(),
         };
         let nodes = (0..setting.nodes).map(|place| node(place, rate())).collect();
@@ -431,10 +431,10 @@
         let alone = [(BUDGET.to_owned(), self.setting.alone)].into();
         let node = &mut self.nodes[place];
         let now = local(self.now, node.rate);
-        node.holder = Holder::new(now, &format!("n{place}"), run, &alone, Chance::new(run));
+        node.holder = Holder::new(now, &format!("n{place}"), run, &alone, MultiplyWithCarry::new(run));
         node.holder.bind(now, &[BUDGET.to_owned()]);
         (node.run, node.up, node.stopped, node.leaving, node.used) = (run, true, false, false, 0);
-        node.turned_away = DecaySum::new(Span::from_ms(500.0));
+        node.turned_away = DecayingSum::new(Span::from_ms(500.0));
         node.late.clear();
         self.job_later(place);
         self.asks(place);
--- a/crates/hazelgrade-fault-injection/src/lane.rs
+++ b/crates/hazelgrade-fault-injection/src/lane.rs
@@ -3,7 +3,7 @@
 //! A stream that is cut is held, as its sender's system would keep it and send it again: nothing of it may go missing.
 //! A datagram may be lost, doubled, or overtaken.
 
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use std::collections::VecDeque;
 
@@ -96,12 +96,12 @@
 pub struct Datagrams {
     waiting: Vec<(Time, u64, Vec<u8>)>,
     count: u64,
-    chance: Chance,
+    chance: MultiplyWithCarry,
 }
 
 impl Datagrams {
     pub fn new(seed: u64) -> Datagrams {
-        Datagrams { waiting: Vec::new(), count: 0, chance: Chance::new(seed) }
+        Datagrams { waiting: Vec::new(), count: 0, chance: MultiplyWithCarry::new(seed) }
     }
 
     pub fn put(&mut self, now: Time, rules: &Rules, datagram: &[u8]) {
--- a/crates/hazelgrade-fault-injection/src/light.rs
+++ b/crates/hazelgrade-fault-injection/src/light.rs
@@ -3,7 +3,7 @@
 
 use async_executor::LocalExecutor;
 use futures_lite::future::{BoxedLocal, FutureExt, pending};
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::operator::Trial;
 use hazelgrade_config::{Document, Kind};
@@ -72,7 +72,7 @@
                         lineage: Some("test".into()),
                         rules: Trial { span: Span::from_ms(100.0), ..Trial::default() },
                         controls: 1,
-                        chance: Chance::new(place as u64),
+                        chance: MultiplyWithCarry::new(place as u64),
                         backoff: Backoff::default(),
                         kept: Kept::default(),
                         file: None,
--- a/crates/hazelgrade-fault-injection/src/plan.rs
+++ b/crates/hazelgrade-fault-injection/src/plan.rs
@@ -1,7 +1,7 @@
 //! Fault plans: which fault comes when, by what has happened and not by the clock. Drawn by seed, written and read as
 //! TOML, so that what failed can be played again.
 
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use serde::{Deserialize, Serialize};
 
 /// What has to have happened, since the step before, for a step to be taken.
@@ -201,7 +201,7 @@
     /// holds back past the longest use and delivers all the same is counted by nobody.
     pub fn draw_shared(seed: u64, nodes: usize, faults: usize, sites: usize, whole: u32) -> Plan {
         let mut plan = Plan::draw(seed, nodes, faults);
-        let mut chance = Chance::new(seed ^ 0x5eed);
+        let mut chance = MultiplyWithCarry::new(seed ^ 0x5eed);
         let mut pick = |of: usize| ((chance.draw() * of as f64) as usize).min(of.saturating_sub(1));
         let mut step = Vec::new();
         let (mut keepers_cut, mut other_out, mut lowered) = (false, None, false);
@@ -248,7 +248,7 @@
 
     /// A plan of about so many faults, each with what ends it somewhere after.
     pub fn draw(seed: u64, nodes: usize, faults: usize) -> Plan {
-        let mut chance = Chance::new(seed);
+        let mut chance = MultiplyWithCarry::new(seed);
         let mut pick = |of: usize| ((chance.draw() * of as f64) as usize).min(of.saturating_sub(1));
         let mut step: Vec<Step> = Vec::new();
         let mut open: Vec<Fault> = Vec::new();
--- a/crates/hazelgrade-fault-injection/tests/pure.rs
+++ b/crates/hazelgrade-fault-injection/tests/pure.rs
@@ -1,7 +1,7 @@
 //! What decides in fault injection, without processes: a way's order and timing, plans, the shrinker, and the checkers, each with
 //! a history that breaks its rule.
 
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_fakes::callers::Fate;
 use hazelgrade_fault_injection::account::{Account, Job, Seen, Trouble};
@@ -24,7 +24,7 @@
 #[test]
 fn a_stream_keeps_every_byte_in_order_under_any_rules() {
     fn keeps(seed: u64) -> Result<(), String> {
-        let mut chance = Chance::new(seed);
+        let mut chance = MultiplyWithCarry::new(seed);
         let (mut lane, mut rules, mut now) = (Stream::default(), Rules::default(), 0.0);
         let (mut sent, mut got, mut paced) = (Vec::new(), Vec::new(), (0.0, 0usize));
         let resets_at = (chance.draw() < 0.3).then(|| (chance.draw() * 3000.0) as u64);
--- a/crates/hazelgrade-identity/src/desk.rs
+++ b/crates/hazelgrade-identity/src/desk.rs
@@ -6,7 +6,7 @@
 use crate::doubt::Doubt;
 use crate::set::{CallerId, Identity};
 use crate::token::{Refused, Verified, stands, verify};
-use hazelgrade::decay::DecaySum;
+use hazelgrade::statistics::DecayingSum;
 use hazelgrade::time::{Span, Time};
 use std::collections::{BTreeMap, HashMap};
 use std::net::IpAddr;
@@ -40,7 +40,7 @@
     book: Book,
     doubt: Doubt,
     audit: Audit,
-    rates: HashMap<String, DecaySum>,
+    rates: HashMap<String, DecayingSum>,
     /// Signatures that were checked.
     pub checked: u64,
 }
@@ -147,7 +147,7 @@
             if self.rates.len() >= REMEMBERED {
                 self.rates.clear();
             }
-            self.rates.insert(self.identity.name(caller).to_owned(), DecaySum::new(fade));
+            self.rates.insert(self.identity.name(caller).to_owned(), DecayingSum::new(fade));
         }
         let Some(rate) = self.rates.get_mut(self.identity.name(caller)) else { return Ok((tenant, false)) };
         rate.add(now, 1.0);
--- a/crates/hazelgrade-identity/src/doubt.rs
+++ b/crates/hazelgrade-identity/src/doubt.rs
@@ -1,7 +1,7 @@
 //! What bad tokens may cost: a source that sent too many lately is refused before its next unknown token is looked at.
 //! Tokens that were verified before are not affected, so callers behind one address go on with those they have.
 
-use hazelgrade::decay::DecaySum;
+use hazelgrade::statistics::DecayingSum;
 use hazelgrade::time::{Span, Time};
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -15,7 +15,7 @@
 
 #[derive(Default)]
 pub struct Doubt {
-    sources: HashMap<IpAddr, (DecaySum, Time)>,
+    sources: HashMap<IpAddr, (DecayingSum, Time)>,
 }
 
 impl Doubt {
@@ -30,7 +30,7 @@
             let quiet = self.sources.iter().min_by_key(|(_, (_, last))| *last).map(|(source, _)| *source);
             quiet.and_then(|quiet| self.sources.remove(&quiet));
         }
-        let fresh = || (DecaySum::new(Span::from_ms(FADE)), now);
+        let fresh = || (DecayingSum::new(Span::from_ms(FADE)), now);
         let (bad, last) = self.sources.entry(from).or_insert_with(fresh);
         bad.add(now, 1.0);
         *last = now;
--- a/crates/hazelgrade-identity/tests/identity.rs
+++ b/crates/hazelgrade-identity/tests/identity.rs
@@ -2,7 +2,7 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::{Document, Kind};
 use hazelgrade_identity::desk::{Certificate, Desk, Known, REMEMBERED};
@@ -233,7 +233,7 @@
 fn compiled_rights_say_what_the_plain_ones_say() {
     fn holds(seed: u64) -> bool {
         let (job_classes, tenants) = (["a", "b", "c", "d"], ["north", "south", "west"]);
-        let mut chance = Chance::new(seed);
+        let mut chance = MultiplyWithCarry::new(seed);
         let mut some = |of: &[&str], part: f64| {
             let picked: Vec<String> =
                 of.iter().filter(|_| chance.draw() < part).map(|name| format!("{name:?}")).collect();
--- a/crates/hazelgrade-server/src/program/budgets.rs
+++ b/crates/hazelgrade-server/src/program/budgets.rs
@@ -6,7 +6,7 @@
 use crate::routing::job::Parts;
 use crate::routing::rounds::Event;
 use futures_lite::future::{BoxedLocal, FutureExt};
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::Time;
 use hazelgrade_budget::holder::Holder;
 use hazelgrade_budget::keeper::Figures;
@@ -62,7 +62,7 @@
     // Two processes under one name are two holders, so it can't be made from the name or the seed.
     let run = RandomState::new().hash_one((SystemTime::now(), std::process::id()));
     let start = Time::from_ms(0.0);
-    let holder = Holder::new(start, &deployment.name, run, &budgeted.alone, Chance::new(run));
+    let holder = Holder::new(start, &deployment.name, run, &budgeted.alone, MultiplyWithCarry::new(run));
     let linger = parts.site.borrow().linger;
     let seat = Rc::new(Seat::new(holder, budgeted.in_hand.clone(), linger, rate));
     seat.bind(&BTreeMap::new());
@@ -86,7 +86,7 @@
         lineage: streamed.lineage.clone(),
         rules: budgeted.trial,
         controls: streamed.control.len(),
-        chance: Chance::new(deployment.seed.rotate_left(8)),
+        chance: MultiplyWithCarry::new(deployment.seed.rotate_left(8)),
         backoff: Backoff::default(),
         kept,
         file,
--- a/crates/hazelgrade-server/src/program/identity.rs
+++ b/crates/hazelgrade-server/src/program/identity.rs
@@ -5,7 +5,7 @@
 use crate::routing::job::Parts;
 use async_io::Timer;
 use futures_lite::future::{BoxedLocal, FutureExt};
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::Time;
 use hazelgrade_config::operator::{Identified, Streamed};
 use hazelgrade_config::{Document, Kind, fault};
@@ -100,7 +100,7 @@
         lineage: streamed.lineage.clone(),
         rules: identified.trial,
         controls: streamed.control.len(),
-        chance: Chance::new(deployment.seed.rotate_left(16)),
+        chance: MultiplyWithCarry::new(deployment.seed.rotate_left(16)),
         backoff: Backoff::default(),
         kept,
         file,
--- a/crates/hazelgrade-server/src/program/streaming.rs
+++ b/crates/hazelgrade-server/src/program/streaming.rs
@@ -5,8 +5,8 @@
 use super::reload::Reload;
 use crate::routing::job::Parts;
 use futures_lite::future::{BoxedLocal, FutureExt};
-use hazelgrade::chance::Chance;
-use hazelgrade::desk::{ClassSlot, JobClass, ServiceLimits, SettingsUpdate, Tenant};
+use hazelgrade::api::{ClassSlot, JobClass, ServiceLimits, SettingsUpdate, Tenant};
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::document::{MAX_JOB_CLASSES, MAX_TENANTS};
 use hazelgrade_config::operator::Streamed;
@@ -108,7 +108,7 @@
             lineage: streamed.lineage.clone(),
             rules: streamed.trial,
             controls: streamed.control.len(),
-            chance: Chance::new(deployment.seed.rotate_left(32)),
+            chance: MultiplyWithCarry::new(deployment.seed.rotate_left(32)),
             backoff: Backoff::default(),
             kept,
             file,
--- a/crates/hazelgrade-server/src/protocol/database.rs
+++ b/crates/hazelgrade-server/src/protocol/database.rs
@@ -1,6 +1,6 @@
 //! Calls to what lies below: lines that end with CR LF, bodies as they are.
 
-use hazelgrade::desk::JobId;
+use hazelgrade::api::JobId;
 use hazelgrade::time::Span;
 
 pub const LONGEST_LINE: usize = 512;
--- a/crates/hazelgrade-server/src/protocol/executor.rs
+++ b/crates/hazelgrade-server/src/protocol/executor.rs
@@ -1,7 +1,7 @@
 //! The executor's commands and notices: JSON objects, one a line.
 
 use super::Body;
-use hazelgrade::desk::JobId;
+use hazelgrade::api::JobId;
 use hazelgrade::time::Span;
 use serde_json::{Value, json};
 
--- a/crates/hazelgrade-server/src/protocol/jsonrpc.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc.rs
@@ -1,7 +1,7 @@
 //! JSON-RPC 2.0, one message a line: what client stubs send, and what is answered.
 
 use super::{Body, is_body};
-use hazelgrade::desk::{Idempotency, Job, JobId};
+use hazelgrade::api::{Idempotency, Job, JobId};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_identity::token::LONGEST_TOKEN;
 use hazelgrade_settings::Site;
--- a/crates/hazelgrade-server/src/routing/budgets.rs
+++ b/crates/hazelgrade-server/src/routing/budgets.rs
@@ -4,8 +4,8 @@
 //! the process may have stood still in between. Of a tenant's jobs a second and of retries, buckets say whether
 //! there is anything left; the module turns the job away.
 
-use hazelgrade::decay::DecaySum;
-use hazelgrade::desk::{CallDemand, CallLease, Job};
+use hazelgrade::api::{CallDemand, CallLease, Job};
+use hazelgrade::statistics::DecayingSum;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_budget::bucket::Bucket;
 use hazelgrade_budget::holder::{Holder, Use};
@@ -24,7 +24,7 @@
 struct Door {
     bucket: Bucket,
     /// Asked for, let in or not.
-    asked: DecaySum,
+    asked: DecayingSum,
     /// Of retries: those.
     terms: Terms,
 }
@@ -33,7 +33,7 @@
     fn new(now: Time, terms: &Terms) -> Door {
         Door {
             bucket: Bucket::new(now, terms.measure, terms.whole),
-            asked: DecaySum::new(Span::from_ms(LEARNED_OVER_MS)),
+            asked: DecayingSum::new(Span::from_ms(LEARNED_OVER_MS)),
             terms: terms.clone(),
         }
     }
--- a/crates/hazelgrade-server/src/routing/calls.rs
+++ b/crates/hazelgrade-server/src/routing/calls.rs
@@ -5,7 +5,7 @@
 use crate::protocol::database::{self, Reply};
 use crate::transport::database::{Database, Hears};
 use async_executor::LocalExecutor;
-use hazelgrade::desk::JobId;
+use hazelgrade::api::JobId;
 use hazelgrade::time::Span;
 use hazelgrade_net::ending::ConnectionEnd;
 use std::cell::{Cell, RefCell};
--- a/crates/hazelgrade-server/src/routing/front.rs
+++ b/crates/hazelgrade-server/src/routing/front.rs
@@ -8,7 +8,7 @@
 use crate::transport::tls::Tls;
 use async_executor::LocalExecutor;
 use async_io::Async;
-use hazelgrade::desk::{Idempotency, JobId};
+use hazelgrade::api::{Idempotency, JobId};
 use hazelgrade::time::Span;
 use hazelgrade_identity::Refused;
 use hazelgrade_identity::desk::Known;
--- a/crates/hazelgrade-server/src/routing/hand.rs
+++ b/crates/hazelgrade-server/src/routing/hand.rs
@@ -6,7 +6,7 @@
 use crate::protocol::jsonrpc::{Answer, Asked};
 use crate::transport::clients::Client;
 use async_channel::{Receiver, Sender, bounded};
-use hazelgrade::desk::JobId;
+use hazelgrade::api::JobId;
 use hazelgrade::time::{Span, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/hazelgrade-server/src/routing/job.rs
+++ b/crates/hazelgrade-server/src/routing/job.rs
@@ -13,7 +13,7 @@
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::future::or;
-use hazelgrade::desk::{JobId, Outcome};
+use hazelgrade::api::{JobId, Outcome};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_net::ending::ConnectionEnd;
 use hazelgrade_settings::Site;
--- a/crates/hazelgrade-server/src/routing/outcome.rs
+++ b/crates/hazelgrade-server/src/routing/outcome.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::database::Reply;
 use crate::protocol::executor::RunEnd;
-use hazelgrade::desk::Outcome;
+use hazelgrade::api::Outcome;
 use hazelgrade_net::ending::ConnectionEnd;
 
 /// How a call ended.
--- a/crates/hazelgrade-server/src/routing/result_cache.rs
+++ b/crates/hazelgrade-server/src/routing/result_cache.rs
@@ -2,7 +2,7 @@
 //! what is remembered and for how long; nothing here decides.
 
 use crate::protocol::Body;
-use hazelgrade::desk::JobId;
+use hazelgrade::api::JobId;
 use hazelgrade::time::{Span, Time};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/hazelgrade-server/src/routing/rounds.rs
+++ b/crates/hazelgrade-server/src/routing/rounds.rs
@@ -10,8 +10,8 @@
 use crate::transport::executor::Link;
 use async_io::Timer;
 use futures_lite::future::or;
-use hazelgrade::control::{Controller, EventSink};
-use hazelgrade::desk::{CallLease, Decisions, Job, JobId, Outcome, SettingsUpdate};
+use hazelgrade::api::{CallLease, Decisions, Job, JobId, Outcome, SettingsUpdate};
+use hazelgrade::controller::{Controller, EventSink};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_net::bell::Bell;
 use std::cell::{Cell, RefCell};
@@ -236,17 +236,17 @@
     fn round(&self) {
         let (began, now) = (Instant::now(), self.clock.now());
         let events = self.events.take();
-        let feed = |inflow: &mut EventSink| {
+        let feed = |sink: &mut EventSink| {
             for event in events {
                 match event {
-                    Event::Arrived(job) => inflow.job_arrived(job),
-                    Event::RunEnded(id, outcome, took) => inflow.run_ended(&id, outcome, took),
-                    Event::AtCall(id) => inflow.call_requested(&id),
-                    Event::CallEnded(id, outcome, took) => inflow.call_ended(&id, outcome, took),
-                    Event::CallerGone(id) => inflow.caller_disconnected(&id),
-                    Event::Leaving(stop) => inflow.drain_started(stop),
-                    Event::Woke(token, cores_used) => inflow.timer_fired(token, cores_used),
-                    Event::Allowed(allowance) => inflow.call_lease_updated(allowance),
+                    Event::Arrived(job) => sink.job_arrived(job),
+                    Event::RunEnded(id, outcome, took) => sink.run_ended(&id, outcome, took),
+                    Event::AtCall(id) => sink.call_requested(&id),
+                    Event::CallEnded(id, outcome, took) => sink.call_ended(&id, outcome, took),
+                    Event::CallerGone(id) => sink.caller_disconnected(&id),
+                    Event::Leaving(stop) => sink.drain_started(stop),
+                    Event::Woke(token, cores_used) => sink.timer_fired(token, cores_used),
+                    Event::Allowed(allowance) => sink.call_lease_updated(allowance),
                 }
             }
         };
--- a/crates/hazelgrade-server/tests/instance/crossings.rs
+++ b/crates/hazelgrade-server/tests/instance/crossings.rs
@@ -4,7 +4,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer, block_on};
 use futures_lite::future::yield_now;
-use hazelgrade::desk::JobId;
+use hazelgrade::api::JobId;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_net::wire::Wire;
 use hazelgrade_server::routing::result_cache::ResultCache;
--- a/crates/hazelgrade-server/tests/instance/serving.rs
+++ b/crates/hazelgrade-server/tests/instance/serving.rs
@@ -1,7 +1,7 @@
 //! A job from its arrival to its answer, and what may go wrong with each of those it meets on the way.
 
 use crate::common::*;
-use hazelgrade::desk::JobId;
+use hazelgrade::api::JobId;
 use hazelgrade_server::transport::clients::Clients;
 use hazelgrade_server::transport::listener::{bind, take_backlog};
 use serde_json::{Value, json};
--- a/crates/hazelgrade-settings/src/lib.rs
+++ b/crates/hazelgrade-settings/src/lib.rs
@@ -3,9 +3,9 @@
 
 pub mod places;
 
-use hazelgrade::chance::Chance;
-use hazelgrade::control::Controller;
-use hazelgrade::desk::*;
+use hazelgrade::api::*;
+use hazelgrade::controller::Controller;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::Span;
 use serde_json::Value;
 
@@ -217,5 +217,16 @@
         shared_for: specifics.span("shareFor", 0.0)?,
         linger: below.linger,
     };
-    Ok((Controller::new(job_classes, tenants, machine, promises, below, callers, Chance::new(seed)), site))
+    Ok((
+        Controller::new(
+            job_classes,
+            tenants,
+            machine,
+            promises,
+            below,
+            callers,
+            MultiplyWithCarry::new(seed),
+        ),
+        site,
+    ))
 }
--- a/crates/hazelgrade-simulator-adapter/src/main.rs
+++ b/crates/hazelgrade-simulator-adapter/src/main.rs
@@ -3,7 +3,7 @@
 
 mod wire;
 
-use hazelgrade::control::Controller;
+use hazelgrade::controller::Controller;
 use hazelgrade_settings::Fault;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -129,9 +129,9 @@
             continue;
         };
         let mut outcome = Ok(());
-        let feed = |inflow: &mut hazelgrade::control::EventSink| {
+        let feed = |sink: &mut hazelgrade::controller::EventSink| {
             for (offset, name, rest) in events {
-                if let Err(fault) = wire::tell(name, &mut Fields::new(rest), *counts, now, inflow) {
+                if let Err(fault) = wire::tell(name, &mut Fields::new(rest), *counts, now, sink) {
                     outcome = Err((offset, fault));
                     return;
                 }
--- a/crates/hazelgrade-simulator-adapter/src/wire.rs
+++ b/crates/hazelgrade-simulator-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The line protocol: decodes each line into a call on `EventSink`, encodes decisions into lines.
 
-use hazelgrade::control::{Controller, EventSink};
-use hazelgrade::desk::*;
+use hazelgrade::api::*;
+use hazelgrade::controller::{Controller, EventSink};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_settings::{Fault, fault};
 use serde_json::Value;
@@ -95,42 +95,42 @@
     fields: &mut Fields,
     counts: Counts,
     now: Time,
-    inflow: &mut EventSink,
+    sink: &mut EventSink,
 ) -> Result<(), Fault> {
     match name {
         "ingress" => {
             let job = job(fields, counts, now)?;
             fields.end()?;
-            inflow.job_arrived(job);
+            sink.job_arrived(job);
         }
         "wound_up" | "returned" => {
             let (id, outcome, took) = (fields.id("handle")?, fields.outcome("result")?, fields.span("rtt")?);
             fields.end()?;
             match name {
-                "wound_up" => inflow.run_ended(&id, outcome, took),
-                _ => inflow.call_ended(&id, outcome, took),
+                "wound_up" => sink.run_ended(&id, outcome, took),
+                _ => sink.call_ended(&id, outcome, took),
             }
         }
         "needs_dep" => {
             let id = fields.id("handle")?;
             fields.end()?;
-            inflow.call_requested(&id);
+            sink.call_requested(&id);
         }
         "timed_out_client" => {
             let id = fields.id("handle")?;
             fields.end()?;
-            inflow.caller_disconnected(&id);
+            sink.caller_disconnected(&id);
         }
         "retire_soon" => {
             let stop = fields.time("expires")?;
             fields.end()?;
-            inflow.drain_started(stop);
+            sink.drain_started(stop);
         }
         "timeout_fired" => {
             let token = fields.whole("cookie")?;
             let cores_used = cores_used(fields.text("serverStats")?)?;
             fields.end()?;
-            inflow.timer_fired(token, cores_used);
+            sink.timer_fired(token, cores_used);
         }
         _ => return fault("message", "a known message name"),
     }
--- a/crates/hazelgrade-stream/src/backoff.rs
+++ b/crates/hazelgrade-stream/src/backoff.rs
@@ -1,7 +1,7 @@
 //! How long to wait before connecting again: full jitter, so that a thousand nodes that lost one control service don't
 //! come back to it together.
 
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::Span;
 
 /// The longest wait after a first failure: some round trips.
@@ -36,7 +36,7 @@
     }
 
     /// The wait before the next attempt; at least what the control service asked for, if it did.
-    pub fn next(&mut self, chance: &mut Chance, asked: Option<Span>) -> Span {
+    pub fn next(&mut self, chance: &mut MultiplyWithCarry, asked: Option<Span>) -> Span {
         let most = (FIRST_MS * 2f64.powi(self.failures.min(16) as i32)).min(MOST_MS);
         self.failures = self.failures.saturating_add(1);
         let draw = if self.jitter { chance.draw() } else { 1.0 };
--- a/crates/hazelgrade-stream/src/subscriber.rs
+++ b/crates/hazelgrade-stream/src/subscriber.rs
@@ -15,7 +15,7 @@
 use crate::kept::{Held, Kept, SUSPECT_AT};
 use crate::protocol::{Content, Offer, Published, Refusal, Said};
 use crate::trial::{SAMPLES, Sample, Service, Trial, Verdict};
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::{Document, Kind, Version, fault, operator};
 use std::sync::Arc;
@@ -127,7 +127,7 @@
     lineage: Option<String>,
     rules: operator::Trial,
     controls: usize,
-    chance: Chance,
+    chance: MultiplyWithCarry,
     backoff: Backoff,
     kept: Kept,
     /// What is served by when nothing streamed is good.
@@ -160,7 +160,7 @@
     pub rules: operator::Trial,
     /// How many control services there are.
     pub controls: usize,
-    pub chance: Chance,
+    pub chance: MultiplyWithCarry,
     pub backoff: Backoff,
     /// What was kept, and what the file says.
     pub kept: Kept,
--- a/crates/hazelgrade-stream/tests/common/mod.rs
+++ b/crates/hazelgrade-stream/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Documents and a subscriber to start from, for all tests.
 #![allow(dead_code)]
 
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::operator::Trial;
 use hazelgrade_config::{Document, Kind, Version};
@@ -52,7 +52,7 @@
         lineage: None,
         rules: rules(),
         controls: 2,
-        chance: Chance::new(7),
+        chance: MultiplyWithCarry::new(7),
         backoff: Backoff::default(),
         kept,
         file,
--- a/crates/hazelgrade-stream/tests/deaths.rs
+++ b/crates/hazelgrade-stream/tests/deaths.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::{Kind, Version};
 use hazelgrade_store::Store;
@@ -112,7 +112,7 @@
             };
             kills += 1;
             // Seed 0 loses all that was not synced, seed 1 nothing, the others as chance has it.
-            let mut chance = Chance::new(seed * 1000 + dies_at);
+            let mut chance = MultiplyWithCarry::new(seed * 1000 + dies_at);
             let after = disk.after_crash(|| match seed {
                 0 => 0.0,
                 1 => 1.0,
--- a/crates/hazelgrade-stream/tests/publishing.rs
+++ b/crates/hazelgrade-stream/tests/publishing.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::{Document, Kind, Version};
 use hazelgrade_stream::admission::Admission;
@@ -154,7 +154,7 @@
 #[test]
 fn a_thousand_that_come_at_once_are_taken_on_at_the_pace_and_come_back_spread_out() {
     let mut admission = Admission::new(200.0, 50.0);
-    let mut chance = Chance::new(3);
+    let mut chance = MultiplyWithCarry::new(3);
     let mut due: Vec<(Time, Backoff)> = (0..1000).map(|_| (at(0.0), Backoff::default())).collect();
     let mut taken = Vec::new();
     while let Some(first) = (0..due.len()).min_by_key(|place| due[*place].0) {
@@ -176,7 +176,7 @@
 fn full_jitter_spreads_what_plain_doubling_brings_together() {
     let peak = |backoff: &dyn Fn() -> Backoff| {
         let attempts = (0..1000).flat_map(|node| {
-            let (mut chance, mut backoff, mut now) = (Chance::new(node * 7919), backoff(), 0.0);
+            let (mut chance, mut backoff, mut now) = (MultiplyWithCarry::new(node * 7919), backoff(), 0.0);
             std::iter::from_fn(move || {
                 now += backoff.next(&mut chance, None).as_ms();
                 (now < 30_000.0).then_some((now / 100.0) as usize)
@@ -194,7 +194,7 @@
 #[test]
 fn a_trial_fails_by_a_fall_past_chance_and_never_by_chance() {
     for seed in 0..2000 {
-        let mut chance = Chance::new(seed * 7919);
+        let mut chance = MultiplyWithCarry::new(seed * 7919);
         let (part, jobs) = (0.3 + 0.7 * chance.draw(), (200.0 * chance.draw()) as u8);
         let mut sample = |part: f64| {
             let succeeded = (0..jobs).filter(|_| chance.draw() < part).count() as f64;
--- a/crates/hazelgrade/src/control.rs
+++ b/crates/hazelgrade/src/controller.rs
@@ -1,6 +1,6 @@
 //! The decision module: what one server takes, runs and rejects.
 //!
-//! How it is called: once a batch, `control.round(now, |inflow| …, &mut writer)`. The closure tells
+//! How it is called: once a batch, `control.round(now, |sink| …, &mut writer)`. The closure tells
 //! `EventSink` what came in, in order; then the module decides into the writer. The interface is `desk.rs`.
 //!
 //! The design (`docs/design.md`) is `CallGate`: permits, a bounded queue, a learned depth, a wait budget,
@@ -12,9 +12,9 @@
 //! 5. A job whose call can't be made goes on without it, where that still earns something.
 //! 6. The rules' guards: deadline, drain, memory, crowd, and entries for keyed jobs.
 
-use crate::chance::Chance;
-use crate::decay::{DecaySum, Mean, Pace};
-use crate::desk::*;
+use crate::api::*;
+use crate::random::MultiplyWithCarry;
+use crate::statistics::{DecayingSum, Mean, MeanDuration};
 use crate::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -78,13 +78,13 @@
 struct CallGate {
     below: Dependency,
     allowed: Option<CallLease>, // of calls that all servers share; none where each has its own
-    short: DecaySum,            // calls that were rejected for want of it
+    short: DecayingSum,         // calls that were rejected for want of it
     permits: f64,               // calls that may be in hand; see `tune`
     best: Option<f64>, // the lowest mean latency, drifting up, so that a lasting change is taken as it is
     queue: VecDeque<JobId>,
     in_hand: usize,
     past: Vec<(Time, Span)>, // calls that are over: when they left what lies below, how long they were there
-    latency: Pace,
+    latency: MeanDuration,
 }
 
 impl CallGate {
@@ -281,16 +281,16 @@
     entries: BTreeMap<JobId, Entry>,
     gate: CallGate,
     trial: RunTrial,
-    quotas: Vec<(DecaySum, f64)>, // by tenant: first tries, and quota a second over the fleet
+    quotas: Vec<(DecayingSum, f64)>, // by tenant: first tries, and quota a second over the fleet
     openness: Openness,
-    chance: Chance,
-    on_cores: Vec<Pace>, // by job class: time on the cores
-    whole: Vec<Pace>,    // by job class: time from start to end
-    any: Pace,
+    chance: MultiplyWithCarry,
+    on_cores: Vec<MeanDuration>, // by job class: time on the cores
+    whole: Vec<MeanDuration>,    // by job class: time from start to end
+    any: MeanDuration,
     cores_used: Mean, // part of the cores that was busy while jobs waited
-    unread: Pace,
-    tries: DecaySum,
-    tries_again: DecaySum,
+    unread: MeanDuration,
+    tries: DecayingSum,
+    tries_again: DecayingSum,
     shortest_objective: Span,
     unread_most: Span,        // before fewer run
     late_since: Option<Time>, // since when all that is read has waited long
@@ -437,18 +437,18 @@
         promises: ServiceLimits,
         below: Dependency,
         callers: CallerSettings,
-        chance: Chance,
+        chance: MultiplyWithCarry,
     ) -> Controller {
         let (shortest_objective, mean_objective) = goals(job_classes.iter());
         let fade = shortest_objective * MEMORY_IN_OBJECTIVES;
-        let paces = || job_classes.iter().map(|_| Pace::new(fade)).collect::<Vec<_>>();
+        let paces = || job_classes.iter().map(|_| MeanDuration::new(fade)).collect::<Vec<_>>();
         Controller {
             on_cores: paces(),
             whole: paces(),
-            any: Pace::new(fade),
-            unread: Pace::new(shortest_objective * WAIT_PART),
-            tries: DecaySum::new(fade),
-            tries_again: DecaySum::new(fade),
+            any: MeanDuration::new(fade),
+            unread: MeanDuration::new(shortest_objective * WAIT_PART),
+            tries: DecayingSum::new(fade),
+            tries_again: DecayingSum::new(fade),
             jobs: BTreeMap::new(),
             fresh: Vec::new(),
             entries: BTreeMap::new(),
@@ -456,16 +456,16 @@
                 permits: below.max_calls.unwrap_or(UNTOLD_PERMITS),
                 below,
                 allowed: None,
-                short: DecaySum::new(fade),
+                short: DecayingSum::new(fade),
                 best: None,
                 queue: VecDeque::new(),
                 in_hand: 0,
                 past: Vec::new(),
-                latency: Pace::new(fade),
+                latency: MeanDuration::new(fade),
             },
             trial: RunTrial { limit: (machine.cores * 1.5).floor().max(1.0), ..RunTrial::default() },
             cores_used: Mean::new(fade),
-            quotas: tenants.iter().map(|tenant| (DecaySum::new(fade), tenant.quota_per_s)).collect(),
+            quotas: tenants.iter().map(|tenant| (DecayingSum::new(fade), tenant.quota_per_s)).collect(),
             openness: Openness { open: 1.0, told: None, next: None },
             chance,
             unread_most: mean_objective * UNREAD_PART,
@@ -499,24 +499,30 @@
         let (shortest_objective, mean_objective) = goals(served);
         (self.shortest_objective, self.unread_most) = (shortest_objective, mean_objective * UNREAD_PART);
         self.fade = shortest_objective * MEMORY_IN_OBJECTIVES;
-        self.on_cores.resize_with(job_classes.len(), || Pace::new(self.fade));
-        self.whole.resize_with(job_classes.len(), || Pace::new(self.fade));
-        self.quotas.resize_with(tenants.len(), || (DecaySum::new(self.fade), 0.0));
+        self.on_cores.resize_with(job_classes.len(), || MeanDuration::new(self.fade));
+        self.whole.resize_with(job_classes.len(), || MeanDuration::new(self.fade));
+        self.quotas.resize_with(tenants.len(), || (DecayingSum::new(self.fade), 0.0));
         for place in reset_classes {
             let paces = [&mut self.on_cores, &mut self.whole].into_iter();
-            paces.filter_map(|paces| paces.get_mut(place)).for_each(|pace| *pace = Pace::new(self.fade));
+            paces
+                .filter_map(|paces| paces.get_mut(place))
+                .for_each(|pace| *pace = MeanDuration::new(self.fade));
         }
         for place in reset_tenants {
             let rate = self.quotas.get_mut(place).into_iter();
-            rate.for_each(|(rate, _)| *rate = DecaySum::new(self.fade));
+            rate.for_each(|(rate, _)| *rate = DecayingSum::new(self.fade));
         }
         let paces = self.on_cores.iter_mut().chain(&mut self.whole);
-        paces.chain([&mut self.any, &mut self.gate.latency]).for_each(|pace| pace.refade(now, self.fade));
-        self.gate.short.refade(now, self.fade);
-        self.unread.refade(now, shortest_objective * WAIT_PART);
-        self.cores_used.refade(now, self.fade);
-        self.quotas.iter_mut().for_each(|(rate, _)| rate.refade(now, self.fade));
-        [&mut self.tries, &mut self.tries_again].into_iter().for_each(|sum| sum.refade(now, self.fade));
+        paces
+            .chain([&mut self.any, &mut self.gate.latency])
+            .for_each(|pace| pace.set_time_constant(now, self.fade));
+        self.gate.short.set_time_constant(now, self.fade);
+        self.unread.set_time_constant(now, shortest_objective * WAIT_PART);
+        self.cores_used.set_time_constant(now, self.fade);
+        self.quotas.iter_mut().for_each(|(rate, _)| rate.set_time_constant(now, self.fade));
+        [&mut self.tries, &mut self.tries_again]
+            .into_iter()
+            .for_each(|sum| sum.set_time_constant(now, self.fade));
         self.quotas.iter_mut().zip(tenants).for_each(|((_, quota), tenant)| *quota = tenant.quota_per_s);
         self.job_classes = job_classes.into_iter().map(|case| Rc::new(case.class)).collect();
         self.promises = promises;
--- a/crates/hazelgrade/src/lib.rs
+++ b/crates/hazelgrade/src/lib.rs
@@ -3,8 +3,8 @@
 //! [`control::Controller`] holds all decisions; the other modules hold types and arithmetic only. See
 //! `docs/design.md` for the mechanism and its exceptions.
 
-pub mod chance;
-pub mod control;
-pub mod decay;
-pub mod desk;
+pub mod api;
+pub mod controller;
+pub mod random;
+pub mod statistics;
 pub mod time;
--- a/crates/hazelgrade/src/chance.rs
+++ b/crates/hazelgrade/src/random.rs
@@ -4,16 +4,18 @@
 const MIXING: u32 = 4;
 
 #[derive(Clone, Debug)]
-pub struct Chance {
+pub struct MultiplyWithCarry {
     value: u32,
     carry: u32,
 }
 
-impl Chance {
+impl MultiplyWithCarry {
     /// Seeds that lie close together, as those of a fleet that numbers its instances, give sequences that don't.
-    pub fn new(seed: u64) -> Chance {
-        let mut chance =
-            Chance { value: seed as u32 ^ 0x5bd1_e995, carry: ((seed >> 32) as u32 & 0x3fff_ffff) | 1 };
+    pub fn new(seed: u64) -> MultiplyWithCarry {
+        let mut chance = MultiplyWithCarry {
+            value: seed as u32 ^ 0x5bd1_e995,
+            carry: ((seed >> 32) as u32 & 0x3fff_ffff) | 1,
+        };
         // A difference of one grows some ten thousand times with each number, and fills all bits by the third.
         for _ in 0..MIXING {
             chance.draw();
--- a/crates/hazelgrade/src/decay.rs
+++ b/crates/hazelgrade/src/statistics.rs
@@ -3,16 +3,16 @@
 use crate::time::{Span, Time};
 
 #[derive(Clone, Debug)]
-pub struct DecaySum {
+pub struct DecayingSum {
     sum: f64,
     at: Option<Time>,
     fade: Span,
 }
 
-impl DecaySum {
+impl DecayingSum {
     /// A sum of which a part that is `fade` old still counts by 1/e.
-    pub fn new(fade: Span) -> DecaySum {
-        DecaySum { sum: 0.0, at: None, fade }
+    pub fn new(fade: Span) -> DecayingSum {
+        DecayingSum { sum: 0.0, at: None, fade }
     }
 
     pub fn read(&mut self, now: Time) -> f64 {
@@ -28,7 +28,7 @@
     }
 
     /// Fades over another span from now on. A steady rate sums up to rate times fade, so the sum is brought to that.
-    pub fn refade(&mut self, now: Time, fade: Span) {
+    pub fn set_time_constant(&mut self, now: Time, fade: Span) {
         let sum = self.read(now);
         if fade != self.fade {
             self.sum = sum * (fade / self.fade);
@@ -40,13 +40,13 @@
 /// Mean of a figure, over what was seen lately.
 #[derive(Clone, Debug)]
 pub struct Mean {
-    total: DecaySum,
-    count: DecaySum,
+    total: DecayingSum,
+    count: DecayingSum,
 }
 
 impl Mean {
     pub fn new(fade: Span) -> Mean {
-        Mean { total: DecaySum::new(fade), count: DecaySum::new(fade) }
+        Mean { total: DecayingSum::new(fade), count: DecayingSum::new(fade) }
     }
 
     pub fn learn(&mut self, now: Time, figure: f64) {
@@ -55,9 +55,9 @@
     }
 
     /// Fades over another span from now on; the mean stays.
-    pub fn refade(&mut self, now: Time, fade: Span) {
-        self.total.refade(now, fade);
-        self.count.refade(now, fade);
+    pub fn set_time_constant(&mut self, now: Time, fade: Span) {
+        self.total.set_time_constant(now, fade);
+        self.count.set_time_constant(now, fade);
     }
 
     /// Nothing before the first sample; after idleness the last mean still stands.
@@ -69,19 +69,19 @@
 
 /// Mean of a length of time, over what ended lately.
 #[derive(Clone, Debug)]
-pub struct Pace(Mean);
+pub struct MeanDuration(Mean);
 
-impl Pace {
-    pub fn new(fade: Span) -> Pace {
-        Pace(Mean::new(fade))
+impl MeanDuration {
+    pub fn new(fade: Span) -> MeanDuration {
+        MeanDuration(Mean::new(fade))
     }
 
     pub fn learn(&mut self, now: Time, span: Span) {
         self.0.learn(now, span.as_ms());
     }
 
-    pub fn refade(&mut self, now: Time, fade: Span) {
-        self.0.refade(now, fade);
+    pub fn set_time_constant(&mut self, now: Time, fade: Span) {
+        self.0.set_time_constant(now, fade);
     }
 
     /// How many samples still count.
--- a/crates/hazelgrade/tests/common/mod.rs
+++ b/crates/hazelgrade/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A writer that records, and an instance with settings to change, for all tests.
 
-use hazelgrade::chance::Chance;
-use hazelgrade::control::{Controller, EventSink};
-use hazelgrade::desk::*;
+use hazelgrade::api::*;
+use hazelgrade::controller::{Controller, EventSink};
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 
 #[derive(Clone, Debug, PartialEq)]
@@ -124,7 +124,7 @@
     #[allow(dead_code)] // not every test that includes this file makes one by it
     pub fn control(&self) -> Controller {
         let Setup { job_classes, machine, promises, below, callers } = self.clone();
-        Controller::new(job_classes, vec![], machine, promises, below, callers, Chance::new(7))
+        Controller::new(job_classes, vec![], machine, promises, below, callers, MultiplyWithCarry::new(7))
     }
 }
 
--- a/crates/hazelgrade/tests/crowd.rs
+++ b/crates/hazelgrade/tests/crowd.rs
@@ -5,9 +5,9 @@
 mod common;
 
 use common::*;
-use hazelgrade::chance::Chance;
-use hazelgrade::control::Controller;
-use hazelgrade::desk::*;
+use hazelgrade::api::*;
+use hazelgrade::controller::Controller;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -101,7 +101,7 @@
     size: usize,
     servers: Vec<Server>,
     callers: Vec<Caller>,
-    chance: Chance,
+    chance: MultiplyWithCarry,
     now: f64,
     events: BTreeMap<(i64, u64), Event>,
     numbers: u64,
@@ -117,7 +117,7 @@
     let mut setup = setup.clone();
     setup.machine.cold = cold;
     let Setup { job_classes, machine, promises, below, callers } = setup;
-    let chance = Chance::new(seed);
+    let chance = MultiplyWithCarry::new(seed);
     Server {
         control: Controller::new(job_classes, vec![], machine, promises, below, callers, chance),
         zone: number % ZONES,
@@ -153,7 +153,7 @@
         setup.promises.cold_speed_ratio = COLD;
         setup.callers.count = callers as f64;
         setup.callers.fleet_size = size as f64;
-        let mut chance = Chance::new(seed);
+        let mut chance = MultiplyWithCarry::new(seed);
         let servers = (0..size).map(|n| server(&setup, n, seed * 1000 + n as u64, 0.0, false)).collect();
         let callers = (0..callers).map(|number| Caller {
             heeds: [Heeds::All, Heeds::All, Heeds::Half, Heeds::Nothing][number % 4],
@@ -330,13 +330,13 @@
             return;
         }
         let busy = (sharing / CORES).min(1.0);
-        let acts = round(&mut server.control, at(now), |inflow| {
-            arrived.into_iter().for_each(|(job, _)| inflow.job_arrived(job));
+        let acts = round(&mut server.control, at(now), |sink| {
+            arrived.into_iter().for_each(|(job, _)| sink.job_arrived(job));
             for (id, _, since) in over {
-                inflow.run_ended(&id, Outcome::Completed, at(now).since(since));
+                sink.run_ended(&id, Outcome::Completed, at(now).since(since));
                 done.push(id);
             }
-            fired.iter().for_each(|token| inflow.timer_fired(*token, Some(busy)));
+            fired.iter().for_each(|token| sink.timer_fired(*token, Some(busy)));
         });
         for id in done {
             self.answered(number, &id, true, None);
@@ -381,8 +381,8 @@
                 let since =
                     server.running.iter().find(|(run, ..)| *run == id).map_or(now, |(.., since)| *since);
                 server.running.retain(|(run, ..)| *run != id);
-                let acts = round(&mut server.control, now, |inflow| {
-                    inflow.run_ended(&id, Outcome::Cancelled, now.since(since));
+                let acts = round(&mut server.control, now, |sink| {
+                    sink.run_ended(&id, Outcome::Cancelled, now.since(since));
                 });
                 acts.into_iter().for_each(|act| self.apply(number, act));
             }
@@ -663,8 +663,15 @@
     let (mut off_for, mut retry_after) = (vec![], vec![]);
     for seed in 0..300 {
         let Setup { job_classes, machine, promises, below, callers } = setup.clone();
-        let mut control =
-            Controller::new(job_classes, vec![], machine, promises, below, callers, Chance::new(seed));
+        let mut control = Controller::new(
+            job_classes,
+            vec![],
+            machine,
+            promises,
+            below,
+            callers,
+            MultiplyWithCarry::new(seed),
+        );
         let (mut off, mut told, mut runs) = (None, None, VecDeque::new());
         for step in 0..600 {
             let now = at(f64::from(step) * 10.0);
@@ -672,13 +679,13 @@
             let count = if step == 100 { 40 } else { u32::from(step % 5 == 0 && step < 100) };
             let ended = runs.iter().take_while(|(_, since)| now.since(*since) >= ms(300.0)).count();
             let ended: Vec<(JobId, Time)> = runs.drain(..ended).collect();
-            let acts = round(&mut control, now, |inflow| {
+            let acts = round(&mut control, now, |sink| {
                 for number in 0..count {
                     let late = if step == 100 { 0.0 } else { 1500.0 };
-                    inflow.job_arrived(job(&format!("{step}-{number}"), now - ms(late)));
+                    sink.job_arrived(job(&format!("{step}-{number}"), now - ms(late)));
                 }
-                ended.iter().for_each(|(id, _)| inflow.run_ended(id, Outcome::Completed, ms(300.0)));
-                inflow.timer_fired(u64::MAX, Some(0.5));
+                ended.iter().for_each(|(id, _)| sink.run_ended(id, Outcome::Completed, ms(300.0)));
+                sink.timer_fired(u64::MAX, Some(0.5));
             });
             for act in acts {
                 match act {
--- a/crates/hazelgrade/tests/decisions.rs
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -5,9 +5,9 @@
 mod common;
 
 use common::*;
-use hazelgrade::chance::Chance;
-use hazelgrade::control::{Controller, EventSink};
-use hazelgrade::desk::*;
+use hazelgrade::api::*;
+use hazelgrade::controller::{Controller, EventSink};
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
@@ -67,7 +67,7 @@
 
 struct World<'a> {
     history: &'a History,
-    random: Chance,
+    random: MultiplyWithCarry,
     jobs: BTreeMap<JobId, Tracked>,
     retries: Vec<Retry>,
     timers: Vec<(Time, u64)>,
@@ -81,7 +81,7 @@
     fn new(history: &'a History) -> World<'a> {
         World {
             history,
-            random: Chance::new(history.seed),
+            random: MultiplyWithCarry::new(history.seed),
             jobs: BTreeMap::new(),
             retries: Vec::new(),
             timers: Vec::new(),
@@ -172,17 +172,17 @@
     }
 
     /// Tells the controller all that happens in this tick.
-    fn feed(&mut self, now: Time, inflow: &mut EventSink) {
+    fn feed(&mut self, now: Time, sink: &mut EventSink) {
         for job in self.arrivals(now) {
             let calls_left = (self.random.draw() * 3.0) as u32;
-            inflow.job_arrived(job.clone());
+            sink.job_arrived(job.clone());
             self.events += 1;
             let tracked =
                 Tracked { job, at: At::Queued, answered: false, calls_left, began: now, cancelled: false };
             self.jobs.insert(tracked.job.id.clone(), tracked);
         }
-        self.progress(now, inflow);
-        self.disconnects(inflow);
+        self.progress(now, sink);
+        self.disconnects(sink);
         let timers = std::mem::take(&mut self.timers);
         for (at, token) in timers {
             if at > now {
@@ -190,7 +190,7 @@
                 continue;
             }
             let used = self.happens(0.8).then(|| 0.5 + 0.5 * self.random.draw());
-            inflow.timer_fired(token, used);
+            sink.timer_fired(token, used);
             self.events += 1;
         }
         let quarter = (now.as_ms() / TICK_MS) as u64 % 25 == 0;
@@ -198,7 +198,7 @@
             let calls = self.between(0.0, 6.0).floor();
             let until = now + ms(self.between(100.0, 600.0));
             let longest = ms(self.between(300.0, 2000.0));
-            inflow.call_lease_updated(CallLease {
+            sink.call_lease_updated(CallLease {
                 calls,
                 expires: until,
                 calls_after_expiry: 1.0,
@@ -211,13 +211,13 @@
             && now.as_ms() >= at
             && now.as_ms() < at + TICK_MS
         {
-            inflow.drain_started(now + ms(lasts));
+            sink.drain_started(now + ms(lasts));
             self.events += 1;
         }
     }
 
     /// Runs and calls go on, and end.
-    fn progress(&mut self, now: Time, inflow: &mut EventSink) {
+    fn progress(&mut self, now: Time, sink: &mut EventSink) {
         let running = self.jobs.values().filter(|job| matches!(job.at, At::Running { .. })).count() as f64;
         let step = TICK_MS * (self.history.setup.machine.cores / running.max(1.0)).min(1.0);
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
@@ -228,9 +228,9 @@
                 At::Running { left_ms } if left_ms > step && !tracked.cancelled => {
                     self.jobs.get_mut(&id).expect("tracked").at = At::Running { left_ms: left_ms - step };
                 }
-                At::Running { .. } => self.run_step_over(&id, now, class.calls_dependency, inflow),
+                At::Running { .. } => self.run_step_over(&id, now, class.calls_dependency, sink),
                 At::Calling { made, ends, outcome } if ends <= now => {
-                    inflow.call_ended(&id, outcome, now.since(made));
+                    sink.call_ended(&id, outcome, now.since(made));
                     self.events += 1;
                     let left_ms = self.between(5.0, 60.0);
                     let tracked = self.jobs.get_mut(&id).expect("tracked");
@@ -244,13 +244,13 @@
         }
     }
 
-    fn run_step_over(&mut self, id: &JobId, now: Time, calls: bool, inflow: &mut EventSink) {
+    fn run_step_over(&mut self, id: &JobId, now: Time, calls: bool, sink: &mut EventSink) {
         let ends = self.happens(0.03);
         let preempted = self.happens(0.01);
         let tracked = self.jobs.get_mut(id).expect("tracked");
         self.events += 1;
         if tracked.cancelled || preempted {
-            inflow.run_ended(id, Outcome::Cancelled, now.since(tracked.began));
+            sink.run_ended(id, Outcome::Cancelled, now.since(tracked.began));
             let pauses = !tracked.answered;
             tracked.at = At::Queued;
             tracked.cancelled = false;
@@ -260,15 +260,15 @@
         } else if calls && tracked.calls_left > 0 {
             tracked.calls_left -= 1;
             tracked.at = At::AtCall;
-            inflow.call_requested(id);
+            sink.call_requested(id);
         } else {
             let outcome = if ends { Outcome::Failed } else { Outcome::Completed };
-            inflow.run_ended(id, outcome, now.since(tracked.began));
+            sink.run_ended(id, outcome, now.since(tracked.began));
             self.jobs.remove(id);
         }
     }
 
-    fn disconnects(&mut self, inflow: &mut EventSink) {
+    fn disconnects(&mut self, sink: &mut EventSink) {
         if !self.happens(0.05) || self.jobs.is_empty() {
             return;
         }
@@ -277,7 +277,7 @@
         let Some(tracked) = self.jobs.get_mut(&id).filter(|tracked| !tracked.answered) else { return };
         tracked.answered = true;
         let waits = matches!(tracked.at, At::Queued | At::Original);
-        inflow.caller_disconnected(&id);
+        sink.caller_disconnected(&id);
         self.events += 1;
         if waits {
             self.jobs.remove(&id);
@@ -394,13 +394,13 @@
 fn play(history: &History) -> String {
     let Setup { job_classes, machine, promises, below, callers } = history.setup.clone();
     let tenants = history.tenants.clone();
-    let random = Chance::new(history.seed + 1);
+    let random = MultiplyWithCarry::new(history.seed + 1);
     let mut control = Controller::new(job_classes, tenants, machine, promises, below, callers, random);
     let mut world = World::new(history);
     let (mut now_ms, mut updates) = (0.0, 0);
     while now_ms < history.lasts_ms {
         let now = at(now_ms);
-        let decided = round(&mut control, now, |inflow| world.feed(now, inflow));
+        let decided = round(&mut control, now, |sink| world.feed(now, sink));
         for act in &decided {
             world.apply(act, now);
         }
--- a/crates/hazelgrade/tests/failures.rs
+++ b/crates/hazelgrade/tests/failures.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use hazelgrade::control::{Controller, EventSink};
-use hazelgrade::desk::*;
+use hazelgrade::api::*;
+use hazelgrade::controller::{Controller, EventSink};
 use hazelgrade::time::{Span, Time};
 
 fn runs(acts: &[Act]) -> usize {
@@ -20,15 +20,15 @@
     let mut acts = vec![];
     for number in from..from + count {
         let id = format!("c{number}");
-        acts.extend(round(control, at(now), |inflow| inflow.job_arrived(job(&id, at(now)))));
-        acts.extend(round(control, at(now), |inflow| inflow.call_requested(&id.as_str().into())));
+        acts.extend(round(control, at(now), |sink| sink.job_arrived(job(&id, at(now)))));
+        acts.extend(round(control, at(now), |sink| sink.call_requested(&id.as_str().into())));
     }
     acts
 }
 
 /// The call of job `id`, made at 0, comes back at `now`.
 fn call_done(control: &mut Controller, id: &str, now: f64) -> Vec<Act> {
-    round(control, at(now), |inflow| inflow.call_ended(&id.into(), Outcome::Completed, ms(now)))
+    round(control, at(now), |sink| sink.call_ended(&id.into(), Outcome::Completed, ms(now)))
 }
 
 fn made(acts: &[Act]) -> Vec<JobId> {
@@ -40,7 +40,7 @@
     let mut control = setup().control();
     let acts = at_calls(&mut control, 0.0, 0, 16);
     assert_eq!(made(&acts).len(), 8, "eight permits at the start");
-    let acts = round(&mut control, at(1.0), |inflow| inflow.job_arrived(job("late", at(1.0))));
+    let acts = round(&mut control, at(1.0), |sink| sink.job_arrived(job("late", at(1.0))));
     let retry_after = acts
         .iter()
         .find_map(|act| if let Act::Reject(_, retry_after, _) = act { Some(*retry_after) } else { None });
@@ -58,12 +58,12 @@
     for number in 0..50 {
         let mut again = job(&format!("r{number}"), at(5.0));
         again.is_retry = true;
-        let acts = round(&mut control, at(5.0), |inflow| inflow.job_arrived(again));
+        let acts = round(&mut control, at(5.0), |sink| sink.job_arrived(again));
         assert!(rejected(&acts, &format!("r{number}")), "the queue is as full as before");
     }
     let acts = call_done(&mut control, "c0", 100.0);
     assert_eq!(made(&acts).len(), 1, "one permit came back");
-    let acts = round(&mut control, at(101.0), |inflow| inflow.job_arrived(job("new", at(101.0))));
+    let acts = round(&mut control, at(101.0), |sink| sink.job_arrived(job("new", at(101.0))));
     assert!(!rejected(&acts, "new"), "the learned depth takes it");
 }
 
@@ -75,8 +75,8 @@
     for number in 0..8 {
         let id = format!("c{number}");
         call_done(&mut control, &id, 100.0);
-        round(&mut control, at(110.0), |inflow| {
-            inflow.run_ended(&id.as_str().into(), Outcome::Completed, ms(110.0))
+        round(&mut control, at(110.0), |sink| {
+            sink.run_ended(&id.as_str().into(), Outcome::Completed, ms(110.0))
         });
     }
     let acts = at_calls(&mut control, 60_000.0, 100, 20);
@@ -88,16 +88,16 @@
 fn a_call_queued_past_its_budget_or_whose_caller_left_is_never_made() {
     let mut control = setup().control();
     at_calls(&mut control, 0.0, 0, 9);
-    let acts = round(&mut control, at(2100.0), |inflow| inflow.timer_fired(1, None));
+    let acts = round(&mut control, at(2100.0), |sink| sink.timer_fired(1, None));
     assert!(rejected(&acts, "c8"), "{acts:?}");
     let acts = call_done(&mut control, "c0", 2200.0);
     assert!(made(&acts).is_empty(), "{acts:?}");
     // Nor one whose caller left.
     let mut control = setup().control();
     at_calls(&mut control, 0.0, 0, 10);
-    let acts = round(&mut control, at(50.0), |inflow| {
-        inflow.caller_disconnected(&"c8".into());
-        inflow.call_ended(&"c0".into(), Outcome::Completed, ms(50.0));
+    let acts = round(&mut control, at(50.0), |sink| {
+        sink.caller_disconnected(&"c8".into());
+        sink.call_ended(&"c0".into(), Outcome::Completed, ms(50.0));
     });
     assert_eq!(made(&acts), vec!["c9".into()]);
 }
@@ -108,10 +108,10 @@
     let mut setup = setup();
     setup.job_classes[0].idempotency = Idempotency::Keyed;
     let mut control = setup.control();
-    assert_eq!(runs(&round(&mut control, at(500.0), |inflow| inflow.job_arrived(job("first", at(0.0))))), 1);
+    assert_eq!(runs(&round(&mut control, at(500.0), |sink| sink.job_arrived(job("first", at(0.0))))), 1);
     let mut again = job("again", at(400.0));
     again.is_retry = true;
-    let acts = round(&mut control, at(600.0), |inflow| inflow.job_arrived(again));
+    let acts = round(&mut control, at(600.0), |sink| sink.job_arrived(again));
     assert!(acts.contains(&Act::Fail("again".into())) && runs(&acts) == 0, "{acts:?}");
 }
 
@@ -125,9 +125,9 @@
         let now = 100.0 * f64::from(step);
         let mut acts = at_calls(&mut control, now, 100 * step as usize, 12);
         for id in std::mem::take(&mut out) {
-            acts.extend(round(&mut control, at(now), |inflow| {
-                inflow.call_ended(&id, Outcome::Completed, ms(100.0));
-                inflow.run_ended(&id, Outcome::Completed, ms(120.0));
+            acts.extend(round(&mut control, at(now), |sink| {
+                sink.call_ended(&id, Outcome::Completed, ms(100.0));
+                sink.run_ended(&id, Outcome::Completed, ms(120.0));
             }));
         }
         out = made(&acts);
@@ -148,8 +148,8 @@
     for number in 0..8 {
         let id = format!("c{number}");
         call_done(&mut control, &id, 100.0);
-        round(&mut control, at(100.0), |inflow| {
-            inflow.run_ended(&id.as_str().into(), Outcome::Completed, ms(110.0));
+        round(&mut control, at(100.0), |sink| {
+            sink.run_ended(&id.as_str().into(), Outcome::Completed, ms(110.0));
         });
     }
     // The first eight calls only show how long calls take; from then on each that comes back adds a permit.
@@ -157,7 +157,7 @@
     let mut calls = 0;
     for number in 8..16 {
         let id: JobId = format!("c{number}").as_str().into();
-        let ended = |inflow: &mut EventSink| inflow.call_ended(&id, Outcome::Completed, ms(100.0));
+        let ended = |sink: &mut EventSink| sink.call_ended(&id, Outcome::Completed, ms(100.0));
         calls += made(&round(&mut control, at(200.0), ended)).len();
     }
     assert!(calls >= 12, "{calls} calls, 8 of them for those that came back");
@@ -173,13 +173,13 @@
     for step in 0..40 {
         let (id, start) = (format!("t{step}"), 400.0 * f64::from(step));
         let took = if step < 20 { 60.0 } else { 180.0 };
-        round(&mut control, at(start), |inflow| inflow.job_arrived(job(&id, at(start))));
-        round(&mut control, at(start + 100.0), |inflow| inflow.call_requested(&id.as_str().into()));
-        round(&mut control, at(start + 100.0 + took), |inflow| {
-            inflow.call_ended(&id.as_str().into(), Outcome::Completed, ms(took));
+        round(&mut control, at(start), |sink| sink.job_arrived(job(&id, at(start))));
+        round(&mut control, at(start + 100.0), |sink| sink.call_requested(&id.as_str().into()));
+        round(&mut control, at(start + 100.0 + took), |sink| {
+            sink.call_ended(&id.as_str().into(), Outcome::Completed, ms(took));
         });
-        round(&mut control, at(start + 200.0 + took), |inflow| {
-            inflow.run_ended(&id.as_str().into(), Outcome::Completed, ms(200.0 + took));
+        round(&mut control, at(start + 200.0 + took), |sink| {
+            sink.run_ended(&id.as_str().into(), Outcome::Completed, ms(200.0 + took));
         });
     }
     let acts = at_calls(&mut control, 20_000.0, 500, 1);
@@ -198,8 +198,8 @@
     at_calls(&mut control, 0.0, 0, 4);
     (0..4).for_each(|number| drop(call_done(&mut control, &format!("c{number}"), 400.0)));
     let late = |control: &mut Controller, id: &str, start: f64, age: f64| {
-        round(control, at(start), |inflow| inflow.job_arrived(job(id, at(start))));
-        round(control, at(start + age), |inflow| inflow.call_requested(&id.into()))
+        round(control, at(start), |sink| sink.job_arrived(job(id, at(start))));
+        round(control, at(start + age), |sink| sink.call_requested(&id.into()))
     };
     assert_eq!(made(&late(&mut control, "some", 2000.0, 1750.0)), vec!["some".into()]);
     let acts = late(&mut control, "none", 6000.0, 1850.0);
@@ -219,8 +219,8 @@
     assert_eq!(made(&acts), ["c1".into()], "{acts:?}");
     assert!(acts.contains(&Act::Skip("c2".into())) && acts.contains(&Act::Skip("c3".into())), "{acts:?}");
     // It was quick, and so is what is learned once the slow one has faded.
-    round(&mut control, at(60_050.0), |inflow| {
-        inflow.call_ended(&"c1".into(), Outcome::Completed, ms(50.0));
+    round(&mut control, at(60_050.0), |sink| {
+        sink.call_ended(&"c1".into(), Outcome::Completed, ms(50.0));
     });
     assert_eq!(made(&at_calls(&mut control, 60_100.0, 4, 3)).len(), 3);
 }
@@ -254,8 +254,8 @@
     (2..40).for_each(|number| {
         at_calls(&mut control, 200.0, number, 1);
         let id: JobId = format!("c{number}").as_str().into();
-        round(&mut control, at(201.0), |inflow| inflow.call_ended(&id, Outcome::Completed, ms(1.0)));
-        round(&mut control, at(201.0), |inflow| inflow.run_ended(&id, Outcome::Completed, ms(2.0)));
+        round(&mut control, at(201.0), |sink| sink.call_ended(&id, Outcome::Completed, ms(1.0)));
+        round(&mut control, at(201.0), |sink| sink.run_ended(&id, Outcome::Completed, ms(2.0)));
     });
     assert_eq!(within(&at_calls(&mut control, 300.0, 90, 1)), Some(ms(300.0)));
 }
@@ -266,9 +266,7 @@
     let mut control = setup().control();
     at_calls(&mut control, 0.0, 0, 2);
     call_done(&mut control, "c0", 100.0);
-    round(&mut control, at(100.0), |inflow| {
-        inflow.call_ended(&"c1".into(), Outcome::ConnectionLost, ms(1.0))
-    });
+    round(&mut control, at(100.0), |sink| sink.call_ended(&"c1".into(), Outcome::ConnectionLost, ms(1.0)));
     let acts = at_calls(&mut control, 100.0, 5, 1);
     assert!(acts.contains(&Act::Call("c5".into(), ms(1600.0))), "{acts:?}");
 }
@@ -278,10 +276,10 @@
 fn fewer_run_while_jobs_wait_unread() {
     let fresh = |unread: f64, known: bool| {
         let mut control = setup().control();
-        round(&mut control, at(5000.0), |inflow| {
+        round(&mut control, at(5000.0), |sink| {
             for number in 0..12 {
                 let job = job(&format!("j{number}"), at(5000.0 - unread));
-                inflow.job_arrived(Job { from_known_caller: known, ..job });
+                sink.job_arrived(Job { from_known_caller: known, ..job });
             }
         })
     };
@@ -300,10 +298,10 @@
         let (mut control, mut last) = (setup.control(), vec![]);
         for step in 1..60 {
             let now = at(100.0 * f64::from(step));
-            let acts = round(&mut control, now, |inflow| {
-                inflow.timer_fired(0, Some(used));
-                last.iter().for_each(|id| inflow.run_ended(id, Outcome::Completed, ms(100.0)));
-                (0..12).for_each(|number| inflow.job_arrived(job(&format!("j{step}-{number}"), now)));
+            let acts = round(&mut control, now, |sink| {
+                sink.timer_fired(0, Some(used));
+                last.iter().for_each(|id| sink.run_ended(id, Outcome::Completed, ms(100.0)));
+                (0..12).for_each(|number| sink.job_arrived(job(&format!("j{step}-{number}"), now)));
             });
             last = acts
                 .iter()
@@ -328,11 +326,10 @@
         if due.is_empty() && !comes && ran.is_empty() {
             continue;
         }
-        let acts = round(&mut control, now, |inflow| {
-            due.iter().for_each(|(_, token)| inflow.timer_fired(*token, None));
-            ran.drain(..).for_each(|id| inflow.run_ended(&id, Outcome::Completed, ms(10.0)));
-            (0..u32::from(comes))
-                .for_each(|_| inflow.job_arrived(job(&format!("j{step}"), now - ms(1900.0))));
+        let acts = round(&mut control, now, |sink| {
+            due.iter().for_each(|(_, token)| sink.timer_fired(*token, None));
+            ran.drain(..).for_each(|id| sink.run_ended(&id, Outcome::Completed, ms(10.0)));
+            (0..u32::from(comes)).for_each(|_| sink.job_arrived(job(&format!("j{step}"), now - ms(1900.0))));
         });
         for act in acts {
             match act {
@@ -364,9 +361,9 @@
     let mut control = setup.control();
     for step in 0..6 {
         let (id, now) = (format!("t{step}"), 350.0 * f64::from(step));
-        round(&mut control, at(now), |inflow| inflow.job_arrived(job(&id, at(now))));
-        round(&mut control, at(now + 350.0), |inflow| {
-            inflow.run_ended(&id.as_str().into(), Outcome::Completed, ms(350.0));
+        round(&mut control, at(now), |sink| sink.job_arrived(job(&id, at(now))));
+        round(&mut control, at(now + 350.0), |sink| {
+            sink.run_ended(&id.as_str().into(), Outcome::Completed, ms(350.0));
         });
     }
     control
@@ -376,8 +373,8 @@
 #[test]
 fn a_job_is_not_bounced_for_the_time_of_its_own_run() {
     let mut control = taught(1.0, true);
-    let acts = round(&mut control, at(2200.0), |inflow| {
-        ["runs", "head"].iter().for_each(|id| inflow.job_arrived(job(id, at(1500.0))));
+    let acts = round(&mut control, at(2200.0), |sink| {
+        ["runs", "head"].iter().for_each(|id| sink.job_arrived(job(id, at(1500.0))));
     });
     assert!(runs(&acts) == 1 && !rejected(&acts, "head"), "{acts:?}");
 }
@@ -386,9 +383,9 @@
 #[test]
 fn one_long_run_does_not_bounce_the_hold() {
     let mut control = taught(2.0, true);
-    round(&mut control, at(2200.0), |inflow| inflow.job_arrived(job("long", at(2200.0))));
-    let acts = round(&mut control, at(4100.0), |inflow| {
-        ["a", "b", "c", "d"].iter().for_each(|id| inflow.job_arrived(job(id, at(4100.0))));
+    round(&mut control, at(2200.0), |sink| sink.job_arrived(job("long", at(2200.0))));
+    let acts = round(&mut control, at(4100.0), |sink| {
+        ["a", "b", "c", "d"].iter().for_each(|id| sink.job_arrived(job(id, at(4100.0))));
     });
     assert!(["a", "b", "c", "d"].iter().all(|id| !rejected(&acts, id)), "{acts:?}");
 }
@@ -396,8 +393,8 @@
 /// Found: where retries are not marked, each reject in overload sent the job on to the next full server.
 #[test]
 fn own_bounces_tell_crowding_where_retries_are_not_marked() {
-    let acts = round(&mut taught(2.0, false), at(2200.0), |inflow| {
-        (0..40).for_each(|number| inflow.job_arrived(job(&format!("j{number}"), at(2200.0))));
+    let acts = round(&mut taught(2.0, false), at(2200.0), |sink| {
+        (0..40).for_each(|number| sink.job_arrived(job(&format!("j{number}"), at(2200.0))));
     });
     let mut last = acts.iter().filter_map(|a| if let Act::Reject(.., last) = a { Some(*last) } else { None });
     assert!(last.next() == Some(false) && last.next_back() == Some(true), "{acts:?}");
--- a/crates/hazelgrade/tests/rules.rs
+++ b/crates/hazelgrade/tests/rules.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::*;
-use hazelgrade::chance::Chance;
-use hazelgrade::control::Controller;
-use hazelgrade::desk::*;
+use hazelgrade::api::*;
+use hazelgrade::controller::Controller;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
 
 struct World {
     setup: Setup,
-    chance: Chance,
+    chance: MultiplyWithCarry,
     jobs: BTreeMap<JobId, Known>,
     /// Entries: who holds it, and until when it lives.
     entries: BTreeMap<usize, (JobId, Time)>,
@@ -202,12 +202,12 @@
     }
 }
 
-fn one_of<T: Copy>(chance: &mut Chance, from: &[T]) -> T {
+fn one_of<T: Copy>(chance: &mut MultiplyWithCarry, from: &[T]) -> T {
     from[(chance.draw() * from.len() as f64) as usize]
 }
 
 fn world(seed: u64) -> World {
-    let mut chance = Chance::new(seed);
+    let mut chance = MultiplyWithCarry::new(seed);
     let mut setup = setup();
     let base = setup.job_classes[0].clone();
     setup.job_classes = [Idempotency::Idempotent, Idempotency::Keyed, Idempotency::AtMostOnce]
@@ -400,17 +400,17 @@
     if lists.iter().sum::<usize>() == 0 && leaving.is_none() {
         return None;
     }
-    Some(round(control, now, |inflow| {
-        inflow.run_ended(&"stranger".into(), Outcome::Superseded, Span::ZERO); // odd but legal, as is the next
-        inflow.timer_fired(u64::MAX, None);
-        arrived.into_iter().for_each(|job| inflow.job_arrived(job));
-        ended.iter().for_each(|(id, outcome, took)| inflow.run_ended(id, *outcome, *took));
-        at_call.iter().for_each(|id| inflow.call_requested(id));
-        returned.iter().for_each(|(id, outcome, took)| inflow.call_ended(id, *outcome, *took));
-        gone.iter().for_each(|id| inflow.caller_disconnected(id));
-        fired.iter().for_each(|token| inflow.timer_fired(*token, Some(busy)));
+    Some(round(control, now, |sink| {
+        sink.run_ended(&"stranger".into(), Outcome::Superseded, Span::ZERO); // odd but legal, as is the next
+        sink.timer_fired(u64::MAX, None);
+        arrived.into_iter().for_each(|job| sink.job_arrived(job));
+        ended.iter().for_each(|(id, outcome, took)| sink.run_ended(id, *outcome, *took));
+        at_call.iter().for_each(|id| sink.call_requested(id));
+        returned.iter().for_each(|(id, outcome, took)| sink.call_ended(id, *outcome, *took));
+        gone.iter().for_each(|id| sink.caller_disconnected(id));
+        fired.iter().for_each(|token| sink.timer_fired(*token, Some(busy)));
         if let Some(stop) = leaving {
-            inflow.drain_started(stop);
+            sink.drain_started(stop);
         }
     }))
 }
