--- a/crates/hazelgrade/tests/decisions.rs
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -39,6 +39,12 @@
     /// Jobs lie unread for up to this long.
     unread_ms: f64,
     job_kb: f64,
+    /// Probability that a rejected request is sent again.
+    retried: f64,
+    /// Load factor at all times, in place of quiet spells and bursts.
+    steady_load: Option<f64>,
+    /// Least and most part of the cores that is found busy.
+    cores_busy: (f64, f64),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -102,6 +108,9 @@
 
     /// A quiet start, a long overload, a quiet spell, a burst, and so on.
     fn load(&self, now_ms: f64) -> f64 {
+        if let Some(load) = self.history.steady_load {
+            return load;
+        }
         match (now_ms / 3000.0) as u64 % 5 {
             0 => 0.4,
             1 | 2 => 2.2,
@@ -189,7 +198,9 @@
                 self.timers.push((at, token));
                 continue;
             }
-            let used = self.happens(0.8).then(|| 0.5 + 0.5 * self.random.draw());
+            let (least, most) = self.history.cores_busy;
+            let busy = self.between(least, most);
+            let used = self.happens(0.8).then_some(busy);
             sink.timer_fired(token, used);
             self.events += 1;
         }
@@ -197,13 +208,14 @@
         if self.history.leased && quarter {
             let calls = self.between(0.0, 6.0).floor();
             let until = now + ms(self.between(100.0, 600.0));
+            let retry_ms = self.between(100.0, 6000.0);
             let longest = ms(self.between(300.0, 2000.0));
             sink.call_lease_updated(CallLease {
                 calls,
                 expires: until,
                 calls_after_expiry: 1.0,
                 max_call_time: longest,
-                retry_after: ms(250.0),
+                retry_after: ms(retry_ms),
             });
             self.events += 1;
         }
@@ -301,7 +313,7 @@
     }
 
     fn answered(&mut self, id: &JobId, retry_after: Option<Span>, now: Time) {
-        let retries = self.happens(0.5);
+        let retries = self.happens(self.history.retried);
         let Some(tracked) = self.jobs.get_mut(id) else { return };
         tracked.answered = true;
         if let Some(retry_after) = retry_after.filter(|_| retries) {
@@ -381,6 +393,7 @@
         in_use: index != number,
     });
     let mut tenants = history.tenants.clone();
+    tenants.iter_mut().for_each(|tenant| tenant.quota_per_s *= 0.3);
     tenants.push(Tenant { quota_per_s: 5.0 });
     SettingsUpdate {
         job_classes: placed.collect(),
@@ -407,6 +420,11 @@
         let need = control.call_demand(now);
         world.digest.update(format!("need {} {}\n", need.in_flight, need.wanted).as_bytes());
         if history.updates_ms.get(updates).is_some_and(|due| *due <= now_ms) {
+            // No place may go: a job in flight may name it.
+            let mut fewer = update(history, updates);
+            fewer.job_classes.truncate(1);
+            let taken = control.update_settings(now, fewer);
+            world.digest.update(format!("fewer {taken}\n").as_bytes());
             let taken = control.update_settings(now, update(history, updates));
             world.digest.update(format!("update {taken}\n").as_bytes());
             updates += 1;
@@ -461,6 +479,9 @@
         stalls_ms: vec![],
         unread_ms: 30.0,
         job_kb: 20.0,
+        retried: 0.5,
+        steady_load: None,
+        cores_busy: (0.5, 1.0),
     }
 }
 
@@ -487,12 +508,14 @@
     leased.leased = true;
     leased.setup.callers.signal = LoadSignal::Silent;
     leased.updates_ms = vec![15_000.0];
+    leased.setup.callers.max_retry_after = ms(8_000.0);
     all.push(leased);
 
     let mut memory = plain("memory", 15);
     memory.job_kb = 300.0;
     memory.setup.machine.memory_kb = 12_000.0;
     memory.setup.machine.cancellation = Cancellation::Requeues;
+    memory.drain_ms = Some((38_000.0, 900.0));
     all.push(memory);
 
     let mut cold = plain("cold-start", 16);
@@ -526,6 +549,33 @@
     slow.setup.job_classes = vec![classes()[3].clone(), classes()[0].clone(), classes()[3].clone()];
     all.push(slow);
 
+    let mut busy = plain("busy-cores", 21);
+    busy.cores_busy = (0.94, 1.0);
+    busy.steady_load = Some(1.3);
+    all.push(busy);
+
+    let mut crowd = plain("few-jobs-a-core", 22);
+    crowd.setup.promises.max_jobs_per_core = 1.2;
+    crowd.silent_calls = 0.3;
+    crowd.setup.job_classes = vec![classes()[3].clone(), classes()[4].clone()];
+    all.push(crowd);
+
+    let mut drain = plain("long-drain", 23);
+    drain.steady_load = Some(0.9);
+    drain.retried = 0.0;
+    drain.silent_calls = 0.4;
+    drain.drain_ms = Some((20_000.0, 9_000.0));
+    drain.setup.promises.drain_grace = ms(5_000.0);
+    all.push(drain);
+
+    let mut small = plain("little-memory", 24);
+    small.job_kb = 120.0;
+    small.setup.machine.memory_kb = 9_000.0;
+    small.setup.machine.running_memory_ratio = 2.0;
+    small.setup.job_classes = vec![classes()[4].clone(), classes()[1].clone()];
+    small.unread_ms = 600.0;
+    all.push(small);
+
     all
 }
 
