--- a/crates/hazelgrade-budget/src/holder.rs
+++ b/crates/hazelgrade-budget/src/holder.rs
@@ -214,7 +214,7 @@
         self.unanswered = if self.asked.is_some() { self.unanswered + 1 } else { 0 };
         (self.asked, self.latest, self.more_to_say) = (Some(now), Some(now), false);
         // Lost answers are made up for by the next ask.
-        let spread = 1.0 + SPREAD * (self.chance.draw() - 0.5);
+        let spread = 1.0 + SPREAD * (self.chance.next_f64() - 0.5);
         let patience = 2f64.powi(self.unanswered.min(8)).min(MOST_PATIENCE);
         self.next = now + self.again * (spread * patience);
         let leaving = self.leaving;
@@ -262,7 +262,7 @@
         self.known = Some((grant.keeper.clone(), grant.generation));
         let sane = |ms: f64, most: f64| if ms.is_finite() { ms.clamp(0.0, most) } else { 0.0 };
         self.again = Span::from_ms(sane(grant.again_ms, 60_000.0).max(LEAST_GAP_MS));
-        let spread = 1.0 + SPREAD * (self.chance.draw() - 0.5);
+        let spread = 1.0 + SPREAD * (self.chance.next_f64() - 0.5);
         self.next = now.max(asked + self.again * spread);
         for Given { budget, units, lease_ms, longest_use_ms, more_in_ms } in &grant.of {
             let Some(own) = self.own.get_mut(budget) else { continue };
--- a/crates/hazelgrade-budget/tests/histories.rs
+++ b/crates/hazelgrade-budget/tests/histories.rs
@@ -7,7 +7,7 @@
 /// A history of trouble by seed; gives the fleet, its faults over, some leases later.
 fn history(seed: u64, nodes: usize, sites: usize, faults: usize) -> Fleet {
     let mut chance = MultiplyWithCarry::new(seed);
-    let mut pick = |of: usize| ((chance.draw() * of as f64) as usize).min(of - 1);
+    let mut pick = |of: usize| ((chance.next_f64() * of as f64) as usize).min(of - 1);
     let whole = (sites * (2 + pick(12)) + pick(nodes * 2)) as u32;
     let alone = pick(2) as u32;
     let alone = if alone * nodes as u32 <= whole / sites as u32 { alone } else { 0 };
--- a/crates/hazelgrade-budget/tests/pure.rs
+++ b/crates/hazelgrade-budget/tests/pure.rs
@@ -240,7 +240,7 @@
 fn sites_own_no_more_than_the_whole_together_and_lose_nothing() {
     for seed in 0..400 {
         let mut chance = MultiplyWithCarry::new(seed);
-        let mut pick = |of: usize| ((chance.draw() * of as f64) as usize).min(of - 1);
+        let mut pick = |of: usize| ((chance.next_f64() * of as f64) as usize).min(of - 1);
         let owners = SITES.iter().map(|site| Owner::new(site, 0, Ledger::default())).collect();
         let mut keepers = Keepers { owners, disks: vec![Ledger::default(); 3], starts: [0; 3] };
         (0..3).for_each(|at| keepers.start(at));
--- a/crates/hazelgrade-fakes/src/fleet.rs
+++ b/crates/hazelgrade-fakes/src/fleet.rs
@@ -200,7 +200,7 @@
 impl Fleet {
     pub fn new(setting: Setting) -> Fleet {
         let mut chance = MultiplyWithCarry::new(setting.seed);
-        let mut rate = || 1.0 + setting.drift * (2.0 * chance.draw() - 1.0) / 2.0;
+        let mut rate = || 1.0 + setting.drift * (2.0 * chance.next_f64() - 1.0) / 2.0;
         let site = |place: usize, rate: f64| {
             let book = Book { site: name(place), ..Book::default() };
             Site {
@@ -259,7 +259,7 @@
     }
 
     fn draw(&mut self) -> f64 {
-        self.chance.draw()
+        self.chance.next_f64()
     }
 
     fn later(&mut self, after: f64, what: What) {
@@ -465,7 +465,7 @@
         let (now, call_ms) = (local(self.now, self.nodes[place].rate), self.setting.call_ms);
         let node = &mut self.nodes[place];
         // Calls that were rejected in half a second would have been so many at once.
-        let turned = (node.turned_away.read(now) * call_ms / 500.0).round() as u32;
+        let turned = (node.turned_away.value(now) * call_ms / 500.0).round() as u32;
         let wants = node.used + turned + node.lie;
         node.holder.uses(now, BUDGET, Use { used: node.used, wants });
         self.asks(place);
--- a/crates/hazelgrade-fault-injection/src/lane.rs
+++ b/crates/hazelgrade-fault-injection/src/lane.rs
@@ -105,7 +105,7 @@
     }
 
     pub fn put(&mut self, now: Time, rules: &Rules, datagram: &[u8]) {
-        let draws = [self.chance.draw(), self.chance.draw(), self.chance.draw()];
+        let draws = [self.chance.next_f64(), self.chance.next_f64(), self.chance.next_f64()];
         if rules.held || draws[0] < rules.lost || self.waiting.len() >= DATAGRAMS {
             return;
         }
--- a/crates/hazelgrade-fault-injection/src/plan.rs
+++ b/crates/hazelgrade-fault-injection/src/plan.rs
@@ -202,7 +202,7 @@
     pub fn draw_shared(seed: u64, nodes: usize, faults: usize, sites: usize, whole: u32) -> Plan {
         let mut plan = Plan::draw(seed, nodes, faults);
         let mut chance = MultiplyWithCarry::new(seed ^ 0x5eed);
-        let mut pick = |of: usize| ((chance.draw() * of as f64) as usize).min(of.saturating_sub(1));
+        let mut pick = |of: usize| ((chance.next_f64() * of as f64) as usize).min(of.saturating_sub(1));
         let mut step = Vec::new();
         let (mut keepers_cut, mut other_out, mut lowered) = (false, None, false);
         for one in plan.step {
@@ -249,7 +249,7 @@
     /// A plan of about so many faults, each with what ends it somewhere after.
     pub fn draw(seed: u64, nodes: usize, faults: usize) -> Plan {
         let mut chance = MultiplyWithCarry::new(seed);
-        let mut pick = |of: usize| ((chance.draw() * of as f64) as usize).min(of.saturating_sub(1));
+        let mut pick = |of: usize| ((chance.next_f64() * of as f64) as usize).min(of.saturating_sub(1));
         let mut step: Vec<Step> = Vec::new();
         let mut open: Vec<Fault> = Vec::new();
         // A node that was told to leave, killed or stopped is left alone until it is started or woken.
--- a/crates/hazelgrade-fault-injection/tests/pure.rs
+++ b/crates/hazelgrade-fault-injection/tests/pure.rs
@@ -27,19 +27,19 @@
         let mut chance = MultiplyWithCarry::new(seed);
         let (mut lane, mut rules, mut now) = (Stream::default(), Rules::default(), 0.0);
         let (mut sent, mut got, mut paced) = (Vec::new(), Vec::new(), (0.0, 0usize));
-        let resets_at = (chance.draw() < 0.3).then(|| (chance.draw() * 3000.0) as u64);
+        let resets_at = (chance.next_f64() < 0.3).then(|| (chance.next_f64() * 3000.0) as u64);
         for _ in 0..400 {
-            now += chance.draw() * 20.0;
-            if chance.draw() < 0.1 {
-                rules.held = chance.draw() < 0.3;
-                rules.delay = ms(chance.draw() * 30.0);
-                rules.rate = (chance.draw() < 0.5).then(|| 1000.0 + chance.draw() * 100_000.0);
+            now += chance.next_f64() * 20.0;
+            if chance.next_f64() < 0.1 {
+                rules.held = chance.next_f64() < 0.3;
+                rules.delay = ms(chance.next_f64() * 30.0);
+                rules.rate = (chance.next_f64() < 0.5).then(|| 1000.0 + chance.next_f64() * 100_000.0);
                 rules.reset_after = resets_at;
                 paced = (now, 0);
             }
-            if chance.draw() < 0.4 && lane.has_room() {
+            if chance.next_f64() < 0.4 && lane.has_room() {
                 let bytes: Vec<u8> =
-                    (0..1 + (chance.draw() * 300.0) as usize).map(|n| (sent.len() + n) as u8).collect();
+                    (0..1 + (chance.next_f64() * 300.0) as usize).map(|n| (sent.len() + n) as u8).collect();
                 lane.put(at(now), &rules, &bytes);
                 sent.extend(bytes);
             }
--- a/crates/hazelgrade-identity/src/desk.rs
+++ b/crates/hazelgrade-identity/src/desk.rs
@@ -151,7 +151,7 @@
         }
         let Some(rate) = self.rates.get_mut(self.identity.name(caller)) else { return Ok((tenant, false)) };
         rate.add(now, 1.0);
-        Ok((tenant, rate.read(now) > ceiling * RATE_FADE_MS / 1000.0))
+        Ok((tenant, rate.value(now) > ceiling * RATE_FADE_MS / 1000.0))
     }
 
     /// Notes a refusal.
--- a/crates/hazelgrade-identity/src/doubt.rs
+++ b/crates/hazelgrade-identity/src/doubt.rs
@@ -21,7 +21,7 @@
 impl Doubt {
     /// Nothing unknown from there is looked at now.
     pub fn doubts(&mut self, now: Time, from: IpAddr) -> bool {
-        self.sources.get_mut(&from).is_some_and(|(bad, _)| bad.read(now) >= TOGETHER)
+        self.sources.get_mut(&from).is_some_and(|(bad, _)| bad.value(now) >= TOGETHER)
     }
 
     /// A token from there was bad.
--- a/crates/hazelgrade-identity/tests/identity.rs
+++ b/crates/hazelgrade-identity/tests/identity.rs
@@ -236,7 +236,7 @@
         let mut chance = MultiplyWithCarry::new(seed);
         let mut some = |of: &[&str], part: f64| {
             let picked: Vec<String> =
-                of.iter().filter(|_| chance.draw() < part).map(|name| format!("{name:?}")).collect();
+                of.iter().filter(|_| chance.next_f64() < part).map(|name| format!("{name:?}")).collect();
             format!("[{}]", picked.join(", "))
         };
         let mut text = format!(
--- a/crates/hazelgrade-server/src/routing/budgets.rs
+++ b/crates/hazelgrade-server/src/routing/budgets.rs
@@ -39,7 +39,7 @@
     }
 
     fn wants(&mut self, now: Time) -> u32 {
-        (self.asked.read(now) * 1000.0 / LEARNED_OVER_MS).ceil() as u32
+        (self.asked.value(now) * 1000.0 / LEARNED_OVER_MS).ceil() as u32
     }
 }
 
--- a/crates/hazelgrade-stream/src/backoff.rs
+++ b/crates/hazelgrade-stream/src/backoff.rs
@@ -39,7 +39,7 @@
     pub fn next(&mut self, chance: &mut MultiplyWithCarry, asked: Option<Span>) -> Span {
         let most = (FIRST_MS * 2f64.powi(self.failures.min(16) as i32)).min(MOST_MS);
         self.failures = self.failures.saturating_add(1);
-        let draw = if self.jitter { chance.draw() } else { 1.0 };
+        let draw = if self.jitter { chance.next_f64() } else { 1.0 };
         match asked {
             Some(asked) => asked + asked * (SPREAD * draw),
             None => Span::from_ms(most * draw),
--- a/crates/hazelgrade-stream/tests/deaths.rs
+++ b/crates/hazelgrade-stream/tests/deaths.rs
@@ -116,7 +116,7 @@
             let after = disk.after_crash(|| match seed {
                 0 => 0.0,
                 1 => 1.0,
-                _ => chance.draw(),
+                _ => chance.next_f64(),
             });
             let world =
                 World::start(&after).unwrap_or_else(|| panic!("no start after death at {dies_at}, {seed}"));
--- a/crates/hazelgrade-stream/tests/publishing.rs
+++ b/crates/hazelgrade-stream/tests/publishing.rs
@@ -195,9 +195,9 @@
 fn a_trial_fails_by_a_fall_past_chance_and_never_by_chance() {
     for seed in 0..2000 {
         let mut chance = MultiplyWithCarry::new(seed * 7919);
-        let (part, jobs) = (0.3 + 0.7 * chance.draw(), (200.0 * chance.draw()) as u8);
+        let (part, jobs) = (0.3 + 0.7 * chance.next_f64(), (200.0 * chance.next_f64()) as u8);
         let mut sample = |part: f64| {
-            let succeeded = (0..jobs).filter(|_| chance.draw() < part).count() as f64;
+            let succeeded = (0..jobs).filter(|_| chance.next_f64() < part).count() as f64;
             Sample { answered: f64::from(jobs), succeeded, linked: true }
         };
         let mut service = Service::new(rules().span);
--- /dev/null
+++ b/crates/hazelgrade/src/controller/events.rs
@@ -0,0 +1,154 @@
+//! What the host tells the controller: the events since the last round.
+
+use super::Controller;
+use crate::api::{CallLease, Job, JobId, Outcome};
+use crate::deadline::Deadlines;
+use crate::drain::Drain;
+use crate::job_table::{Stage, TrackedJob};
+use crate::time::{Span, Time};
+
+/// Takes the events of a round, in the order in which they happened.
+pub struct EventSink<'a> {
+    controller: &'a mut Controller,
+    now: Time,
+}
+
+impl<'a> EventSink<'a> {
+    pub(super) fn new(controller: &'a mut Controller, now: Time) -> EventSink<'a> {
+        EventSink { controller, now }
+    }
+
+    /// A job was read. One whose class the settings don't name is ignored.
+    pub fn job_arrived(&mut self, job: Job) {
+        let now = self.now;
+        let controller = &mut *self.controller;
+        let Some(class) = controller.job_classes.get(job.job_class).cloned() else { return };
+        controller.learn_from_arrival(now, &job);
+        let deadlines = Deadlines::new(&job, &class, &controller.limits);
+        let tracked = TrackedJob {
+            sequence: controller.next_sequence(),
+            quota_per_s: controller.quotas.quota_per_s(job.tenant),
+            stage: Stage::Queued,
+            stage_since: now,
+            core_time: Span::ZERO,
+            latest_answer: deadlines.latest_answer,
+            objective: deadlines.objective,
+            answered: false,
+            has_run: false,
+            call_attempts: 0,
+            call_in_doubt: false,
+            class,
+            job,
+        };
+        controller.undecided.push(tracked.job.id.clone());
+        controller.jobs.insert(tracked);
+    }
+
+    /// A run ended after `took`. A job whose run was cancelled before it was answered is queued again.
+    pub fn run_ended(&mut self, id: &JobId, outcome: Outcome, took: Span) {
+        let now = self.now;
+        let controller = &mut *self.controller;
+        let Some(mut tracked) = controller.jobs.remove(id) else { return };
+        let stage_time = now.since(tracked.stage_since);
+        match tracked.stage {
+            Stage::AwaitingCallPermit => controller.call_limiter.remove_queued(id),
+            Stage::CallInFlight => controller.call_limiter.call_finished(now, stage_time, true),
+            Stage::Running => tracked.core_time += stage_time,
+            Stage::Queued | Stage::AwaitingOriginal => return,
+        }
+        if outcome == Outcome::Cancelled && !tracked.answered {
+            tracked.stage = Stage::Queued;
+            tracked.stage_since = now;
+            controller.jobs.insert(tracked);
+        } else if outcome == Outcome::Completed {
+            controller.run_limiter.run_completed();
+            controller.service_times.record(now, tracked.job.job_class, tracked.core_time, took);
+        }
+    }
+
+    /// A run has come to a call and waits.
+    pub fn call_requested(&mut self, id: &JobId) {
+        let now = self.now;
+        let Some(tracked) = self.controller.jobs.get_mut(id) else { return };
+        if tracked.stage != Stage::Running {
+            return;
+        }
+        tracked.core_time += now.since(tracked.stage_since);
+        tracked.stage = Stage::AwaitingCallPermit;
+        tracked.stage_since = now;
+        self.controller.undecided.push(id.clone());
+    }
+
+    /// A call ended after `took`. Unless it completed, the run still waits for it, and it may be made again.
+    pub fn call_ended(&mut self, id: &JobId, outcome: Outcome, took: Span) {
+        let now = self.now;
+        let controller = &mut *self.controller;
+        let Some(tracked) = controller.jobs.get_mut(id) else { return };
+        if tracked.stage != Stage::CallInFlight {
+            return;
+        }
+        controller.call_limiter.call_finished(now, took, outcome == Outcome::TimedOut);
+        if !outcome.never_ran() && outcome != Outcome::ConnectionLost {
+            controller.call_limiter.reply_received(now, took);
+        }
+        tracked.stage_since = now;
+        if outcome == Outcome::Completed {
+            tracked.stage = Stage::Running;
+            tracked.call_attempts = 0;
+        } else {
+            tracked.stage = Stage::AwaitingCallPermit;
+            tracked.call_in_doubt |= !outcome.never_ran();
+            controller.undecided.push(id.clone());
+        }
+    }
+
+    /// The caller no longer waits for an answer.
+    pub fn caller_disconnected(&mut self, id: &JobId) {
+        let controller = &mut *self.controller;
+        let Some(tracked) = controller.jobs.get_mut(id) else { return };
+        tracked.answered = true;
+        let started = tracked.is_started();
+        controller.call_limiter.remove_queued(id);
+        if started {
+            controller.undecided.push(id.clone());
+        } else {
+            controller.jobs.remove(id);
+        }
+    }
+
+    /// The notice came that the process will be stopped at `stops_at`; later notices change nothing.
+    pub fn drain_started(&mut self, stops_at: Time) {
+        self.controller.drain.get_or_insert(Drain { notified_at: self.now, stops_at });
+        self.controller.load_signal.update_at_once();
+    }
+
+    /// This server's lease of the calls that all servers share is this from now on.
+    pub fn call_lease_updated(&mut self, lease: CallLease) {
+        self.controller.call_limiter.set_lease(lease);
+    }
+
+    /// A timer fired; `cores_used` is the ratio of the cores in use, 0 to 1, where the host can measure it.
+    pub fn timer_fired(&mut self, token: u64, cores_used: Option<f64>) {
+        if let Some(cores_used) = cores_used {
+            self.controller.run_limiter.cores_measured(self.now, cores_used);
+        }
+        self.controller.timer = self.controller.timer.filter(|timer| timer.token != token);
+    }
+}
+
+impl Controller {
+    /// Learns from a job's arrival how long jobs lie unread, how many are retries and what its tenant uses of its
+    /// quota. Jobs of strangers may be made up and are read late for it: they count for nothing.
+    fn learn_from_arrival(&mut self, now: Time, job: &Job) {
+        if job.from_known_caller {
+            let unread = now.since(job.received_at);
+            self.run_limiter.job_read(now, unread);
+            self.health.job_read(now, unread > self.timescales.lag);
+        }
+        let count = f64::from(u8::from(job.from_known_caller));
+        self.retry_rate.record_request(now, job.is_retry, count);
+        if !job.is_retry {
+            self.quotas.record_arrival(now, job.tenant, count);
+        }
+    }
+}
--- /dev/null
+++ b/crates/hazelgrade/src/controller/reporting.rs
@@ -0,0 +1,70 @@
+//! What callers are told of the load, and when the next round is due.
+
+use super::{Controller, Timer};
+use crate::api::Decisions;
+use crate::health::{self, Health};
+use crate::time::Time;
+
+/// Jobs in flight that all callers together are granted for each job that may run, by a load signal of the kind credit.
+const CREDIT_PER_RUNNING_JOB: f64 = 4.0;
+
+impl Controller {
+    /// Publishes health and load signal when an update is due, steered by how long a job waits here, unread and queued,
+    /// before it runs.
+    pub(super) fn publish_load(&mut self, now: Time, decisions: &mut dyn Decisions) {
+        if !self.load_signal.begin_update(now, self.callers.signal_lifetime) {
+            return;
+        }
+        self.publish_health(now, decisions);
+        let waits = self.run_queue_drains_in(now) + self.run_limiter.mean_unread(now);
+        let wait_ratio =
+            if self.drain.is_some() { f64::INFINITY } else { waits / self.timescales.target_wait };
+        let credit = CREDIT_PER_RUNNING_JOB * self.run_limiter.limit() / self.callers.count;
+        if let Some(value) = self.load_signal.update(wait_ratio, self.callers.signal, credit) {
+            decisions.publish_load_signal(value);
+        }
+    }
+
+    fn publish_health(&mut self, now: Time, decisions: &mut dyn Decisions) {
+        let unread = self.run_limiter.mean_unread(now);
+        let requests_per_signal = self.requests_per_signal(now);
+        let scales = self.timescales;
+        let lags =
+            self.health.is_lagging(now, unread, scales.lag, scales.target_wait, scales.shortest_objective);
+        if Health::signal_is_unheeded(requests_per_signal)
+            && lags
+            && !self.retry_rate.exceeds(now, health::MAX_RETRY_RATIO)
+        {
+            self.health.unlist(now, scales.shortest_objective, self.random.next_f64());
+        }
+        if let Some(healthy) = self.health.update(now, self.drain.is_some()) {
+            decisions.publish_health(healthy, true);
+        }
+    }
+
+    /// How often each caller comes while it goes by a load signal.
+    fn requests_per_signal(&mut self, now: Time) -> f64 {
+        let window = self.timescales.learning_window;
+        let counted_for = self.started_at.map_or(window, |started_at| now.since(started_at).min(window));
+        let signals = self.callers.signal_lifetime / counted_for;
+        self.retry_rate.requests(now) * signals / self.callers.count
+    }
+
+    /// Has the host call back when something is due without an event: a job becomes worthless, a permit may become free,
+    /// the load signal is to be updated.
+    pub(super) fn set_timer(&mut self, now: Time, decisions: &mut dyn Decisions) {
+        let unanswered = self.jobs.iter().filter(|tracked| !tracked.answered);
+        let worthless_from = unanswered.map(|tracked| self.worthless_from(tracked)).min();
+        let signal_matters = !self.jobs.is_empty() || self.health.is_published_bad();
+        let signal_update = self.load_signal.next_update().filter(|_| signal_matters);
+        let release = self.call_limiter.next_release(now).filter(|_| self.call_limiter.has_queued());
+        let due = [worthless_from, signal_update, release].into_iter().flatten().min();
+        let Some(due) = due else { return };
+        let at = due.max(now + self.machine.tick);
+        if self.timer.is_none_or(|timer| at < timer.at) {
+            let token = self.next_sequence();
+            self.timer = Some(Timer { at, token });
+            decisions.set_timer(at, token);
+        }
+    }
+}
--- /dev/null
+++ b/crates/hazelgrade/src/controller/settings.rs
@@ -0,0 +1,32 @@
+//! Settings that take effect between two rounds.
+
+use super::Controller;
+use crate::api::SettingsUpdate;
+use crate::time::Time;
+use crate::timescales::Timescales;
+use std::rc::Rc;
+
+impl Controller {
+    /// Replaces the job classes, tenants and limits between two rounds. What was learned stays with its index, but for
+    /// indexes that are reset; jobs in flight keep the class that they arrived under.
+    ///
+    /// Classes and tenants may be added at the end. If any would be taken away, which a job in flight may still name,
+    /// nothing changes and the result is `false`.
+    pub fn update_settings(&mut self, now: Time, update: SettingsUpdate) -> bool {
+        let SettingsUpdate { job_classes, tenants, limits, reset_classes, reset_tenants } = update;
+        if job_classes.len() < self.job_classes.len() || tenants.len() < self.quotas.len() {
+            return false;
+        }
+        let in_use = job_classes.iter().filter(|slot| slot.in_use).map(|slot| &slot.class);
+        self.timescales = Timescales::new(in_use);
+        let window = self.timescales.learning_window;
+        self.service_times.update(now, job_classes.len(), &reset_classes, window);
+        self.quotas.update(now, &tenants, &reset_tenants, window);
+        self.call_limiter.set_learning_window(now, window);
+        self.run_limiter.set_learning_window(now, window, self.timescales.target_wait);
+        self.retry_rate.set_window(now, window);
+        self.job_classes = job_classes.into_iter().map(|slot| Rc::new(slot.class)).collect();
+        self.limits = limits;
+        true
+    }
+}
--- a/crates/hazelgrade/src/lib.rs
+++ b/crates/hazelgrade/src/lib.rs
@@ -1,10 +1,28 @@
-//! Decides, inside one server of a fleet, what it takes, runs and rejects.
+//! Decides, inside one server of a fleet, which jobs it admits, runs and rejects.
 //!
-//! [`control::Controller`] holds all decisions; the other modules hold types and arithmetic only. See
-//! `docs/design.md` for the mechanism and its exceptions.
+//! [`controller::Controller`] puts the rules together; each rule stands in a module of its own. [`api`] holds the types that
+//! go in and out, [`time`], [`statistics`] and [`random`] are arithmetic. Nothing here reads a clock or does input or
+//! output. `docs/design.md` describes the mechanism and its exceptions.
+
+#![warn(missing_docs)]
 
 pub mod api;
 pub mod controller;
 pub mod random;
 pub mod statistics;
 pub mod time;
+
+mod call_limiter;
+mod deadline;
+mod deduplication;
+mod drain;
+mod health;
+mod host_load;
+mod job_table;
+mod load_signal;
+mod memory;
+mod rejection;
+mod run_limiter;
+mod run_queue;
+mod service_times;
+mod timescales;
--- a/crates/hazelgrade/src/random.rs
+++ b/crates/hazelgrade/src/random.rs
@@ -1,8 +1,15 @@
-//! Chance from a multiply-with-carry generator: the same seed gives the same sequence.
+//! The seeded generator from which all randomness in decisions comes: the same seed gives the same sequence.
 
-/// Numbers left out at the start.
-const MIXING: u32 = 4;
+/// Numbers left out at the start, so that seeds that differ by little give sequences that differ in all bits.
+const DISCARDED_NUMBERS: u32 = 4;
 
+/// The multiplier of the generator, 2^32 - 9631.
+const MULTIPLIER: u64 = 4_294_957_665;
+
+/// 2^32, the number of values that one step can yield.
+const RANGE: f64 = 4_294_967_296.0;
+
+/// A multiply-with-carry generator of 32-bit numbers.
 #[derive(Clone, Debug)]
 pub struct MultiplyWithCarry {
     value: u32,
@@ -10,24 +17,22 @@
 }
 
 impl MultiplyWithCarry {
-    /// Seeds that lie close together, as those of a fleet that numbers its instances, give sequences that don't.
+    /// A generator for this seed; seeds that lie close together give unrelated sequences.
     pub fn new(seed: u64) -> MultiplyWithCarry {
-        let mut chance = MultiplyWithCarry {
-            value: seed as u32 ^ 0x5bd1_e995,
-            carry: ((seed >> 32) as u32 & 0x3fff_ffff) | 1,
-        };
-        // A difference of one grows some ten thousand times with each number, and fills all bits by the third.
-        for _ in 0..MIXING {
-            chance.draw();
+        let value = seed as u32 ^ 0x5bd1_e995;
+        let carry = ((seed >> 32) as u32 & 0x3fff_ffff) | 1;
+        let mut generator = MultiplyWithCarry { value, carry };
+        for _ in 0..DISCARDED_NUMBERS {
+            generator.next_f64();
         }
-        chance
+        generator
     }
 
     /// The next number, from 0 up to less than 1.
-    pub fn draw(&mut self) -> f64 {
-        let next = u64::from(self.value) * 4_294_957_665 + u64::from(self.carry);
+    pub fn next_f64(&mut self) -> f64 {
+        let next = u64::from(self.value) * MULTIPLIER + u64::from(self.carry);
         self.value = next as u32;
         self.carry = (next >> 32) as u32;
-        f64::from(self.value) / 4_294_967_296.0
+        f64::from(self.value) / RANGE
     }
 }
--- a/crates/hazelgrade/src/statistics.rs
+++ b/crates/hazelgrade/src/statistics.rs
@@ -1,100 +1,111 @@
-//! A sum whose old parts fade, brought up to date when it is read.
+//! Sums and means in which what is old counts for less, brought up to date when they are read.
 
 use crate::time::{Span, Time};
 
+/// A sum whose parts decay exponentially with their age.
 #[derive(Clone, Debug)]
 pub struct DecayingSum {
     sum: f64,
-    at: Option<Time>,
-    fade: Span,
+    updated_at: Option<Time>,
+    time_constant: Span,
 }
 
 impl DecayingSum {
-    /// A sum of which a part that is `fade` old still counts by 1/e.
-    pub fn new(fade: Span) -> DecayingSum {
-        DecayingSum { sum: 0.0, at: None, fade }
+    /// A sum of which a part that is `time_constant` old still counts by 1/e.
+    pub fn new(time_constant: Span) -> DecayingSum {
+        DecayingSum { sum: 0.0, updated_at: None, time_constant }
     }
 
-    pub fn read(&mut self, now: Time) -> f64 {
-        if let Some(at) = self.at.filter(|at| *at < now) {
-            self.sum *= (-(now.since(at) / self.fade)).exp();
+    /// The sum as of `now`.
+    pub fn value(&mut self, now: Time) -> f64 {
+        if let Some(updated_at) = self.updated_at.filter(|updated_at| *updated_at < now) {
+            self.sum *= (-(now.since(updated_at) / self.time_constant)).exp();
         }
-        self.at = self.at.max(Some(now));
+        self.updated_at = self.updated_at.max(Some(now));
         self.sum
     }
 
+    /// Adds `amount` at `now`.
     pub fn add(&mut self, now: Time, amount: f64) {
-        self.sum = self.read(now) + amount;
+        self.sum = self.value(now) + amount;
     }
 
-    /// Fades over another span from now on. A steady rate sums up to rate times fade, so the sum is brought to that.
-    pub fn set_time_constant(&mut self, now: Time, fade: Span) {
-        let sum = self.read(now);
-        if fade != self.fade {
-            self.sum = sum * (fade / self.fade);
-            self.fade = fade;
+    /// Decays by another time constant from now on. A steady rate sums up to rate times time constant, so the sum is
+    /// brought to that.
+    pub fn set_time_constant(&mut self, now: Time, time_constant: Span) {
+        let sum = self.value(now);
+        if time_constant != self.time_constant {
+            self.sum = sum * (time_constant / self.time_constant);
+            self.time_constant = time_constant;
         }
     }
 }
 
-/// Mean of a figure, over what was seen lately.
+/// The mean of a figure, in which old samples count for less.
 #[derive(Clone, Debug)]
-pub struct Mean {
+pub struct DecayingMean {
     total: DecayingSum,
     count: DecayingSum,
 }
 
-impl Mean {
-    pub fn new(fade: Span) -> Mean {
-        Mean { total: DecayingSum::new(fade), count: DecayingSum::new(fade) }
+impl DecayingMean {
+    /// A mean without samples; a sample that is `time_constant` old counts by 1/e.
+    pub fn new(time_constant: Span) -> DecayingMean {
+        DecayingMean { total: DecayingSum::new(time_constant), count: DecayingSum::new(time_constant) }
     }
 
-    pub fn learn(&mut self, now: Time, figure: f64) {
-        self.total.add(now, figure);
+    /// Adds a sample.
+    pub fn record(&mut self, now: Time, sample: f64) {
+        self.total.add(now, sample);
         self.count.add(now, 1.0);
     }
 
-    /// Fades over another span from now on; the mean stays.
-    pub fn set_time_constant(&mut self, now: Time, fade: Span) {
-        self.total.set_time_constant(now, fade);
-        self.count.set_time_constant(now, fade);
+    /// Decays by another time constant from now on; the mean stays.
+    pub fn set_time_constant(&mut self, now: Time, time_constant: Span) {
+        self.total.set_time_constant(now, time_constant);
+        self.count.set_time_constant(now, time_constant);
     }
 
-    /// Nothing before the first sample; after idleness the last mean still stands.
+    /// The mean, or nothing before the first sample; after idleness the last mean still stands.
     pub fn mean(&mut self, now: Time) -> Option<f64> {
-        let (total, count) = (self.total.read(now), self.count.read(now));
+        let total = self.total.value(now);
+        let count = self.count.value(now);
         (count > f64::MIN_POSITIVE).then(|| total / count)
     }
 }
 
-/// Mean of a length of time, over what ended lately.
+/// The mean of a length of time, in which old samples count for less.
 #[derive(Clone, Debug)]
-pub struct MeanDuration(Mean);
+pub struct MeanDuration(DecayingMean);
 
 impl MeanDuration {
-    pub fn new(fade: Span) -> MeanDuration {
-        MeanDuration(Mean::new(fade))
+    /// A mean without samples; a sample that is `time_constant` old counts by 1/e.
+    pub fn new(time_constant: Span) -> MeanDuration {
+        MeanDuration(DecayingMean::new(time_constant))
     }
 
-    pub fn learn(&mut self, now: Time, span: Span) {
-        self.0.learn(now, span.as_ms());
+    /// Adds a sample.
+    pub fn record(&mut self, now: Time, duration: Span) {
+        self.0.record(now, duration.as_ms());
     }
 
-    pub fn set_time_constant(&mut self, now: Time, fade: Span) {
-        self.0.set_time_constant(now, fade);
+    /// Decays by another time constant from now on; the mean stays.
+    pub fn set_time_constant(&mut self, now: Time, time_constant: Span) {
+        self.0.set_time_constant(now, time_constant);
     }
 
     /// How many samples still count.
-    pub fn count(&mut self, now: Time) -> f64 {
-        self.0.count.read(now)
+    pub fn sample_count(&mut self, now: Time) -> f64 {
+        self.0.count.value(now)
     }
 
+    /// The mean, or nothing before the first sample.
     pub fn mean(&mut self, now: Time) -> Option<Span> {
         self.0.mean(now).map(Span::from_ms)
     }
 
-    /// The mean, or nothing before the first sample.
-    pub fn usual(&mut self, now: Time) -> Span {
+    /// The mean, or zero before the first sample.
+    pub fn mean_or_zero(&mut self, now: Time) -> Span {
         self.mean(now).unwrap_or(Span::ZERO)
     }
 }
--- a/crates/hazelgrade/src/time.rs
+++ b/crates/hazelgrade/src/time.rs
@@ -15,33 +15,38 @@
 }
 
 impl Time {
+    /// The point that is `ms` milliseconds after the clock's zero, to the microsecond.
     pub fn from_ms(ms: f64) -> Time {
         Time(micros(ms))
     }
 
+    /// Milliseconds since the clock's zero.
     pub fn as_ms(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 
-    /// The span from `earlier` to this point; nothing if `earlier` is in fact later.
+    /// The span from `earlier` to this point; zero if `earlier` is in fact later.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0).max(0))
     }
 }
 
 impl Span {
+    /// No time.
     pub const ZERO: Span = Span(0);
 
+    /// A span of `ms` milliseconds, to the microsecond; zero if `ms` is negative.
     pub fn from_ms(ms: f64) -> Span {
         Span(micros(ms).max(0))
     }
 
+    /// Its milliseconds.
     pub fn as_ms(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 
-    /// This span without `other`, but not less than nothing.
-    pub fn less(self, other: Span) -> Span {
+    /// This span less `other`, or zero if `other` is longer.
+    pub fn saturating_sub(self, other: Span) -> Span {
         Span((self.0 - other.0).max(0))
     }
 }
--- a/crates/hazelgrade/tests/crowd.rs
+++ b/crates/hazelgrade/tests/crowd.rs
@@ -157,7 +157,7 @@
         let servers = (0..size).map(|n| server(&setup, n, seed * 1000 + n as u64, 0.0, false)).collect();
         let callers = (0..callers).map(|number| Caller {
             heeds: [Heeds::All, Heeds::All, Heeds::Half, Heeds::Nothing][number % 4],
-            news: 1000.0 + 4000.0 * chance.draw(),
+            news: 1000.0 + 4000.0 * chance.next_f64(),
             heard: BTreeMap::new(),
             away_until: BTreeMap::new(),
             connected: vec![true; size],
@@ -215,7 +215,7 @@
                 for number in which {
                     let left: Vec<Asked> =
                         std::mem::take(&mut self.servers[number].owed).into_values().collect();
-                    let seed = (self.chance.draw() * 1e9) as u64;
+                    let seed = (self.chance.next_f64() * 1e9) as u64;
                     self.servers[number] = server(&self.setup, number, seed, self.now, true);
                     self.callers.iter_mut().for_each(|caller| caller.connected[number] = false);
                     left.into_iter().for_each(|asked| self.again(asked, GONE_AFTER));
@@ -240,7 +240,7 @@
     fn ask(&mut self, mut asked: Asked) {
         let now = self.now;
         if now < self.callers[asked.caller].back_at {
-            let at = self.callers[asked.caller].back_at + 200.0 * self.chance.draw();
+            let at = self.callers[asked.caller].back_at + 200.0 * self.chance.next_f64();
             return self.at(at, Event::Ask(asked));
         }
         let caller = &mut self.callers[asked.caller];
@@ -248,12 +248,12 @@
         let list = &self.lists[age.min(self.lists.len() - 1)];
         let heeds = match caller.heeds {
             Heeds::All => true,
-            Heeds::Half => self.chance.draw() < 0.5,
+            Heeds::Half => self.chance.next_f64() < 0.5,
             Heeds::Nothing => false,
         };
         let mut chosen = None;
         for _ in 0..20 {
-            let number = (self.chance.draw() * self.size as f64) as usize;
+            let number = (self.chance.next_f64() * self.size as f64) as usize;
             if !list[number] {
                 continue;
             }
@@ -264,7 +264,7 @@
                 .get(&number)
                 .filter(|(_, at)| now - at < 1000.0)
                 .map_or(1.0, |(value, _)| *value);
-            if !heeds || !away && self.chance.draw() < value {
+            if !heeds || !away && self.chance.next_f64() < value {
                 break;
             }
         }
@@ -364,7 +364,7 @@
 
     fn apply(&mut self, number: usize, act: Act) {
         let now = at(self.now);
-        let work = WORK * (0.2 + 1.6 * self.chance.draw());
+        let work = WORK * (0.2 + 1.6 * self.chance.next_f64());
         let server = &mut self.servers[number];
         match act {
             Act::Run(id) => {
@@ -403,7 +403,7 @@
             }
             return;
         };
-        let chance = self.chance.draw();
+        let chance = self.chance.next_f64();
         if rejected.is_some() && asked.ran && asked.job_class == 1 {
             self.flag("bounced what ran", id);
         }
@@ -441,9 +441,9 @@
             while asks >= 1.0 {
                 asks -= 1.0;
                 let (caller, job_class) =
-                    ((self.chance.draw() * self.callers.len() as f64) as usize, self.chance.draw());
+                    ((self.chance.next_f64() * self.callers.len() as f64) as usize, self.chance.next_f64());
                 let job_class = usize::from(job_class < 0.2);
-                let (made, at) = (self.now, self.now + 1.0 + TICK * self.chance.draw());
+                let (made, at) = (self.now, self.now + 1.0 + TICK * self.chance.next_f64());
                 Self::count(&mut self.seen.made, made);
                 let asked = Asked { caller, made, tries: 0, job_class, reached: made, ran: false };
                 self.at(at, Event::Ask(asked));
--- a/crates/hazelgrade/tests/decisions.rs
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -99,11 +99,11 @@
     }
 
     fn between(&mut self, least: f64, most: f64) -> f64 {
-        least + (most - least) * self.random.draw()
+        least + (most - least) * self.random.next_f64()
     }
 
     fn happens(&mut self, probability: f64) -> bool {
-        self.random.draw() < probability
+        self.random.next_f64() < probability
     }
 
     /// A quiet start, a long overload, a quiet spell, a burst, and so on.
@@ -123,18 +123,18 @@
         self.made += 1;
         let classes = self.history.setup.job_classes.len() as f64;
         let tenants = self.history.tenants.len().max(1) as f64;
-        let unread = self.history.unread_ms * self.random.draw() * self.random.draw();
+        let unread = self.history.unread_ms * self.random.next_f64() * self.random.next_f64();
         let reached = now - ms(unread);
-        let skew = self.random.draw();
+        let skew = self.random.next_f64();
         Job {
             id: format!("j{}", self.made).into(),
-            job_class: (self.random.draw() * classes) as usize,
+            job_class: (self.random.next_f64() * classes) as usize,
             tenant: (skew * skew * tenants) as usize,
             received_at: reached,
             caller_deadline: self.happens(0.3).then(|| reached + ms(self.history.lasts_ms.min(2500.0))),
             expected_work: self.happens(0.4).then(|| ms(80.0)),
-            queued_kb: self.history.job_kb * (0.5 + self.random.draw()),
-            priority_rank: self.random.draw(),
+            queued_kb: self.history.job_kb * (0.5 + self.random.next_f64()),
+            priority_rank: self.random.next_f64(),
             is_retry: false,
             retry_of: None,
             from_known_caller: !self.happens(0.05),
@@ -161,7 +161,7 @@
     fn arrivals(&mut self, now: Time) -> Vec<Job> {
         let expected = self.history.rate * self.load(now.as_ms()) * TICK_MS / 1000.0;
         let mut jobs = Vec::new();
-        let mut left = expected + self.random.draw();
+        let mut left = expected + self.random.next_f64();
         while left >= 1.0 {
             jobs.push(self.new_job(now));
             left -= 1.0;
@@ -183,7 +183,7 @@
     /// Tells the controller all that happens in this tick.
     fn feed(&mut self, now: Time, sink: &mut EventSink) {
         for job in self.arrivals(now) {
-            let calls_left = (self.random.draw() * 3.0) as u32;
+            let calls_left = (self.random.next_f64() * 3.0) as u32;
             sink.job_arrived(job.clone());
             self.events += 1;
             let tracked =
@@ -284,7 +284,7 @@
         if !self.happens(0.05) || self.jobs.is_empty() {
             return;
         }
-        let place = (self.random.draw() * self.jobs.len() as f64) as usize;
+        let place = (self.random.next_f64() * self.jobs.len() as f64) as usize;
         let Some(id) = self.jobs.keys().nth(place).cloned() else { return };
         let Some(tracked) = self.jobs.get_mut(&id).filter(|tracked| !tracked.answered) else { return };
         tracked.answered = true;
@@ -299,7 +299,7 @@
     fn call_outcome(&mut self, now: Time, within: Span) -> (Time, Outcome) {
         let over = now + within;
         let took = ms(self.between(20.0, 120.0) * if self.happens(0.1) { 6.0 } else { 1.0 });
-        let fate = self.random.draw();
+        let fate = self.random.next_f64();
         let (ends, outcome) = match fate {
             fate if fate < self.history.silent_calls => (over, Outcome::TimedOut),
             fate if fate > 0.99 => (now + ms(10.0), Outcome::Rejected),
--- a/crates/hazelgrade/tests/rules.rs
+++ b/crates/hazelgrade/tests/rules.rs
@@ -61,7 +61,7 @@
     }
 
     fn pick(&mut self, least: f64, most: f64) -> f64 {
-        least + (most - least) * self.chance.draw()
+        least + (most - least) * self.chance.next_f64()
     }
 
     fn apply(&mut self, act: &Act, now: Time) {
@@ -84,7 +84,7 @@
             }
             return;
         };
-        let (work, fate, below) = (self.pick(50.0, 900.0), self.chance.draw(), self.pick(20.0, 1500.0));
+        let (work, fate, below) = (self.pick(50.0, 900.0), self.chance.next_f64(), self.pick(20.0, 1500.0));
         let Some(known) = self.jobs.get(id) else { return self.flag(true, "unknown job", id) };
         let case = self.setup.job_classes[known.job.job_class].clone();
         let (stage, request, reached, doubt) =
@@ -203,7 +203,7 @@
 }
 
 fn one_of<T: Copy>(chance: &mut MultiplyWithCarry, from: &[T]) -> T {
-    from[(chance.draw() * from.len() as f64) as usize]
+    from[(chance.next_f64() * from.len() as f64) as usize]
 }
 
 fn world(seed: u64) -> World {
@@ -213,9 +213,9 @@
     setup.job_classes = [Idempotency::Idempotent, Idempotency::Keyed, Idempotency::AtMostOnce]
         .map(|repeats| JobClass {
             idempotency: repeats,
-            late_weight_ratio: if chance.draw() < 0.5 { 0.0 } else { 0.3 },
-            weight_ratio_without_call: if chance.draw() < 0.5 { 0.0 } else { 0.4 },
-            calls_dependency: chance.draw() < 0.7,
+            late_weight_ratio: if chance.next_f64() < 0.5 { 0.0 } else { 0.3 },
+            weight_ratio_without_call: if chance.next_f64() < 0.5 { 0.0 } else { 0.4 },
+            calls_dependency: chance.next_f64() < 0.7,
             ..base.clone()
         })
         .to_vec();
@@ -227,7 +227,7 @@
     setup.below.max_calls = one_of(&mut chance, &[None, Some(0.04), Some(0.4), Some(3.5)]);
     use LoadSignal::*;
     setup.callers.signal = one_of(&mut chance, &[Silent, Level, Credit, Weight]);
-    (setup.machine.cold, setup.callers.mark_retries) = (chance.draw() < 0.5, chance.draw() < 0.7);
+    (setup.machine.cold, setup.callers.mark_retries) = (chance.next_f64() < 0.5, chance.next_f64() < 0.7);
     let sizes = [(1.0, 1.0), (4.0, 5.0), (3_000.0, 400.0)];
     (setup.callers.count, setup.callers.fleet_size) = one_of(&mut chance, &sizes);
     World {
@@ -262,15 +262,15 @@
             break;
         }
         // New jobs, and retries of numbered ones, reach the machine; some wait long unread.
-        while world.chance.draw() < rate && now.since(begun) < ms(17_000.0) {
+        while world.chance.next_f64() < rate && now.since(begun) < ms(17_000.0) {
             count += 1;
-            let job_class = (world.chance.draw() * 3.0) as usize;
+            let job_class = (world.chance.next_f64() * 3.0) as usize;
             let old: Vec<(usize, JobId)> =
                 world.jobs.values().map(|k| (k.request, k.job.id.clone())).collect();
-            let again = job_class == 1 && !old.is_empty() && world.chance.draw() < 0.4;
+            let again = job_class == 1 && !old.is_empty() && world.chance.next_f64() < 0.4;
             let (mut request, mut id_before) = (count, None);
             if again {
-                let (number, id) = old[(world.chance.draw() * old.len() as f64) as usize].clone();
+                let (number, id) = old[(world.chance.next_f64() * old.len() as f64) as usize].clone();
                 // A caller waits a while for one try before it sends the next.
                 let last =
                     world.jobs.values().filter(|k| k.request == number).map(|k| k.job.received_at).max();
@@ -283,7 +283,7 @@
             let linked =
                 world.entries.get(&request).filter(|(_, until)| *until > now).map(|(id, _)| id.clone());
             let wait =
-                if world.chance.draw() < 0.1 { world.pick(0.0, 3000.0) } else { world.pick(0.0, 20.0) };
+                if world.chance.next_f64() < 0.1 { world.pick(0.0, 3000.0) } else { world.pick(0.0, 20.0) };
             let mut job = job(&id, now);
             (job.job_class, job.is_retry) =
                 (job_class, id_before.is_some() && world.setup.callers.mark_retries);
@@ -296,7 +296,7 @@
                 at: At::Unread,
                 due,
                 owed: true,
-                calls_left: (world.chance.draw() * 3.0) as u32,
+                calls_left: (world.chance.next_f64() * 3.0) as u32,
                 call_doubt: false,
                 ran_ever: false,
                 started: now,
@@ -306,7 +306,7 @@
         if now < paused_until {
             continue;
         }
-        if world.chance.draw() < 0.001 {
+        if world.chance.next_f64() < 0.001 {
             paused_until = now + ms(world.pick(50.0, 150.0));
             // A delay of a frozen process is not counted against it.
             let owed = world.jobs.values_mut().filter(|known| known.owed);
@@ -328,7 +328,7 @@
     let ids: Vec<JobId> = world.jobs.keys().cloned().collect();
     for id in ids {
         let (luck, leaving, work) =
-            (world.chance.draw(), world.chance.draw() < 0.0005, world.pick(20.0, 1500.0));
+            (world.chance.next_f64(), world.chance.next_f64() < 0.0005, world.pick(20.0, 1500.0));
         let calls = world.setup.job_classes[world.jobs[&id].job.job_class].calls_dependency;
         let linger = world.setup.below.linger;
         let Some(known) = world.jobs.get_mut(&id) else { continue };
@@ -395,7 +395,7 @@
     world.timers.retain(|(at, _)| *at > now);
     let leaving = (now >= leaves && world.notice.is_none()).then(|| now + ms(4000.0));
     world.notice = world.notice.or(leaving.map(|stop| (now, stop)));
-    let busy = world.chance.draw();
+    let busy = world.chance.next_f64();
     let lists = [arrived.len(), ended.len(), at_call.len(), returned.len(), gone.len(), fired.len()];
     if lists.iter().sum::<usize>() == 0 && leaving.is_none() {
         return None;
