--- a/crates/hazelgrade/tests/decisions.rs
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -48,17 +48,17 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum At {
+enum Stage {
     Queued,
     Running { left_ms: f64 },
-    AtCall,
+    AwaitingCall,
     Calling { made: Time, ends: Time, outcome: Outcome },
-    Original,
+    AwaitingOriginal,
 }
 
 struct Tracked {
     job: Job,
-    at: At,
+    at: Stage,
     answered: bool,
     calls_left: u32,
     began: Time,
@@ -187,7 +187,7 @@
             sink.job_arrived(job.clone());
             self.events += 1;
             let tracked =
-                Tracked { job, at: At::Queued, answered: false, calls_left, began: now, cancelled: false };
+                Tracked { job, at: Stage::Queued, answered: false, calls_left, began: now, cancelled: false };
             self.jobs.insert(tracked.job.id.clone(), tracked);
         }
         self.progress(now, sink);
@@ -204,7 +204,7 @@
             sink.timer_fired(token, used);
             self.events += 1;
         }
-        let quarter = (now.as_ms() / TICK_MS) as u64 % 25 == 0;
+        let quarter = ((now.as_ms() / TICK_MS) as u64).is_multiple_of(25);
         if self.history.leased && quarter {
             let calls = self.between(0.0, 6.0).floor();
             let until = now + ms(self.between(100.0, 600.0));
@@ -230,25 +230,25 @@
 
     /// Runs and calls go on, and end.
     fn progress(&mut self, now: Time, sink: &mut EventSink) {
-        let running = self.jobs.values().filter(|job| matches!(job.at, At::Running { .. })).count() as f64;
+        let running = self.jobs.values().filter(|job| matches!(job.at, Stage::Running { .. })).count() as f64;
         let step = TICK_MS * (self.history.setup.machine.cores / running.max(1.0)).min(1.0);
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
         for id in ids {
             let Some(tracked) = self.jobs.get(&id) else { continue };
             let class = self.history.setup.job_classes[tracked.job.job_class].clone();
             match tracked.at {
-                At::Running { left_ms } if left_ms > step && !tracked.cancelled => {
-                    self.jobs.get_mut(&id).expect("tracked").at = At::Running { left_ms: left_ms - step };
+                Stage::Running { left_ms } if left_ms > step && !tracked.cancelled => {
+                    self.jobs.get_mut(&id).expect("tracked").at = Stage::Running { left_ms: left_ms - step };
                 }
-                At::Running { .. } => self.run_step_over(&id, now, class.calls_dependency, sink),
-                At::Calling { made, ends, outcome } if ends <= now => {
+                Stage::Running { .. } => self.run_step_over(&id, now, class.calls_dependency, sink),
+                Stage::Calling { made, ends, outcome } if ends <= now => {
                     sink.call_ended(&id, outcome, now.since(made));
                     self.events += 1;
                     let left_ms = self.between(5.0, 60.0);
                     let tracked = self.jobs.get_mut(&id).expect("tracked");
                     tracked.at = match outcome {
-                        Outcome::Completed => At::Running { left_ms },
-                        _ => At::AtCall,
+                        Outcome::Completed => Stage::Running { left_ms },
+                        _ => Stage::AwaitingCall,
                     };
                 }
                 _ => {}
@@ -264,14 +264,14 @@
         if tracked.cancelled || preempted {
             sink.run_ended(id, Outcome::Cancelled, now.since(tracked.began));
             let pauses = !tracked.answered;
-            tracked.at = At::Queued;
+            tracked.at = Stage::Queued;
             tracked.cancelled = false;
             if !pauses {
                 self.jobs.remove(id);
             }
         } else if calls && tracked.calls_left > 0 {
             tracked.calls_left -= 1;
-            tracked.at = At::AtCall;
+            tracked.at = Stage::AwaitingCall;
             sink.call_requested(id);
         } else {
             let outcome = if ends { Outcome::Failed } else { Outcome::Completed };
@@ -288,7 +288,7 @@
         let Some(id) = self.jobs.keys().nth(place).cloned() else { return };
         let Some(tracked) = self.jobs.get_mut(&id).filter(|tracked| !tracked.answered) else { return };
         tracked.answered = true;
-        let waits = matches!(tracked.at, At::Queued | At::Original);
+        let waits = matches!(tracked.at, Stage::Queued | Stage::AwaitingOriginal);
         sink.caller_disconnected(&id);
         self.events += 1;
         if waits {
@@ -319,7 +319,7 @@
         if let Some(retry_after) = retry_after.filter(|_| retries) {
             self.retries.push(Retry { due: now + retry_after + ms(20.0), job: tracked.job.clone() });
         }
-        if matches!(tracked.at, At::Queued | At::Original) {
+        if matches!(tracked.at, Stage::Queued | Stage::AwaitingOriginal) {
             self.jobs.remove(id);
         }
     }
@@ -332,18 +332,18 @@
         match act {
             Act::Run(id) => {
                 let Some(tracked) = self.jobs.get_mut(id) else { return };
-                (tracked.at, tracked.began) = (At::Running { left_ms }, now);
+                (tracked.at, tracked.began) = (Stage::Running { left_ms }, now);
             }
             Act::Reject(id, retry_after, _) => self.answered(id, Some(*retry_after), now),
             Act::Fail(id) => self.answered(id, None, now),
             Act::Call(id, within) => {
                 let (ends, outcome) = self.call_outcome(now, *within);
                 let Some(tracked) = self.jobs.get_mut(id) else { return };
-                tracked.at = At::Calling { made: now, ends, outcome };
+                tracked.at = Stage::Calling { made: now, ends, outcome };
             }
             Act::Skip(id) => {
                 let Some(tracked) = self.jobs.get_mut(id) else { return };
-                tracked.at = At::Running { left_ms };
+                tracked.at = Stage::Running { left_ms };
             }
             Act::Stop(id) => {
                 let Some(tracked) = self.jobs.get_mut(id) else { return };
@@ -351,7 +351,7 @@
             }
             Act::Share(id) => {
                 let Some(tracked) = self.jobs.get_mut(id) else { return };
-                tracked.at = At::Original;
+                tracked.at = Stage::AwaitingOriginal;
             }
             Act::Wake(at, token) => self.timers.push((*at, *token)),
             Act::Remember(..) | Act::Forget(_) | Act::Say(_) | Act::Health(_) | Act::Limited(_) => {}
@@ -397,7 +397,7 @@
     tenants.push(Tenant { quota_per_s: 5.0 });
     SettingsUpdate {
         job_classes: placed.collect(),
-        tenants: tenants,
+        tenants,
         limits: history.setup.promises.clone(),
         reset_classes: vec![0],
         reset_tenants: vec![0],
