--- a/crates/hazelgrade-demo/src/measure/identity.rs
+++ b/crates/hazelgrade-demo/src/measure/identity.rs
@@ -1,4 +1,4 @@
-//! Callers' identities in figures, as tables in Markdown; `docs/results.md` has them with what they were taken on.
+//! Callers' identities in figures, as tables in Markdown; `docs/capacity.md` has them with what they were taken on.
 
 use super::streaming::{spread, table};
 use crate::parts::{failed, program};
--- a/crates/hazelgrade-demo/src/measure/streaming.rs
+++ b/crates/hazelgrade-demo/src/measure/streaming.rs
@@ -1,4 +1,4 @@
-//! Streamed configuration in figures, as tables in Markdown; `docs/results.md` has them with what they were taken on.
+//! Streamed configuration in figures, as tables in Markdown; `docs/capacity.md` has them with what they were taken on.
 
 use crate::SELF;
 use crate::parts::{control as control_service, failed, program};
