--- a/crates/hazelgrade-budget/src/holder.rs
+++ b/crates/hazelgrade-budget/src/holder.rs
@@ -7,7 +7,7 @@
 
 use crate::message::{Ask, Given, Grant, Line, MOST_LINES};
 use crate::{DRIFT, Units};
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use std::collections::BTreeMap;
 
@@ -28,7 +28,7 @@
 pub struct Use {
     /// In hand, those that linger below counted in.
     pub used: Units,
-    /// Used, and turned away for want of more.
+    /// Used, and rejected for want of more.
     pub wants: Units,
 }
 
@@ -98,14 +98,20 @@
     next: Time,
     leaving: bool,
     own: BTreeMap<String, Own>,
-    chance: Chance,
+    chance: MultiplyWithCarry,
     /// Answers that were not taken: late, doubled, or of an earlier start.
     pub refused: u64,
 }
 
 impl Holder {
     /// `alone`: what this node may use for itself, by budget.
-    pub fn new(now: Time, name: &str, run: u64, alone: &BTreeMap<String, Units>, chance: Chance) -> Holder {
+    pub fn new(
+        now: Time,
+        name: &str,
+        run: u64,
+        alone: &BTreeMap<String, Units>,
+        chance: MultiplyWithCarry,
+    ) -> Holder {
         let own = alone.iter().map(|(name, units)| {
             (
                 name.clone(),
@@ -208,7 +214,7 @@
         self.unanswered = if self.asked.is_some() { self.unanswered + 1 } else { 0 };
         (self.asked, self.latest, self.more_to_say) = (Some(now), Some(now), false);
         // Lost answers are made up for by the next ask.
-        let spread = 1.0 + SPREAD * (self.chance.draw() - 0.5);
+        let spread = 1.0 + SPREAD * (self.chance.next_f64() - 0.5);
         let patience = 2f64.powi(self.unanswered.min(8)).min(MOST_PATIENCE);
         self.next = now + self.again * (spread * patience);
         let leaving = self.leaving;
@@ -256,7 +262,7 @@
         self.known = Some((grant.keeper.clone(), grant.generation));
         let sane = |ms: f64, most: f64| if ms.is_finite() { ms.clamp(0.0, most) } else { 0.0 };
         self.again = Span::from_ms(sane(grant.again_ms, 60_000.0).max(LEAST_GAP_MS));
-        let spread = 1.0 + SPREAD * (self.chance.draw() - 0.5);
+        let spread = 1.0 + SPREAD * (self.chance.next_f64() - 0.5);
         self.next = now.max(asked + self.again * spread);
         for Given { budget, units, lease_ms, longest_use_ms, more_in_ms } in &grant.of {
             let Some(own) = self.own.get_mut(budget) else { continue };
--- a/crates/hazelgrade-config/src/document.rs
+++ b/crates/hazelgrade-config/src/document.rs
@@ -5,16 +5,16 @@
 use crate::fields::{self, Fields, Kind, Scalar};
 use crate::read::{Found, Reading};
 use crate::version::Digest;
-use hazelgrade::desk::{Customer, Promises, Repeats, UseCase};
+use hazelgrade::api::{Idempotency, JobClass, ServiceLimits, Tenant};
 use hazelgrade::time::Span;
 use ipnet::IpNet;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Use cases in a document: those of a large site several times over, and few enough to go through at each job.
-pub const MOST_USE_CASES: usize = 64;
-/// Customers in a document.
-pub const MOST_CUSTOMERS: usize = 4096;
+/// Job classes in a document: those of a large site several times over, and few enough to go through at each job.
+pub const MAX_JOB_CLASSES: usize = 64;
+/// Tenants in a document.
+pub const MAX_TENANTS: usize = 4096;
 /// Budgets in a document: a node is bound by all of them at each job.
 pub const MOST_BUDGETS: usize = 64;
 /// Nodes that have addresses of their own in a document.
@@ -45,9 +45,9 @@
 /// What the decision module takes of a document, with the names that go with it.
 #[derive(Clone, Debug)]
 pub struct Serving {
-    pub use_cases: Vec<(String, UseCase)>,
-    pub customers: Vec<(String, Customer)>,
-    pub promises: Promises,
+    pub job_classes: Vec<(String, JobClass)>,
+    pub tenants: Vec<(String, Tenant)>,
+    pub promises: ServiceLimits,
 }
 
 /// Notes faults by path.
@@ -79,19 +79,19 @@
     /// The document as a whole.
     fn whole(&mut self) {
         let fields = self.fields;
-        let use_cases = fields.names("use_case");
-        if use_cases.is_empty() {
+        let job_classes = fields.names("use_case");
+        if job_classes.is_empty() {
             self.fault("use_case", "expected at least one use case, like [use_case.slot-search]");
         }
         for (section, most) in
-            [("use_case", MOST_USE_CASES), ("customer", MOST_CUSTOMERS), ("node", MOST_NODES)]
+            [("use_case", MAX_JOB_CLASSES), ("customer", MAX_TENANTS), ("node", MOST_NODES)]
         {
             let count = fields.names(section).len();
             if count > most {
                 self.fault(section, format!("expected {most} at most, not {count}"));
             }
         }
-        for name in &use_cases {
+        for name in &job_classes {
             let at = |field: &str| format!("use_case/{name}/{field}");
             for field in fields::FIELDS.iter().filter(|field| field.needed) {
                 let path = field.path.replace('*', name);
@@ -99,8 +99,8 @@
                     self.fault(&path, "is missing");
                 }
             }
-            let (goal, cut_off) = (fields.number(&at("goal_ms")), fields.number(&at("cut_off_ms")));
-            if goal.zip(cut_off).is_some_and(|(goal, cut_off)| goal > cut_off) {
+            let (goal, deadline) = (fields.number(&at("goal_ms")), fields.number(&at("cut_off_ms")));
+            if goal.zip(deadline).is_some_and(|(goal, deadline)| goal > deadline) {
                 self.fault(&at("goal_ms"), "expected the goal time to be within the cut-off");
             }
             let numbered = fields.word(&at("repeats")) == Some("numbered");
@@ -112,7 +112,7 @@
             }
         }
         let earns = |name: &&str| fields.number(&format!("use_case/{name}/earnings")).unwrap_or(1.0) > 0.0;
-        if !use_cases.is_empty() && !use_cases.iter().any(earns) {
+        if !job_classes.is_empty() && !job_classes.iter().any(earns) {
             self.fault("use_case", "expected at least one use case that earns something");
         }
     }
@@ -185,7 +185,7 @@
             self.fault("budget", format!("expected {MOST_BUDGETS} at most, not {}", names.len()));
         }
         let (mut in_hand, mut tries) = (Vec::new(), Vec::new());
-        let mut customers = BTreeMap::new();
+        let mut tenants = BTreeMap::new();
         for name in names {
             let at = |field: &str| format!("budget/{name}/{field}");
             for field in ["measure", "whole"] {
@@ -225,8 +225,8 @@
             }
             if measure == "rate" {
                 self.needed(&at("customer"));
-                let customer = fields.word(&at("customer")).unwrap_or_default();
-                if let Some(other) = customers.insert(customer, name) {
+                let tenant = fields.word(&at("customer")).unwrap_or_default();
+                if let Some(other) = tenants.insert(tenant, name) {
                     self.fault(
                         &at("customer"),
                         format!("is that of budget {other} too: one of them would not count"),
@@ -282,8 +282,8 @@
         let mut reading = Reading::of(text, file);
         let (mut fields, mut places) = (Fields::default(), BTreeMap::new());
         for (path, (found, at)) in std::mem::take(&mut reading.found) {
-            let customer = path.strip_prefix("customer/").and_then(|rest| rest.split('/').next());
-            if let Some(name) = customer.filter(|name| !name.is_empty()) {
+            let tenant = path.strip_prefix("customer/").and_then(|rest| rest.split('/').next());
+            if let Some(name) = tenant.filter(|name| !name.is_empty()) {
                 fields.0.insert(format!("customer/{name}/"), Scalar::Truth(true));
                 places.entry(format!("customer/{name}/")).or_insert(at);
             }
@@ -305,7 +305,7 @@
                     }
                 }
                 Found::Nothing if fields.0.contains_key(&path) => {}
-                // A use case with nothing in it lacks what it needs; another empty table says nothing.
+                // A job class with nothing in it lacks what it needs; another empty table says nothing.
                 Found::Nothing if path.starts_with("use_case/") && path.len() > "use_case/".len() => {
                     reading.fault(at, &path, "expected at least goal_ms and cut_off_ms");
                 }
@@ -389,45 +389,47 @@
     }
 
     /// What the module takes. What the document leaves open in the promises is as in `usual`.
-    pub fn serving(&self, usual: &Promises) -> Serving {
+    pub fn serving(&self, usual: &ServiceLimits) -> Serving {
         let fields = &self.fields;
-        let use_case = |name: &&str| {
+        let job_class = |name: &&str| {
             let number = |field: &str, absent: f64| {
                 fields.number(&format!("use_case/{name}/{field}")).unwrap_or(absent)
             };
             let span = |field: &str| Span::from_ms(number(field, 0.0));
             let repeats = match fields.word(&format!("use_case/{name}/repeats")) {
-                Some("numbered") => Repeats::Numbered,
-                Some("at-most-once") => Repeats::AtMostOnce,
-                _ => Repeats::Reissuable,
+                Some("numbered") => Idempotency::Keyed,
+                Some("at-most-once") => Idempotency::AtMostOnce,
+                _ => Idempotency::Idempotent,
             };
-            let case = UseCase {
-                goal: span("goal_ms"),
-                goal_per_work: number("goal_per_work", 0.0),
-                cut_off: span("cut_off_ms"),
-                earnings: number("earnings", 1.0),
-                late_part: number("late_part", 0.0),
-                repeats,
-                window: span("window_ms"),
-                calls: fields.truth(&format!("use_case/{name}/calls")).unwrap_or(true),
-                part_without_call: number("part_without_call", 0.0),
+            let case = JobClass {
+                latency_objective: span("goal_ms"),
+                objective_per_work: number("goal_per_work", 0.0),
+                deadline: span("cut_off_ms"),
+                priority_weight: number("earnings", 1.0),
+                late_weight_ratio: number("late_part", 0.0),
+                idempotency: repeats,
+                retry_window: span("window_ms"),
+                calls_dependency: fields.truth(&format!("use_case/{name}/calls")).unwrap_or(true),
+                weight_ratio_without_call: number("part_without_call", 0.0),
             };
             ((*name).to_owned(), case)
         };
-        let customer = |name: &&str| {
+        let tenant = |name: &&str| {
             let quota = fields.number(&format!("customer/{name}/quota_per_s")).unwrap_or(f64::INFINITY);
-            ((*name).to_owned(), Customer { quota })
+            ((*name).to_owned(), Tenant { quota_per_s: quota })
         };
         let span = |path: &str, usual: Span| fields.number(path).map_or(usual, Span::from_ms);
         Serving {
-            use_cases: fields.names("use_case").iter().map(use_case).collect(),
-            customers: fields.names("customer").iter().map(customer).collect(),
-            promises: Promises {
+            job_classes: fields.names("use_case").iter().map(job_class).collect(),
+            tenants: fields.names("customer").iter().map(tenant).collect(),
+            promises: ServiceLimits {
                 answer_slack: span("promises/answer_slack_ms", usual.answer_slack),
-                cold_from: fields.number("promises/cold_from").unwrap_or(usual.cold_from),
+                cold_speed_ratio: fields.number("promises/cold_from").unwrap_or(usual.cold_speed_ratio),
                 warm_up: span("promises/warm_up_ms", usual.warm_up),
                 drain_grace: span("promises/drain_grace_ms", usual.drain_grace),
-                crowd_per_core: fields.number("promises/crowd_per_core").unwrap_or(usual.crowd_per_core),
+                max_jobs_per_core: fields
+                    .number("promises/crowd_per_core")
+                    .unwrap_or(usual.max_jobs_per_core),
             },
         }
     }
--- a/crates/hazelgrade-config/src/operator.rs
+++ b/crates/hazelgrade-config/src/operator.rs
@@ -92,14 +92,14 @@
 pub struct Trial {
     /// How long it serves on trial, and how long before it is compared with.
     pub span: Span,
-    /// It fails if the part of jobs that were satisfied falls by more than this part of what it was before.
+    /// It fails if the part of jobs that were succeeded falls by more than this part of what it was before.
     pub fall: f64,
     /// Fewer jobs on either side prove nothing.
     pub least_jobs: f64,
 }
 
 impl Default for Trial {
-    /// Ten seconds see a few of the longest goal times; a fall by a fifth is past what days differ by from one ten
+    /// Ten seconds see a few of the longest latency objectives; a fall by a fifth is past what days differ by from one ten
     /// seconds to the next; in fifty jobs, ten more failures are past chance.
     fn default() -> Trial {
         Trial { span: Span::from_ms(10_000.0), fall: 0.2, least_jobs: 50.0 }
--- a/crates/hazelgrade-demo/src/measure/streaming.rs
+++ b/crates/hazelgrade-demo/src/measure/streaming.rs
@@ -1,4 +1,4 @@
-//! Streamed configuration in figures, as tables in Markdown; `docs/results.md` has them with what they were taken on.
+//! Streamed configuration in figures, as tables in Markdown; `docs/capacity.md` has them with what they were taken on.
 
 use crate::SELF;
 use crate::parts::{control as control_service, failed, program};
@@ -6,16 +6,16 @@
 use async_io::Timer;
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use futures_lite::future::{BoxedLocal, FutureExt, or};
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::operator::Trial;
 use hazelgrade_config::{Document, Kind, Version};
+use hazelgrade_fakes::callers::{Fate, Told};
+use hazelgrade_fakes::documents::{BOOK, READ, document, text};
+use hazelgrade_fakes::executor::Work;
+use hazelgrade_fakes::world::{World, callers};
+use hazelgrade_fakes::{comes_true, free_address, node::settings};
 use hazelgrade_net::bell::Bell;
-use hazelgrade_standins::callers::{Fate, Told};
-use hazelgrade_standins::documents::{BOOK, READ, document, text};
-use hazelgrade_standins::executor::Work;
-use hazelgrade_standins::world::{World, callers};
-use hazelgrade_standins::{comes_true, free_address, node::settings};
 use hazelgrade_store::Store;
 use hazelgrade_stream::admission::Admission;
 use hazelgrade_stream::backoff::Backoff;
@@ -108,7 +108,7 @@
     }
 
     fn sample(&self) -> Sample {
-        Sample { answered: 0.0, satisfied: 0.0, linked: true }
+        Sample { answered: 0.0, succeeded: 0.0, linked: true }
     }
 }
 
@@ -120,7 +120,7 @@
         lineage: None,
         rules: Trial { span: Span::from_ms(100.0), ..Trial::default() },
         controls,
-        chance: Chance::new(seed),
+        chance: MultiplyWithCarry::new(seed),
         backoff,
         kept: Kept::default(),
         file: None,
@@ -249,9 +249,9 @@
 fn bytes() -> Result<Table, String> {
     let mut table =
         table(["customers", "whole, bytes", "one field changed", "a customer more", "all quotas changed"]);
-    for customers in [5, 50, 500] {
+    for tenants in [5, 50, 500] {
         let cases = [READ, BOOK];
-        let before = document(&cases, customers, "")?;
+        let before = document(&cases, tenants, "")?;
         let length = |content: Content| {
             let version = Version { number: 1000, digest: before.digest() };
             Published::Offer(Offer { nonce: 1000, lineage: "measure".into(), version, content })
@@ -263,12 +263,12 @@
             let difference = before.fields().difference(after.fields());
             length(Content::Change { base, difference }).to_string()
         };
-        let field = document(&[READ, ("book", 1500, 3000, 2)], customers, "")?;
-        let more = document(&cases, customers + 1, "")?;
-        let all = text(&cases, customers, "").replace("quota_per_s = ", "quota_per_s = 1");
+        let field = document(&[READ, ("book", 1500, 3000, 2)], tenants, "")?;
+        let more = document(&cases, tenants + 1, "")?;
+        let all = text(&cases, tenants, "").replace("quota_per_s = ", "quota_per_s = 1");
         let all = Document::read(&all, "all").map_err(|faults| faults[0].to_string())?;
         let whole = length(Content::Whole(before.to_toml())).to_string();
-        table.add_row([customers.to_string(), whole, change(&field), change(&more), change(&all)]);
+        table.add_row([tenants.to_string(), whole, change(&field), change(&more), change(&all)]);
     }
     Ok(table)
 }
@@ -379,7 +379,7 @@
     }
     node.kill();
     drop(control);
-    let ready = |plan: &hazelgrade_standins::node::Plan| -> Result<f64, String> {
+    let ready = |plan: &hazelgrade_fakes::node::Plan| -> Result<f64, String> {
         world.executor.restart();
         let began = Instant::now();
         let node = plan.start().map_err(failed)?;
@@ -399,7 +399,7 @@
     let stream = format!("document = {file:?}\n{trial}");
     let mut plan = world.plan("filed", &program()?, &[SELF], gone, &stream);
     plan.log = "off".into();
-    let fresh = |plan: &hazelgrade_standins::node::Plan| {
+    let fresh = |plan: &hazelgrade_fakes::node::Plan| {
         let _ = std::fs::remove_file(plan.store());
         ready(plan)
     };
@@ -483,19 +483,19 @@
         let quantile = |part: f64| {
             let of_run = |run: &Vec<Told>| {
                 let mut waits = Histogram::<u64>::new(3).ok()?;
-                let satisfied = run.iter().filter(|told| told.fate == Fate::Satisfied);
-                satisfied.for_each(|told| waits.record(told.after.as_micros() as u64).unwrap_or_default());
+                let succeeded = run.iter().filter(|told| told.fate == Fate::Succeeded);
+                succeeded.for_each(|told| waits.record(told.after.as_micros() as u64).unwrap_or_default());
                 Some(waits.value_at_quantile(part) as f64 / 1000.0)
             };
             spread(runs.iter().filter_map(of_run).collect())
         };
         let all: usize = runs.iter().map(Vec::len).sum();
-        let satisfied = runs.iter().flatten().filter(|told| told.fate == Fate::Satisfied).count();
+        let succeeded = runs.iter().flatten().filter(|told| told.fate == Fate::Succeeded).count();
         table.add_row([
             (*name).to_owned(),
             quantile(0.5),
             quantile(0.99),
-            format!("{satisfied} of {all}"),
+            format!("{succeeded} of {all}"),
             runs.len().to_string(),
         ]);
     }
--- /dev/null
+++ b/crates/hazelgrade-fakes/src/documents.rs
@@ -0,0 +1,30 @@
+//! Documents for tests and the demo.
+
+use hazelgrade_config::Document;
+
+/// A job class by its name, latency objective, deadline in ms, and priority weight.
+pub type Case<'a> = (&'a str, u32, u32, u32);
+
+pub const READ: Case = ("read", 1000, 3000, 1);
+pub const BOOK: Case = ("book", 1000, 3000, 2);
+
+/// A document in TOML with these job classes, so many tenants, and further lines at its end.
+pub fn text(cases: &[Case], tenants: usize, rest: &str) -> String {
+    let mut text = String::new();
+    for (name, goal, deadline, priority_weight) in cases {
+        text.push_str(&format!(
+            "[use_case.{name}]\ngoal_ms = {goal}\ncut_off_ms = {deadline}\nearnings = {priority_weight}\npart_without_call = 0.5\n\n"
+        ));
+    }
+    for tenant in 0..tenants {
+        text.push_str(&format!("[customer.c{tenant}]\nquota_per_s = {}\n\n", 100 + tenant));
+    }
+    text.push_str(rest);
+    text
+}
+
+/// The same, read.
+pub fn document(cases: &[Case], tenants: usize, rest: &str) -> Result<Document, String> {
+    let read = Document::read(&text(cases, tenants, rest), "a fake document");
+    read.map_err(|faults| hazelgrade_config::fault::lines(&faults, 5))
+}
--- a/crates/hazelgrade-standins/src/fleet.rs
+++ b/crates/hazelgrade-fakes/src/fleet.rs
@@ -2,8 +2,8 @@
 //! clocks that drift, with messages that are late, lost or doubled, processes that die, stand still and come back, and stores
 //! that are old. What is in use is counted where it takes effect, by the simulated clock alone.
 
-use hazelgrade::chance::Chance;
-use hazelgrade::decay::DecaySum;
+use hazelgrade::random::MultiplyWithCarry;
+use hazelgrade::statistics::DecayingSum;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_budget::holder::{Holder, Use};
 use hazelgrade_budget::keeper::{self, Book, Keeper};
@@ -129,7 +129,7 @@
     lie: u32,
     /// Calls that it knows to be in hand.
     used: u32,
-    turned_away: DecaySum,
+    turned_away: DecayingSum,
     /// What came while it stood still.
     late: Vec<What>,
 }
@@ -173,7 +173,7 @@
     numbers: u64,
     queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     what: BTreeMap<usize, What>,
-    chance: Chance,
+    chance: MultiplyWithCarry,
     nodes: Vec<Node>,
     sites: Vec<Site>,
     sites_cut: bool,
@@ -199,8 +199,8 @@
 
 impl Fleet {
     pub fn new(setting: Setting) -> Fleet {
-        let mut chance = Chance::new(setting.seed);
-        let mut rate = || 1.0 + setting.drift * (2.0 * chance.draw() - 1.0) / 2.0;
+        let mut chance = MultiplyWithCarry::new(setting.seed);
+        let mut rate = || 1.0 + setting.drift * (2.0 * chance.next_f64() - 1.0) / 2.0;
         let site = |place: usize, rate: f64| {
             let book = Book { site: name(place), ..Book::default() };
             Site {
@@ -220,7 +220,7 @@
         };
         let sites = (0..setting.sites).map(|place| site(place, rate())).collect();
         let node = |place: usize, rate: f64| Node {
-            holder: Holder::new(Time::from_ms(0.0), "", 0, &BTreeMap::new(), Chance::new(0)),
+            holder: Holder::new(Time::from_ms(0.0), "", 0, &BTreeMap::new(), MultiplyWithCarry::new(0)),
             run: 0,
             site: place % setting.sites,
             rate,
@@ -231,7 +231,7 @@
             demand: f64::from(setting.whole) / setting.nodes as f64,
             lie: 0,
             used: 0,
-            turned_away: DecaySum::new(Span::from_ms(500.0)),
+            turned_away: DecayingSum::new(Span::from_ms(500.0)),
             late: Vec::new(),
         };
         let nodes = (0..setting.nodes).map(|place| node(place, rate())).collect();
@@ -259,7 +259,7 @@
     }
 
     fn draw(&mut self) -> f64 {
-        self.chance.draw()
+        self.chance.next_f64()
     }
 
     fn later(&mut self, after: f64, what: What) {
@@ -431,10 +431,10 @@
         let alone = [(BUDGET.to_owned(), self.setting.alone)].into();
         let node = &mut self.nodes[place];
         let now = local(self.now, node.rate);
-        node.holder = Holder::new(now, &format!("n{place}"), run, &alone, Chance::new(run));
+        node.holder = Holder::new(now, &format!("n{place}"), run, &alone, MultiplyWithCarry::new(run));
         node.holder.bind(now, &[BUDGET.to_owned()]);
         (node.run, node.up, node.stopped, node.leaving, node.used) = (run, true, false, false, 0);
-        node.turned_away = DecaySum::new(Span::from_ms(500.0));
+        node.turned_away = DecayingSum::new(Span::from_ms(500.0));
         node.late.clear();
         self.job_later(place);
         self.asks(place);
@@ -464,8 +464,8 @@
         }
         let (now, call_ms) = (local(self.now, self.nodes[place].rate), self.setting.call_ms);
         let node = &mut self.nodes[place];
-        // Calls that were turned away in half a second would have been so many at once.
-        let turned = (node.turned_away.read(now) * call_ms / 500.0).round() as u32;
+        // Calls that were rejected in half a second would have been so many at once.
+        let turned = (node.turned_away.value(now) * call_ms / 500.0).round() as u32;
         let wants = node.used + turned + node.lie;
         node.holder.uses(now, BUDGET, Use { used: node.used, wants });
         self.asks(place);
@@ -776,6 +776,6 @@
         floor: 1,
         lease: Span::from_ms(setting.lease_ms),
         longest_use: Span::from_ms(setting.longest_use_ms),
-        customer: None,
+        tenant: None,
     }
 }
--- a/crates/hazelgrade-standins/src/rules.rs
+++ b/crates/hazelgrade-fakes/src/rules.rs
@@ -12,13 +12,13 @@
     pub fates: BTreeMap<Fate, usize>,
     /// Jobs without an answer.
     pub lost: Vec<String>,
-    /// Jobs answered after their cut-off.
+    /// Jobs answered after their deadline.
     pub late: Vec<String>,
     /// Answers for no open call.
     pub answered_twice: u64,
     /// Jobs that were started more than once.
     pub run_twice: Vec<String>,
-    /// Jobs that were bounced, so never ran, and did.
+    /// Jobs that were rejected, so never ran, and did.
     pub bounced_and_run: Vec<String>,
 }
 
@@ -27,7 +27,7 @@
     told: &[Told],
     answered_twice: u64,
     runs: &BTreeMap<String, u32>,
-    cut_off: Duration,
+    deadline: Duration,
     grace: Duration,
 ) -> Verdict {
     let mut verdict = Verdict { count: told.len(), answered_twice, ..Verdict::default() };
@@ -35,20 +35,20 @@
         *verdict.fates.entry(told.fate).or_default() += 1;
         if told.fate == Fate::Lost {
             verdict.lost.push(told.id.clone());
-        } else if told.fate != Fate::Crossed && told.after > cut_off + grace {
+        } else if told.fate != Fate::Crossed && told.after > deadline + grace {
             verdict.late.push(told.id.clone());
         }
     }
     verdict.run_twice = runs.iter().filter(|(_, count)| **count > 1).map(|(id, _)| id.clone()).collect();
-    let bounced = told
+    let rejected = told
         .iter()
-        .filter(|told| matches!(told.fate, Fate::Bounced | Fate::Denied) && runs.contains_key(&told.id));
-    verdict.bounced_and_run = bounced.map(|told| told.id.clone()).collect();
+        .filter(|told| matches!(told.fate, Fate::Rejected | Fate::Denied) && runs.contains_key(&told.id));
+    verdict.bounced_and_run = rejected.map(|told| told.id.clone()).collect();
     verdict
 }
 
 impl Verdict {
-    /// No job lost or late, none answered or run twice. A reissuable job may be stopped and bounced.
+    /// No job lost or late, none answered or run twice. A idempotent job may be stopped and rejected.
     pub fn kept(&self) -> bool {
         self.lost.is_empty() && self.late.is_empty() && self.answered_twice == 0 && self.run_twice.is_empty()
     }
@@ -65,10 +65,10 @@
             to,
             "{} jobs: {} satisfied, {} bounced, {} denied, {} written off, {} answered otherwise, {} sent again; {} lost, {} late, {} answered twice, {} run twice",
             self.count,
-            part(Fate::Satisfied),
-            part(Fate::Bounced),
+            part(Fate::Succeeded),
+            part(Fate::Rejected),
             part(Fate::Denied),
-            part(Fate::WrittenOff),
+            part(Fate::Failed),
             part(Fate::Wrong),
             part(Fate::Crossed),
             self.lost.len(),
--- a/crates/hazelgrade-rig/src/account.rs
+++ b/crates/hazelgrade-fault-injection/src/account.rs
@@ -3,7 +3,7 @@
 //! saw, so that a group that is wrong about itself is found out.
 
 use hazelgrade::time::{Span, Time};
-use hazelgrade_standins::callers::Fate;
+use hazelgrade_fakes::callers::Fate;
 use std::collections::BTreeMap;
 use std::fmt::{Display, Formatter};
 
@@ -66,7 +66,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Account {
-    pub cut_off: Span,
+    pub deadline: Span,
     pub grace: Span,
     pub spells: Vec<Spell>,
     pub jobs: Vec<Job>,
@@ -163,7 +163,9 @@
                 }
                 // It never reached the node, or the node had left: it is sent again elsewhere.
                 Fate::Crossed => {}
-                _ if job.after > self.cut_off + self.grace && !self.excused(job, &[Stopped, CallersHeld]) => {
+                _ if job.after > self.deadline + self.grace
+                    && !self.excused(job, &[Stopped, CallersHeld]) =>
+                {
                     say("no job late", shown());
                 }
                 _ => {}
@@ -241,9 +243,9 @@
         of_node.into_iter().any(|spell| spell.to.is_none_or(|to| to >= from))
     }
 
-    /// The part of a node's jobs, sent in this time, that were satisfied within `goal`; none if it had none.
+    /// The part of a node's jobs, sent in this time, that were succeeded within `goal`; none if it had none.
     pub fn part_served(&self, node: usize, from: Time, to: Time, goal: Span) -> Option<f64> {
-        self.part(node, from, to, |job| job.fate == Fate::Satisfied && job.after <= goal)
+        self.part(node, from, to, |job| job.fate == Fate::Succeeded && job.after <= goal)
     }
 
     /// What was answered by then, whatever the answer, in parts of all.
--- a/crates/hazelgrade-rig/src/group.rs
+++ b/crates/hazelgrade-fault-injection/src/group.rs
@@ -6,13 +6,13 @@
 use crate::plan::{Disk, Fault, Link, Ways};
 use crate::shared::{Setting, Shared};
 use hazelgrade_config::{Document, Version};
-use hazelgrade_standins::callers::{Callers, Fate};
-use hazelgrade_standins::documents::{BOOK, Case, READ, document};
-use hazelgrade_standins::executor::{Executor, Work};
-use hazelgrade_standins::node::{Node, Plan};
-use hazelgrade_standins::registry::Registry;
-use hazelgrade_standins::service::Service;
-use hazelgrade_standins::{comes_true, database, free_address, world};
+use hazelgrade_fakes::callers::{Callers, Fate};
+use hazelgrade_fakes::documents::{BOOK, Case, READ, document};
+use hazelgrade_fakes::executor::{Executor, Work};
+use hazelgrade_fakes::node::{Node, Plan};
+use hazelgrade_fakes::registry::Registry;
+use hazelgrade_fakes::service::Service;
+use hazelgrade_fakes::{comes_true, database, free_address, world};
 use rustix::process::Signal;
 use serde_json::Value;
 use std::io;
@@ -73,7 +73,7 @@
     version.split(' ').nth(1).unwrap_or_default().to_owned()
 }
 
-/// A document that differs from all others by a use case of its own.
+/// A document that differs from all others by a job class of its own.
 fn numbered(count: u64, harmful: bool) -> Result<Document, String> {
     let mark = format!("v{count}");
     let own: Case = (&mark, 1000, 3000, 1);
@@ -199,7 +199,7 @@
         }
         let numbers_anew = controls.len() > 1;
         let mut account =
-            Account { numbers_anew, cut_off: ms(CUT_OFF_MS), grace: ms(GRACE_MS), ..Account::default() };
+            Account { numbers_anew, deadline: ms(CUT_OFF_MS), grace: ms(GRACE_MS), ..Account::default() };
         // Until it listens, what callers send is refused.
         (0..nodes).for_each(|node| account.begins(node, Trouble::Gone, now()));
         Ok(Group {
@@ -516,11 +516,11 @@
         self.account.ends(node, Trouble::Gone, now());
     }
 
-    /// Whether callers of this node are served by the latest document, seen by a use case of its own.
+    /// Whether callers of this node are served by the latest document, seen by a job class of its own.
     pub fn serves_latest(&self, node: usize, within: Duration) -> bool {
         let latest = format!("v{}", self.published);
         let callers = world::callers(self.members[node].edge(Link::Callers).address, 50.0, &[&latest]);
-        let served = comes_true(within, || callers.told().iter().any(|told| told.fate == Fate::Satisfied));
+        let served = comes_true(within, || callers.told().iter().any(|told| told.fate == Fate::Succeeded));
         callers.stop();
         served
     }
@@ -685,7 +685,7 @@
         self.account
     }
 
-    /// What a node serves by is seen where it takes effect: jobs of the latest document's own use case are served.
+    /// What a node serves by is seen where it takes effect: jobs of the latest document's own job class are served.
     fn probe(&mut self) {
         for node in 0..self.members.len() {
             if self.members[node].running && !self.serves_latest(node, AT_LAST) {
--- a/crates/hazelgrade-rig/tests/pure.rs
+++ b/crates/hazelgrade-fault-injection/tests/pure.rs
@@ -1,13 +1,13 @@
-//! What decides in the rig, without processes: a way's order and timing, plans, the shrinker, and the checkers, each with
+//! What decides in fault injection, without processes: a way's order and timing, plans, the shrinker, and the checkers, each with
 //! a history that breaks its rule.
 
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
-use hazelgrade_rig::account::{Account, Job, Seen, Trouble};
-use hazelgrade_rig::lane::{Datagrams, Next, Rules, Stream};
-use hazelgrade_rig::plan::{Cue, Fault, Plan, Step};
-use hazelgrade_rig::shrink::shrink;
-use hazelgrade_standins::callers::Fate;
+use hazelgrade_fakes::callers::Fate;
+use hazelgrade_fault_injection::account::{Account, Job, Seen, Trouble};
+use hazelgrade_fault_injection::lane::{Datagrams, Next, Rules, Stream};
+use hazelgrade_fault_injection::plan::{Cue, Fault, Plan, Step};
+use hazelgrade_fault_injection::shrink::shrink;
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeMap;
 
@@ -24,22 +24,22 @@
 #[test]
 fn a_stream_keeps_every_byte_in_order_under_any_rules() {
     fn keeps(seed: u64) -> Result<(), String> {
-        let mut chance = Chance::new(seed);
+        let mut chance = MultiplyWithCarry::new(seed);
         let (mut lane, mut rules, mut now) = (Stream::default(), Rules::default(), 0.0);
         let (mut sent, mut got, mut paced) = (Vec::new(), Vec::new(), (0.0, 0usize));
-        let resets_at = (chance.draw() < 0.3).then(|| (chance.draw() * 3000.0) as u64);
+        let resets_at = (chance.next_f64() < 0.3).then(|| (chance.next_f64() * 3000.0) as u64);
         for _ in 0..400 {
-            now += chance.draw() * 20.0;
-            if chance.draw() < 0.1 {
-                rules.held = chance.draw() < 0.3;
-                rules.delay = ms(chance.draw() * 30.0);
-                rules.rate = (chance.draw() < 0.5).then(|| 1000.0 + chance.draw() * 100_000.0);
+            now += chance.next_f64() * 20.0;
+            if chance.next_f64() < 0.1 {
+                rules.held = chance.next_f64() < 0.3;
+                rules.delay = ms(chance.next_f64() * 30.0);
+                rules.rate = (chance.next_f64() < 0.5).then(|| 1000.0 + chance.next_f64() * 100_000.0);
                 rules.reset_after = resets_at;
                 paced = (now, 0);
             }
-            if chance.draw() < 0.4 && lane.has_room() {
+            if chance.next_f64() < 0.4 && lane.has_room() {
                 let bytes: Vec<u8> =
-                    (0..1 + (chance.draw() * 300.0) as usize).map(|n| (sent.len() + n) as u8).collect();
+                    (0..1 + (chance.next_f64() * 300.0) as usize).map(|n| (sent.len() + n) as u8).collect();
                 lane.put(at(now), &rules, &bytes);
                 sent.extend(bytes);
             }
@@ -148,7 +148,7 @@
 
 fn account(jobs: Vec<Job>) -> Account {
     Account {
-        cut_off: ms(3000.0),
+        deadline: ms(3000.0),
         grace: ms(100.0),
         jobs,
         runs: vec![BTreeMap::new(); 2],
@@ -184,13 +184,13 @@
     ran.begins(0, Trouble::Gone, at(9000.0));
     ran.runs[0].insert("a".into(), 1);
     assert_eq!(rules(&ran), ["no job lost"]);
-    let late = || account(vec![job(0, "a", 10_000.0, 3200.0, Fate::Satisfied)]);
+    let late = || account(vec![job(0, "a", 10_000.0, 3200.0, Fate::Succeeded)]);
     assert_eq!(rules(&late()), ["no job late"]);
     let mut stopped = late();
     stopped.begins(0, Trouble::Stopped, at(11_000.0));
     stopped.ends(0, Trouble::Stopped, at(12_000.0));
     assert!(rules(&stopped).is_empty());
-    assert!(rules(&account(vec![job(0, "a", 0.0, 3050.0, Fate::Bounced)])).is_empty());
+    assert!(rules(&account(vec![job(0, "a", 0.0, 3050.0, Fate::Rejected)])).is_empty());
     assert!(rules(&account(vec![job(0, "a", 0.0, 9000.0, Fate::Crossed)])).is_empty());
 }
 
@@ -242,12 +242,12 @@
 #[test]
 fn the_part_served_counts_what_was_sent_then_and_answered_in_its_goal_time() {
     let jobs = vec![
-        job(0, "a", 100.0, 50.0, Fate::Satisfied),
-        job(0, "b", 200.0, 900.0, Fate::Satisfied),
-        job(0, "c", 300.0, 10.0, Fate::Bounced),
+        job(0, "a", 100.0, 50.0, Fate::Succeeded),
+        job(0, "b", 200.0, 900.0, Fate::Succeeded),
+        job(0, "c", 300.0, 10.0, Fate::Rejected),
         job(0, "d", 400.0, 10.0, Fate::Crossed),
-        job(0, "e", 2000.0, 10.0, Fate::Bounced),
-        job(1, "f", 100.0, 10.0, Fate::Bounced),
+        job(0, "e", 2000.0, 10.0, Fate::Rejected),
+        job(1, "f", 100.0, 10.0, Fate::Rejected),
     ];
     let part = account(jobs).part_served(0, at(0.0), at(1000.0), ms(500.0));
     assert_eq!(part, Some(1.0 / 3.0));
--- a/crates/hazelgrade-identity/src/desk.rs
+++ b/crates/hazelgrade-identity/src/desk.rs
@@ -6,7 +6,7 @@
 use crate::doubt::Doubt;
 use crate::set::{CallerId, Identity};
 use crate::token::{Refused, Verified, stands, verify};
-use hazelgrade::decay::DecaySum;
+use hazelgrade::statistics::DecayingSum;
 use hazelgrade::time::{Span, Time};
 use std::collections::{BTreeMap, HashMap};
 use std::net::IpAddr;
@@ -40,7 +40,7 @@
     book: Book,
     doubt: Doubt,
     audit: Audit,
-    rates: HashMap<String, DecaySum>,
+    rates: HashMap<String, DecayingSum>,
     /// Signatures that were checked.
     pub checked: u64,
 }
@@ -69,8 +69,8 @@
     }
 
     /// The site's names have other places.
-    pub fn compile(&mut self, use_cases: &BTreeMap<&str, usize>, customers: &BTreeMap<&str, usize>) {
-        self.identity.compile(use_cases, customers);
+    pub fn compile(&mut self, job_classes: &BTreeMap<&str, usize>, tenants: &BTreeMap<&str, usize>) {
+        self.identity.compile(job_classes, tenants);
     }
 
     /// Who shows this token.
@@ -116,17 +116,17 @@
         self.identity.certified(names).ok_or(Refused::UnknownCaller)
     }
 
-    /// The customer that a job is for, if whoever asks may ask for that.
+    /// The tenant that a job is for, if whoever asks may ask for that.
     pub fn may(
         &self,
         now: Time,
         known: &Known,
-        use_case: usize,
-        customer: Option<usize>,
+        job_class: usize,
+        tenant: Option<usize>,
         from: IpAddr,
     ) -> Result<usize, Refused> {
         let caller = self.caller(now, known)?;
-        self.identity.may(caller, use_case, customer, from)
+        self.identity.may(caller, job_class, tenant, from)
     }
 
     /// The same for a job that is asked for now: whether its caller is beyond its ceiling too, a hint for the module.
@@ -134,24 +134,24 @@
         &mut self,
         now: Time,
         known: &Known,
-        use_case: usize,
-        customer: Option<usize>,
+        job_class: usize,
+        tenant: Option<usize>,
         from: IpAddr,
     ) -> Result<(usize, bool), Refused> {
         let caller = self.caller(now, known)?;
-        let customer = self.identity.may(caller, use_case, customer, from)?;
-        let Some(ceiling) = self.identity.jobs_per_s(caller) else { return Ok((customer, false)) };
+        let tenant = self.identity.may(caller, job_class, tenant, from)?;
+        let Some(ceiling) = self.identity.jobs_per_s(caller) else { return Ok((tenant, false)) };
         let fade = Span::from_ms(RATE_FADE_MS);
         // By name, so that another set of callers goes on from the same sums; bounded by the callers of a set.
         if !self.rates.contains_key(self.identity.name(caller)) {
             if self.rates.len() >= REMEMBERED {
                 self.rates.clear();
             }
-            self.rates.insert(self.identity.name(caller).to_owned(), DecaySum::new(fade));
+            self.rates.insert(self.identity.name(caller).to_owned(), DecayingSum::new(fade));
         }
-        let Some(rate) = self.rates.get_mut(self.identity.name(caller)) else { return Ok((customer, false)) };
+        let Some(rate) = self.rates.get_mut(self.identity.name(caller)) else { return Ok((tenant, false)) };
         rate.add(now, 1.0);
-        Ok((customer, rate.read(now) > ceiling * RATE_FADE_MS / 1000.0))
+        Ok((tenant, rate.value(now) > ceiling * RATE_FADE_MS / 1000.0))
     }
 
     /// Notes a refusal.
--- a/crates/hazelgrade-identity/src/token.rs
+++ b/crates/hazelgrade-identity/src/token.rs
@@ -32,8 +32,8 @@
     /// The key, the caller, the token or the certificate was revoked.
     Revoked,
     Network,
-    UseCase,
-    Customer,
+    JobClass,
+    Tenant,
     /// Too many bad ones came from there lately: not looked at.
     Doubted,
 }
@@ -53,8 +53,8 @@
         Refused::UnknownCaller,
         Refused::Revoked,
         Refused::Network,
-        Refused::UseCase,
-        Refused::Customer,
+        Refused::JobClass,
+        Refused::Tenant,
         Refused::Doubted,
     ];
 
@@ -82,8 +82,8 @@
             Refused::UnknownCaller => "the caller is not known",
             Refused::Revoked => "revoked",
             Refused::Network => "not from this network",
-            Refused::UseCase => "the caller may not ask for this use case",
-            Refused::Customer => "the caller may not ask for this customer",
+            Refused::JobClass => "the caller may not ask for this use case",
+            Refused::Tenant => "the caller may not ask for this customer",
             Refused::Doubted => "too many bad tokens came from there",
         }
     }
--- a/crates/hazelgrade-identity/tests/identity.rs
+++ b/crates/hazelgrade-identity/tests/identity.rs
@@ -2,7 +2,7 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::{Document, Kind};
 use hazelgrade_identity::desk::{Certificate, Desk, Known, REMEMBERED};
@@ -201,8 +201,8 @@
 fn plain(
     text: &str,
     caller: &str,
-    use_case: &str,
-    customer: Option<&str>,
+    job_class: &str,
+    tenant: Option<&str>,
     from: IpAddr,
 ) -> Result<String, Refused> {
     let document = read(text).expect("right");
@@ -216,27 +216,27 @@
     if !networks.is_empty() && !networks.iter().any(inside) {
         return Err(Refused::Network);
     }
-    if !any(&words("use_cases"), use_case) {
-        return Err(Refused::UseCase);
+    if !any(&words("use_cases"), job_class) {
+        return Err(Refused::JobClass);
     }
     let may: Vec<&str> =
         ["north", "south", "west"].into_iter().filter(|name| any(&words("customers"), name)).collect();
-    let customer = match customer {
-        Some(customer) => customer,
+    let tenant = match tenant {
+        Some(tenant) => tenant,
         None if may.len() == 1 => may[0],
-        None => return Err(Refused::Customer),
+        None => return Err(Refused::Tenant),
     };
-    if may.contains(&customer) { Ok(customer.to_owned()) } else { Err(Refused::Customer) }
+    if may.contains(&tenant) { Ok(tenant.to_owned()) } else { Err(Refused::Tenant) }
 }
 
 #[test]
 fn compiled_rights_say_what_the_plain_ones_say() {
     fn holds(seed: u64) -> bool {
-        let (use_cases, customers) = (["a", "b", "c", "d"], ["north", "south", "west"]);
-        let mut chance = Chance::new(seed);
+        let (job_classes, tenants) = (["a", "b", "c", "d"], ["north", "south", "west"]);
+        let mut chance = MultiplyWithCarry::new(seed);
         let mut some = |of: &[&str], part: f64| {
             let picked: Vec<String> =
-                of.iter().filter(|_| chance.draw() < part).map(|name| format!("{name:?}")).collect();
+                of.iter().filter(|_| chance.next_f64() < part).map(|name| format!("{name:?}")).collect();
             format!("[{}]", picked.join(", "))
         };
         let mut text = format!(
@@ -255,23 +255,19 @@
         let place = |names: &[&'static str], from: usize| -> BTreeMap<&str, usize> {
             names.iter().enumerate().map(|(place, name)| (*name, from + 3 * place)).collect()
         };
-        let (case_at, customer_at) = (place(&use_cases, 2), place(&customers, 1));
+        let (case_at, customer_at) = (place(&job_classes, 2), place(&tenants, 1));
         identity.compile(&case_at, &customer_at);
         let addresses: [IpAddr; 4] =
             ["10.1.2.3", "10.2.0.1", "127.0.0.5", "::1"].map(|text| text.parse().expect("an address"));
         (0..4).all(|caller| {
             let name = format!("c{caller}");
             let id = identity.caller(&name).expect("known");
-            use_cases.iter().all(|use_case| {
-                [None, Some("north"), Some("south"), Some("west")].iter().all(|customer| {
+            job_classes.iter().all(|job_class| {
+                [None, Some("north"), Some("south"), Some("west")].iter().all(|tenant| {
                     addresses.iter().all(|from| {
-                        let wants = plain(&text, &name, use_case, *customer, *from);
-                        let says = identity.may(
-                            id,
-                            case_at[use_case],
-                            customer.map(|name| customer_at[name]),
-                            *from,
-                        );
+                        let wants = plain(&text, &name, job_class, *tenant, *from);
+                        let says =
+                            identity.may(id, case_at[job_class], tenant.map(|name| customer_at[name]), *from);
                         wants.map(|name| customer_at[name.as_str()]) == says
                     })
                 })
@@ -369,21 +365,21 @@
     let mut desk = Desk::new(compiled(&usual(&signer)), at(NOW_S)).expect("a set");
     let token = signer.sign("k1", &claims("front-desk")).expect("signed");
     let known = Known { token: desk.token(at(NOW_S), &token, HERE).ok(), certificate: None };
-    let may = |desk: &Desk, after: f64, use_case, customer| {
-        desk.may(at(NOW_S + after), &known, use_case, customer, HERE)
+    let may = |desk: &Desk, after: f64, job_class, tenant| {
+        desk.may(at(NOW_S + after), &known, job_class, tenant, HERE)
     };
     assert_eq!(may(&desk, 0.0, 0, None), Ok(0), "its only customer");
-    assert_eq!(may(&desk, 0.0, 2, None), Err(Refused::UseCase));
+    assert_eq!(may(&desk, 0.0, 2, None), Err(Refused::JobClass));
     assert_eq!(
         may(&desk, 0.0, 0, Some(1)),
-        Err(Refused::Customer),
+        Err(Refused::Tenant),
         "a claim beyond it is refused, not corrected"
     );
     assert_eq!(may(&desk, 389.0, 0, None), Ok(0));
     assert_eq!(may(&desk, 391.0, 0, None), Err(Refused::Expired));
     let fewer = usual(&signer).replace("\"search\", \"hold\"", "\"hold\"");
     desk.replace(compiled(&fewer), at(NOW_S)).expect("a set");
-    assert_eq!(may(&desk, 1.0, 0, None), Err(Refused::UseCase));
+    assert_eq!(may(&desk, 1.0, 0, None), Err(Refused::JobClass));
     assert_eq!(may(&desk, 1.0, 1, None), Ok(0));
     assert_eq!(desk.may(at(NOW_S), &Known::default(), 0, None, HERE), Err(Refused::Nameless));
 }
@@ -526,7 +522,7 @@
 fn lines_of_refusals_are_bounded_whoever_is_refused() {
     let mut audit = hazelgrade_identity::audit::Audit::default();
     for caller in 0..1000 {
-        audit.refused(at(NOW_S), Some(&format!("c{caller}")), Refused::UseCase);
+        audit.refused(at(NOW_S), Some(&format!("c{caller}")), Refused::JobClass);
     }
     assert!(audit.due(at(NOW_S + 0.5)).is_empty());
     let lines = audit.due(at(NOW_S + 1.0));
--- a/crates/hazelgrade-server/src/program/command.rs
+++ b/crates/hazelgrade-server/src/program/command.rs
@@ -3,7 +3,7 @@
 use super::streaming::read_document;
 use super::{budgets, configuration, control, identity, keys, logging, serve};
 use hazelgrade_config::{Operator, fault};
-use hazelgrade_site::Site;
+use hazelgrade_settings::Site;
 use hazelgrade_stream::keeping;
 use hazelgrade_stream::service::Setup;
 use pico_args::Arguments;
@@ -133,7 +133,7 @@
                 return Ok(ExitCode::SUCCESS);
             }
             let (deployment, _) = configured()?;
-            let (_, site) = hazelgrade_site::instance(&deployment.settings, deployment.seed)
+            let (_, site) = hazelgrade_settings::instance(&deployment.settings, deployment.seed)
                 .map_err(|fault| format!("settings: {}", fault.0))?;
             println!("{} would listen on {}", deployment.name, deployment.listen);
             let addresses = deployment.addresses;
@@ -143,10 +143,10 @@
                 None => println!("no calls below"),
             }
             println!("client connections: {} at most", deployment.connections());
-            for case in &site.use_cases {
+            for case in &site.job_classes {
                 println!("use case {}: {:?}", case.name, case.repeats);
             }
-            println!("customers: {}", customers(&site));
+            println!("customers: {}", tenants(&site));
             println!(
                 "a round every {} ms at most, {} ms to leave",
                 site.tick.as_ms(),
@@ -188,8 +188,8 @@
     }
 }
 
-fn customers(site: &Site) -> String {
-    let names: Vec<&str> = site.customers.iter().flatten().map(String::as_str).collect();
+fn tenants(site: &Site) -> String {
+    let names: Vec<&str> = site.tenants.iter().flatten().map(String::as_str).collect();
     names.join(", ")
 }
 
--- a/crates/hazelgrade-server/src/program/configuration.rs
+++ b/crates/hazelgrade-server/src/program/configuration.rs
@@ -97,7 +97,7 @@
         self.sockets.saturating_sub(DESCRIPTORS_KEPT + self.connections_below()).max(1)
     }
 
-    /// What kept results of numbered jobs may take.
+    /// What kept results of keyed jobs may take.
     pub fn result_bytes(&self) -> usize {
         (self.memory_mb * RESULTS_PART * 1024.0 * 1024.0) as usize
     }
@@ -108,7 +108,7 @@
         self.memory_mb = memory_mb.map_or(self.memory_mb, |memory_mb| self.memory_mb.min(memory_mb));
     }
 
-    /// The settings without use cases and customers: these come as documents.
+    /// The settings without job classes and tenants: these come as documents.
     pub fn without_use_cases(&mut self) {
         if let Some(settings) = self.settings.as_object_mut() {
             settings.remove("classes");
--- a/crates/hazelgrade-server/src/program/identity.rs
+++ b/crates/hazelgrade-server/src/program/identity.rs
@@ -5,7 +5,7 @@
 use crate::routing::job::Parts;
 use async_io::Timer;
 use futures_lite::future::{BoxedLocal, FutureExt};
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::Time;
 use hazelgrade_config::operator::{Identified, Streamed};
 use hazelgrade_config::{Document, Kind, fault};
@@ -100,7 +100,7 @@
         lineage: streamed.lineage.clone(),
         rules: identified.trial,
         controls: streamed.control.len(),
-        chance: Chance::new(deployment.seed.rotate_left(16)),
+        chance: MultiplyWithCarry::new(deployment.seed.rotate_left(16)),
         backoff: Backoff::default(),
         kept,
         file,
@@ -153,10 +153,10 @@
     /// doing what it is for.
     fn sample(&self) -> Sample {
         let tally = *self.parts.tally.borrow();
-        let done = tally.satisfied + tally.bounced + tally.written_off;
+        let done = tally.succeeded + tally.rejected + tally.failed;
         let (done_before, unverified_before) = self.told.replace((done, tally.unverified));
         let done = done.saturating_sub(done_before) as f64;
         let unverified = tally.unverified.saturating_sub(unverified_before) as f64;
-        Sample { answered: done + unverified, satisfied: done, linked: true }
+        Sample { answered: done + unverified, succeeded: done, linked: true }
     }
 }
--- a/crates/hazelgrade-server/src/program/serve.rs
+++ b/crates/hazelgrade-server/src/program/serve.rs
@@ -12,7 +12,7 @@
 use crate::routing::hand::Hand;
 use crate::routing::job::{Parts, Tally};
 use crate::routing::notices::Notices;
-use crate::routing::repeats::Repeats;
+use crate::routing::result_cache::ResultCache;
 use crate::routing::rounds::Rounds;
 use crate::transport::clients::Clients;
 use crate::transport::database::Database;
@@ -47,8 +47,8 @@
 
 /// Serves until the notice to leave, then leaves; each SIGHUP until the end has the file at `path` read again. `Ok(true)` if every answer was written.
 ///
-/// With `[stream]` in the operator's file, use cases, customers, promises and addresses come as documents; what the deployment says of use cases and
-/// customers doesn't count then.
+/// With `[stream]` in the operator's file, job classes, tenants, promises and addresses come as documents; what the deployment says of job classes and
+/// tenants doesn't count then.
 pub fn serve(
     mut deployment: Deployment,
     path: PathBuf,
@@ -65,7 +65,7 @@
         deployment.within(sockets, memory_mb);
         deployment.without_use_cases();
     }
-    let (control, site) = hazelgrade_site::instance(&deployment.settings, deployment.seed)
+    let (control, site) = hazelgrade_settings::instance(&deployment.settings, deployment.seed)
         .map_err(|fault| format!("settings: {}", fault.0))?;
     let mut reads_again = false;
     let Some(listener) = listen(deployment.listen, &mut signals, &mut reads_again)? else {
@@ -78,10 +78,11 @@
     let registry = Rc::new(registry);
     tracing::info!(name = deployment.name, listen = %deployment.listen, "started");
 
-    let (hand, repeats) = (Rc::new(Hand::default()), Rc::new(Repeats::new(deployment.result_bytes())));
+    let (hand, result_cache) =
+        (Rc::new(Hand::default()), Rc::new(ResultCache::new(deployment.result_bytes())));
     let tasks = Rc::new(LocalExecutor::new());
     let link = Rc::new(Link::new(addresses.executor));
-    let rounds = Rc::new(Rounds::new(control, site.tick, hand.clone(), repeats.clone(), link.clone()));
+    let rounds = Rc::new(Rounds::new(control, site.tick, hand.clone(), result_cache.clone(), link.clone()));
     if let Some(for_tests) = for_tests {
         tracing::warn!(?for_tests, "this node is to fail, for tests");
         rounds.clock.skew(for_tests.clock_off_ms, for_tests.clock_rate);
@@ -98,7 +99,7 @@
     let parts = Rc::new(Parts {
         rounds: rounds.clone(),
         hand,
-        repeats,
+        result_cache,
         calls: calls.clone(),
         link: link.clone(),
         site: RefCell::new(Rc::new(site)),
--- a/crates/hazelgrade-server/src/program/streaming.rs
+++ b/crates/hazelgrade-server/src/program/streaming.rs
@@ -5,14 +5,14 @@
 use super::reload::Reload;
 use crate::routing::job::Parts;
 use futures_lite::future::{BoxedLocal, FutureExt};
-use hazelgrade::chance::Chance;
-use hazelgrade::desk::{Customer, Placed, Promises, Revision, UseCase};
+use hazelgrade::api::{ClassSlot, JobClass, ServiceLimits, SettingsUpdate, Tenant};
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
-use hazelgrade_config::document::{MOST_CUSTOMERS, MOST_USE_CASES};
+use hazelgrade_config::document::{MAX_JOB_CLASSES, MAX_TENANTS};
 use hazelgrade_config::operator::Streamed;
 use hazelgrade_config::{Document, Kind, fault};
-use hazelgrade_site::places::Places;
-use hazelgrade_site::{Named, Site};
+use hazelgrade_settings::places::Places;
+use hazelgrade_settings::{Named, Site};
 use hazelgrade_store::{Fault, Store};
 use hazelgrade_stream::backoff::Backoff;
 use hazelgrade_stream::follow::Host;
@@ -108,7 +108,7 @@
             lineage: streamed.lineage.clone(),
             rules: streamed.trial,
             controls: streamed.control.len(),
-            chance: Chance::new(deployment.seed.rotate_left(32)),
+            chance: MultiplyWithCarry::new(deployment.seed.rotate_left(32)),
             backoff: Backoff::default(),
             kept,
             file,
@@ -122,8 +122,8 @@
             surroundings,
             store,
             unread: Rc::new(RefCell::new(unread)),
-            use_cases: RefCell::new(Table::empty()),
-            customers: RefCell::new(Table::empty()),
+            job_classes: RefCell::new(Table::empty()),
+            tenants: RefCell::new(Table::empty()),
             told: Cell::default(),
         };
         (subscriber, first, node)
@@ -139,7 +139,7 @@
     /// The level that the command line named.
     pub usual_level: LevelFilter,
     /// As the settings say, for what a document leaves open.
-    pub promises: Promises,
+    pub promises: ServiceLimits,
     pub calls_below: bool,
 }
 
@@ -153,9 +153,9 @@
     surroundings: Surroundings,
     store: Result<Arc<Mutex<Store>>, String>,
     unread: Rc<RefCell<Option<Vec<u8>>>>,
-    use_cases: RefCell<Table<UseCase>>,
-    customers: RefCell<Table<Customer>>,
-    /// Answered and satisfied, as told last.
+    job_classes: RefCell<Table<JobClass>>,
+    tenants: RefCell<Table<Tenant>>,
+    /// Answered and succeeded, as told last.
     told: Cell<(u64, u64)>,
 }
 
@@ -193,58 +193,60 @@
         let around = &self.surroundings;
         let (parts, now) = (&around.parts, around.parts.rounds.clock.now());
         let serving = document.map(|document| document.serving(&around.promises));
-        let (mut cases, customers, promises) = match serving {
-            Some(serving) => (serving.use_cases, serving.customers, serving.promises),
+        let (mut cases, tenants, promises) = match serving {
+            Some(serving) => (serving.job_classes, serving.tenants, serving.promises),
             None => (Vec::new(), Vec::new(), around.promises.clone()),
         };
-        cases.iter_mut().for_each(|(_, case)| case.calls &= around.calls_below);
-        let rest = |case: &UseCase| (case.cut_off + case.window) * REST;
+        cases.iter_mut().for_each(|(_, case)| case.calls_dependency &= around.calls_below);
+        let rest = |case: &JobClass| (case.deadline + case.retry_window) * REST;
         let longest = cases.iter().map(|(_, case)| rest(case)).max().unwrap_or(Span::ZERO);
-        let (use_cases, anew_use_cases) =
-            self.use_cases.borrow().revised(now, &cases, rest, MOST_USE_CASES, |place| {
-                parts.hand.names(|use_case, _| use_case == place)
+        let (job_classes, reset_classes) =
+            self.job_classes.borrow().revised(now, &cases, rest, MAX_JOB_CLASSES, |place| {
+                parts.hand.names(|job_class, _| job_class == place)
             })?;
-        let (customers, anew_customers) = self.customers.borrow().revised(
+        let (tenants, reset_tenants) = self.tenants.borrow().revised(
             now,
-            &customers,
+            &tenants,
             |_| longest,
-            MOST_CUSTOMERS,
-            |place| parts.hand.names(|_, customer| customer == place),
+            MAX_TENANTS,
+            |place| parts.hand.names(|_, tenant| tenant == place),
         )?;
         // The last that may fail goes first: after it all of the document takes effect.
         let places = document.map(|document| document.places(&around.name)).unwrap_or_default();
         around.reload.stream(places)?;
-        let in_use = |place: usize| use_cases.places.name(place).is_some_and(|(_, in_use)| in_use);
-        let placed =
-            |(place, figures): (usize, &UseCase)| Placed { figures: figures.clone(), in_use: in_use(place) };
-        let revision = Revision {
-            use_cases: use_cases.figures.iter().enumerate().map(placed).collect(),
-            customers: customers.figures.clone(),
-            promises,
-            anew_use_cases,
-            anew_customers,
+        let in_use = |place: usize| job_classes.places.name(place).is_some_and(|(_, in_use)| in_use);
+        let placed = |(place, figures): (usize, &JobClass)| ClassSlot {
+            class: figures.clone(),
+            in_use: in_use(place),
+        };
+        let revision = SettingsUpdate {
+            job_classes: job_classes.figures.iter().enumerate().map(placed).collect(),
+            tenants: tenants.figures.clone(),
+            limits: promises,
+            reset_classes,
+            reset_tenants,
         };
         if !parts.rounds.revise(revision) {
             return Err("a place was taken away that jobs in hand may name".into());
         }
-        let named = |(place, case): (usize, &UseCase)| Named {
-            name: use_cases.places.name(place).map(|(name, _)| name.to_owned()).unwrap_or_default(),
-            repeats: case.repeats,
-            cut_off: case.cut_off,
+        let named = |(place, case): (usize, &JobClass)| Named {
+            name: job_classes.places.name(place).map(|(name, _)| name.to_owned()).unwrap_or_default(),
+            repeats: case.idempotency,
+            deadline: case.deadline,
             in_use: in_use(place),
         };
-        let customer = |place| customers.places.name(place).filter(|(_, in_use)| *in_use);
+        let tenant = |place| tenants.places.name(place).filter(|(_, in_use)| *in_use);
         let before = parts.site.borrow().clone();
         parts.site.replace(Rc::new(Site {
-            use_cases: use_cases.figures.iter().enumerate().map(named).collect(),
-            customers: (0..customers.places.count())
-                .map(|place| customer(place).map(|(name, _)| name.to_owned()))
+            job_classes: job_classes.figures.iter().enumerate().map(named).collect(),
+            tenants: (0..tenants.places.count())
+                .map(|place| tenant(place).map(|(name, _)| name.to_owned()))
                 .collect(),
             ..(*before).clone()
         }));
         parts.callers.compile(&parts.site.borrow());
-        self.use_cases.replace(use_cases);
-        self.customers.replace(customers);
+        self.job_classes.replace(job_classes);
+        self.tenants.replace(tenants);
         parts.rounds.set_ready(document.is_some());
         let level = document.and_then(Document::log).and_then(|level| level.parse().ok());
         if around.level.modify(|now| *now = level.unwrap_or(around.usual_level)).is_err() {
@@ -285,12 +287,11 @@
     fn sample(&self) -> Sample {
         let parts = &self.surroundings.parts;
         let tally = *parts.tally.borrow();
-        let answered =
-            tally.satisfied + tally.bounced + tally.written_off + tally.not_here + tally.unverified;
-        let (answered_before, satisfied_before) = self.told.replace((answered, tally.satisfied));
+        let answered = tally.succeeded + tally.rejected + tally.failed + tally.not_here + tally.unverified;
+        let (answered_before, satisfied_before) = self.told.replace((answered, tally.succeeded));
         Sample {
             answered: answered.saturating_sub(answered_before) as f64,
-            satisfied: tally.satisfied.saturating_sub(satisfied_before) as f64,
+            succeeded: tally.succeeded.saturating_sub(satisfied_before) as f64,
             linked: parts.link.is_up(),
         }
     }
--- a/crates/hazelgrade-server/src/protocol/jsonrpc.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc.rs
@@ -1,10 +1,10 @@
 //! JSON-RPC 2.0, one message a line: what client stubs send, and what is answered.
 
 use super::{Body, is_body};
-use hazelgrade::desk::{Job, JobId, Repeats};
+use hazelgrade::api::{Idempotency, Job, JobId};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_identity::token::LONGEST_TOKEN;
-use hazelgrade_site::Site;
+use hazelgrade_settings::Site;
 use serde_json::{Map, Value, json};
 
 /// The longest line of a client: a body of 2 KiB in base64, every character of it escaped, and room for the rest.
@@ -38,11 +38,11 @@
     pub call: u64,
     pub job: Job,
     pub body: Body,
-    /// By which further tries of a numbered job, or reads of the same thing, are known.
+    /// By which retries of a keyed job, or reads of the same thing, are known.
     pub mark: Option<String>,
     /// Who asks, if it is said with the job.
     pub token: Option<String>,
-    /// The customer is named; else it is the caller's only one.
+    /// The tenant is named; else it is the caller's only one.
     pub for_customer: bool,
 }
 
@@ -59,25 +59,25 @@
 /// The final answer to a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    Satisfied(Body),
-    Bounced {
+    Succeeded(Body),
+    Rejected {
         not_elsewhere: bool,
-        back_in: Span,
+        retry_after: Span,
     },
     /// Who asks may not: it never ran, and would run nowhere.
     Denied(&'static str),
-    WrittenOff,
+    Failed,
 }
 
 impl Answer {
     /// For the log.
     pub fn word(&self) -> &'static str {
         match self {
-            Answer::Satisfied(_) => "satisfied",
-            Answer::Bounced { not_elsewhere: true, .. } => "bounced, not elsewhere",
-            Answer::Bounced { .. } => "bounced",
+            Answer::Succeeded(_) => "satisfied",
+            Answer::Rejected { not_elsewhere: true, .. } => "bounced, not elsewhere",
+            Answer::Rejected { .. } => "bounced",
             Answer::Denied(_) => "denied",
-            Answer::WrittenOff => "written off",
+            Answer::Failed => "written off",
         }
     }
 }
@@ -105,7 +105,7 @@
     }
 }
 
-/// Decodes a line. `site` gives the use cases and customers that a job may name.
+/// Decodes a line. `site` gives the job classes and tenants that a job may name.
 pub fn decode(line: &[u8], site: &Site) -> Result<Incoming, Wrong> {
     let wrong = |call, code, message: &str| Wrong { call, not_here: false, code, message: message.into() };
     let value: Value = serde_json::from_slice(line)
@@ -141,15 +141,15 @@
         let token = token.ok_or_else(|| wrong(call, WRONG_PARAMS, "field token: expected a token"))?;
         return Ok(Incoming::Hello(number, token));
     }
-    let use_case = match site.use_case(&method) {
-        Some((use_case, true)) => use_case,
+    let job_class = match site.job_class(&method) {
+        Some((job_class, true)) => job_class,
         known => {
             let not_here = known.is_some() || !site.serves();
             let unknown = wrong(call, UNKNOWN_METHOD, "field method: expected a use case of this site");
             return Err(Wrong { not_here, ..unknown });
         }
     };
-    match asked(number, use_case, &mut params, site) {
+    match asked(number, job_class, &mut params, site) {
         Ok(asked) => Ok(Incoming::Job(Box::new(asked))),
         Err(message) => Err(wrong(call, WRONG_PARAMS, &message)),
     }
@@ -163,7 +163,7 @@
     }
 }
 
-fn asked(call: u64, use_case: usize, params: &mut Params, site: &Site) -> Result<Asked, String> {
+fn asked(call: u64, job_class: usize, params: &mut Params, site: &Site) -> Result<Asked, String> {
     let id = params.text("req", "a job's id")?;
     if !id.bytes().all(|byte| byte.is_ascii_graphic()) {
         return Err("field req: expected a job's id without spaces".into());
@@ -172,24 +172,25 @@
     params.number("via", |via| via >= 0.0 && via.fract() == 0.0, "a whole number")?;
     let owner = params.text_or_none("owner", "a customer of this site")?;
     let for_customer = owner.is_some();
-    let customer = match owner {
-        Some(owner) => site.customers.iter().position(|name| name.as_ref() == Some(&owner)),
+    let tenant = match owner {
+        Some(owner) => site.tenants.iter().position(|name| name.as_ref() == Some(&owner)),
         None => None,
     };
-    let customer = match customer {
-        Some(customer) => customer,
-        None if site.customers.iter().all(Option::is_none) || (!for_customer && site.callers_known) => 0,
+    let tenant = match tenant {
+        Some(tenant) => tenant,
+        None if site.tenants.iter().all(Option::is_none) || (!for_customer && site.callers_known) => 0,
         None => return Err("field owner: expected a customer of this site".into()),
     };
     let again = match params.0.get("resent") {
         None | Some(Value::Null) => false,
         Some(_) => params.number("resent", |mark| mark == 0.0 || mark == 1.0, "1, or no such field")? > 0.0,
     };
-    let held_kb = params.number("need", |kb| kb > 0.0 && kb < 2000.0, "kilobytes, above 0 and under 2000")?;
+    let queued_kb =
+        params.number("need", |kb| kb > 0.0 && kb < 2000.0, "kilobytes, above 0 and under 2000")?;
     let rank = params.number("level", |rank| (0.0..1.0).contains(&rank), "from 0 to under 1")?;
-    // The page of the protocol names no mark for numbered jobs; the site's list of names calls it `opkey`.
-    let (name, shown) = match site.use_cases[use_case].repeats {
-        Repeats::Reissuable => ("subject", "what a read is about"),
+    // The page of the protocol names no mark for keyed jobs; the site's list of names calls it `opkey`.
+    let (name, shown) = match site.job_classes[job_class].repeats {
+        Idempotency::Idempotent => ("subject", "what a read is about"),
         _ => ("opkey", "the mark of a numbered job"),
     };
     let mark = params.text_or_none(name, shown)?;
@@ -199,18 +200,18 @@
     };
     let job = Job {
         id: id.into(),
-        use_case,
-        customer,
-        reached: Time::from_ms(reached),
-        waits_until: None,
-        work: None,
-        held_kb,
-        rank,
-        again,
-        repeats: None,
-        known: false,
-        beyond: false,
-        short: None,
+        job_class,
+        tenant,
+        received_at: Time::from_ms(reached),
+        caller_deadline: None,
+        expected_work: None,
+        queued_kb,
+        priority_rank: rank,
+        is_retry: again,
+        retry_of: None,
+        from_known_caller: false,
+        over_caller_limit: false,
+        lease_retry_after: None,
     };
     let token = if site.callers_known { token(params)? } else { None };
     Ok(Asked { call, job, body, mark, token, for_customer })
@@ -232,13 +233,13 @@
         fields.insert("signal".into(), json!(said));
     }
     match answer {
-        Answer::Satisfied(body) => {
+        Answer::Succeeded(body) => {
             fields.insert("body".into(), json!(**body));
             line(&json!({"jsonrpc": "2.0", "id": call, "result": fields}))
         }
-        Answer::Bounced { not_elsewhere, back_in } => {
-            if *back_in > Span::ZERO {
-                fields.insert("holdoff".into(), json!(back_in.as_ms()));
+        Answer::Rejected { not_elsewhere, retry_after } => {
+            if *retry_after > Span::ZERO {
+                fields.insert("holdoff".into(), json!(retry_after.as_ms()));
             }
             if *not_elsewhere {
                 fields.insert("nomore".into(), json!(1));
@@ -250,7 +251,7 @@
             fields.insert("denied".into(), json!(1));
             error(BOUNCED, why, fields)
         }
-        Answer::WrittenOff => error(WRITTEN_OFF, "written off", fields),
+        Answer::Failed => error(WRITTEN_OFF, "written off", fields),
     }
 }
 
--- a/crates/hazelgrade-server/src/routing/budgets.rs
+++ b/crates/hazelgrade-server/src/routing/budgets.rs
@@ -1,11 +1,11 @@
 //! A node's parts of the budgets that all nodes share: the holder on this machine's monotonic clock, and where its parts act.
 //!
 //! Of calls below the module decides by what it is allowed; right before a call is handed over it is looked at once more, as
-//! the process may have stood still in between. Of a customer's jobs a second and of further tries, buckets say whether
+//! the process may have stood still in between. Of a tenant's jobs a second and of retries, buckets say whether
 //! there is anything left; the module turns the job away.
 
-use hazelgrade::decay::DecaySum;
-use hazelgrade::desk::{Allowance, Job, Need};
+use hazelgrade::api::{CallDemand, CallLease, Job};
+use hazelgrade::statistics::DecayingSum;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_budget::bucket::Bucket;
 use hazelgrade_budget::holder::{Holder, Use};
@@ -24,8 +24,8 @@
 struct Door {
     bucket: Bucket,
     /// Asked for, let in or not.
-    asked: DecaySum,
-    /// Of further tries: those.
+    asked: DecayingSum,
+    /// Of retries: those.
     terms: Terms,
 }
 
@@ -33,13 +33,13 @@
     fn new(now: Time, terms: &Terms) -> Door {
         Door {
             bucket: Bucket::new(now, terms.measure, terms.whole),
-            asked: DecaySum::new(Span::from_ms(LEARNED_OVER_MS)),
+            asked: DecayingSum::new(Span::from_ms(LEARNED_OVER_MS)),
             terms: terms.clone(),
         }
     }
 
     fn wants(&mut self, now: Time) -> u32 {
-        (self.asked.read(now) * 1000.0 / LEARNED_OVER_MS).ceil() as u32
+        (self.asked.value(now) * 1000.0 / LEARNED_OVER_MS).ceil() as u32
     }
 }
 
@@ -49,7 +49,7 @@
     rate: f64,
     holder: RefCell<Holder>,
     in_hand: RefCell<Option<String>>,
-    /// By customer: budget and door.
+    /// By tenant: budget and door.
     rates: RefCell<BTreeMap<String, (String, Door)>>,
     tries: RefCell<Option<(String, Door)>>,
     /// In hand below after the last round.
@@ -58,7 +58,7 @@
     stirred: Bell,
     /// Calls that were not made as the part they were decided by was over.
     pub too_late: Cell<u64>,
-    /// Jobs turned away for want of a part.
+    /// Jobs rejected for want of a part.
     pub short: Cell<u64>,
 }
 
@@ -102,13 +102,13 @@
         let mut before = std::mem::take(&mut *rates);
         let mut tries_before = tries.take();
         for (name, terms) in budgets {
-            match (terms.measure, &terms.customer) {
+            match (terms.measure, &terms.tenant) {
                 (Measure::InHand, _) => {
                     self.in_hand.replace(Some(name.clone()));
                 }
-                (Measure::Rate { .. }, Some(customer)) => {
-                    let made = door(name, terms, before.remove(customer));
-                    rates.insert(customer.clone(), made);
+                (Measure::Rate { .. }, Some(tenant)) => {
+                    let made = door(name, terms, before.remove(tenant));
+                    rates.insert(tenant.clone(), made);
                 }
                 (Measure::Rate { .. }, None) => {}
                 (Measure::Tries { .. }, _) => *tries = Some(door(name, terms, tries_before.take())),
@@ -121,22 +121,22 @@
     }
 
     /// What the module is allowed below, on its own clock; nothing where no budget of calls is known.
-    pub fn allowance(&self, module: Time) -> Option<Allowance> {
+    pub fn allowance(&self, module: Time) -> Option<CallLease> {
         let (now, in_hand) = (self.now(), self.in_hand.borrow());
         let allowed = self.holder.borrow().allowed(now, in_hand.as_ref()?);
         let on_module = |at: Time| module + at.since(now) * (1.0 / self.rate);
-        Some(Allowance {
+        Some(CallLease {
             calls: f64::from(allowed.units),
-            until: allowed.until.map_or(module, on_module),
-            alone: f64::from(allowed.alone),
-            longest: allowed.longest_use,
-            more_in: allowed.more_at.map_or(Span::ZERO, |at| at.since(now)),
+            expires: allowed.until.map_or(module, on_module),
+            calls_after_expiry: f64::from(allowed.alone),
+            max_call_time: allowed.longest_use,
+            retry_after: allowed.more_at.map_or(Span::ZERO, |at| at.since(now)),
         })
     }
 
     /// What the module has below after a round, and would have.
-    pub fn uses(&self, need: Need) {
-        let (used, wants) = (need.in_hand as u32, need.wants.round() as u32);
+    pub fn uses(&self, need: CallDemand) {
+        let (used, wants) = (need.in_flight as u32, need.wanted.round() as u32);
         self.used.set(used);
         let Some(budget) = self.in_hand.borrow().clone() else { return };
         let now = self.now();
@@ -168,10 +168,10 @@
     }
 
     /// A job came: when there may be more, if a budget leaves nothing for it.
-    pub fn arrived(&self, job: &Job, customer: Option<&str>) -> Option<Span> {
+    pub fn arrived(&self, job: &Job, tenant: Option<&str>) -> Option<Span> {
         let now = self.now();
         let mut rates = self.rates.borrow_mut();
-        let mut of_rate = customer.and_then(|customer| rates.get_mut(customer));
+        let mut of_rate = tenant.and_then(|tenant| rates.get_mut(tenant));
         let mut tries = self.tries.borrow_mut();
         if let Some((budget, door)) = &mut of_rate {
             self.renew(now, budget, door);
@@ -182,7 +182,7 @@
         }
         if let Some((budget, door)) = &mut *tries {
             self.renew(now, budget, door);
-            if !job.again {
+            if !job.is_retry {
                 door.bucket.earn();
                 return None;
             }
--- a/crates/hazelgrade-server/src/routing/front.rs
+++ b/crates/hazelgrade-server/src/routing/front.rs
@@ -8,7 +8,7 @@
 use crate::transport::tls::Tls;
 use async_executor::LocalExecutor;
 use async_io::Async;
-use hazelgrade::desk::{JobId, Repeats};
+use hazelgrade::api::{Idempotency, JobId};
 use hazelgrade::time::Span;
 use hazelgrade_identity::Refused;
 use hazelgrade_identity::desk::Known;
@@ -94,9 +94,9 @@
             Err(wrong) => match wrong.call.filter(|_| wrong.not_here) {
                 Some(call) => {
                     self.parts.tally.borrow_mut().not_here += 1;
-                    let bounced = Answer::Bounced { not_elsewhere: false, back_in: Span::ZERO };
-                    client.put(&jsonrpc::encode(call, &bounced, rounds.said()));
-                    client.bounced();
+                    let rejected = Answer::Rejected { not_elsewhere: false, retry_after: Span::ZERO };
+                    client.put(&jsonrpc::encode(call, &rejected, rounds.said()));
+                    client.rejected();
                 }
                 None => self.refuse(client, &wrong),
             },
@@ -109,8 +109,8 @@
         tally.denied += 1;
         tally.unverified += u64::from(refused.is_of_keys());
         client.put(&jsonrpc::encode(call, &Answer::Denied(refused.reason()), self.parts.rounds.said()));
-        // Read at a pace, as one whose jobs are bounced and never run.
-        client.bounced();
+        // Read at a pace, as one whose jobs are rejected and never run.
+        client.rejected();
     }
 
     fn refuse(&self, client: &Client<JobId>, wrong: &Wrong) {
@@ -128,47 +128,47 @@
         let words = Words::of(&asked);
         if let Some(same) = parts.hand.has(&id, &words) {
             // Of another job under this id nothing was run; of the same nothing is known yet.
-            let bounced = Answer::Bounced { not_elsewhere: false, back_in: Span::ZERO };
-            let answer = if same { Answer::WrittenOff } else { bounced };
+            let rejected = Answer::Rejected { not_elsewhere: false, retry_after: Span::ZERO };
+            let answer = if same { Answer::Failed } else { rejected };
             client.put(&jsonrpc::encode(call, &answer, parts.rounds.said()));
             return client.misused();
         }
-        let reached = parts.rounds.clock.past(asked.job.reached);
+        let reached = parts.rounds.clock.past(asked.job.received_at);
         let now = parts.rounds.clock.now();
-        let (cut_off, numbered) = {
+        let (deadline, numbered) = {
             let site = parts.site.borrow();
-            let case = &site.use_cases[asked.job.use_case];
-            (case.cut_off, case.repeats != Repeats::Reissuable)
+            let case = &site.job_classes[asked.job.job_class];
+            (case.deadline, case.repeats != Idempotency::Idempotent)
         };
-        let over = reached + cut_off < now;
+        let over = reached + deadline < now;
         if over && client.is_proved() {
             // It lay unread for so long, as this process stood still: not what its caller did wrong. It never ran.
-            parts.tally.borrow_mut().bounced += 1;
-            let bounced = Answer::Bounced { not_elsewhere: false, back_in: Span::ZERO };
-            return client.put(&jsonrpc::encode(call, &bounced, parts.rounds.said()));
+            parts.tally.borrow_mut().rejected += 1;
+            let rejected = Answer::Rejected { not_elsewhere: false, retry_after: Span::ZERO };
+            return client.put(&jsonrpc::encode(call, &rejected, parts.rounds.said()));
         }
-        if over || asked.job.reached > now + Span::from_ms(AHEAD_MS) {
+        if over || asked.job.received_at > now + Span::from_ms(AHEAD_MS) {
             return self.refuse(client, &jsonrpc::wrong_time(call));
         }
         let mark = asked.mark.take().filter(|_| numbered);
-        let (use_case, customer) = (asked.job.use_case, asked.job.customer);
-        let key = mark.map(|mark| parts.repeats.key(use_case, customer, mark, &asked.body));
-        if let Some((of, result)) = parts.repeats.kept(&id) {
+        let (job_class, tenant) = (asked.job.job_class, asked.job.tenant);
+        let key = mark.map(|mark| parts.result_cache.key(job_class, tenant, mark, &asked.body));
+        if let Some((of, result)) = parts.result_cache.kept(&id) {
             // It is over under this id: as long as that is known, it is not run again, and of another nothing was run.
-            let bounced = Answer::Bounced { not_elsewhere: false, back_in: Span::ZERO };
-            let known = || result.map_or(Answer::WrittenOff, Answer::Satisfied);
-            let answer = if key.as_ref() == Some(&of) { known() } else { bounced };
+            let rejected = Answer::Rejected { not_elsewhere: false, retry_after: Span::ZERO };
+            let known = || result.map_or(Answer::Failed, Answer::Succeeded);
+            let answer = if key.as_ref() == Some(&of) { known() } else { rejected };
             client.put(&jsonrpc::encode(call, &answer, parts.rounds.said()));
             return client.misused();
         }
         client.open(call, id.clone());
-        asked.job.reached = reached;
-        asked.job.known = client.is_proved();
-        asked.job.repeats = key.and_then(|key| parts.repeats.arrived(&id, key, reached, cut_off));
+        asked.job.received_at = reached;
+        asked.job.from_known_caller = client.is_proved();
+        asked.job.retry_of = key.and_then(|key| parts.result_cache.arrived(&id, key, reached, deadline));
         if let Some(seat) = parts.rounds.seat() {
             let site = parts.site.borrow();
-            let customer = site.customers.get(asked.job.customer).and_then(Option::as_deref);
-            asked.job.short = seat.arrived(&asked.job, customer);
+            let tenant = site.tenants.get(asked.job.tenant).and_then(Option::as_deref);
+            asked.job.lease_retry_after = seat.arrived(&asked.job, tenant);
         }
         parts.tally.borrow_mut().arrived += 1;
         let turns = parts.hand.take(id, words, asker);
--- a/crates/hazelgrade-server/src/routing/hand.rs
+++ b/crates/hazelgrade-server/src/routing/hand.rs
@@ -6,7 +6,7 @@
 use crate::protocol::jsonrpc::{Answer, Asked};
 use crate::transport::clients::Client;
 use async_channel::{Receiver, Sender, bounded};
-use hazelgrade::desk::JobId;
+use hazelgrade::api::JobId;
 use hazelgrade::time::{Span, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -61,7 +61,14 @@
 impl Words {
     pub fn of(asked: &Asked) -> Words {
         let job = &asked.job;
-        Words(job.use_case, job.customer, job.reached, job.held_kb, job.rank, asked.body.clone())
+        Words(
+            job.job_class,
+            job.tenant,
+            job.received_at,
+            job.queued_kb,
+            job.priority_rank,
+            asked.body.clone(),
+        )
     }
 }
 
@@ -88,7 +95,7 @@
         self.jobs.borrow_mut().remove(id);
     }
 
-    /// Whether a job in hand names a place, by what `place` takes of a job's use case and customer.
+    /// Whether a job in hand names a place, by what `place` takes of a job's job class and tenant.
     pub fn names(&self, place: impl Fn(usize, usize) -> bool) -> bool {
         self.jobs.borrow().values().any(|slot| place(slot.words.0, slot.words.1))
     }
--- a/crates/hazelgrade-server/src/routing/job.rs
+++ b/crates/hazelgrade-server/src/routing/job.rs
@@ -4,7 +4,7 @@
 use super::calls::Calls;
 use super::hand::{Hand, Turn};
 use super::outcome::{self, CallEnd};
-use super::repeats::Repeats;
+use super::result_cache::ResultCache;
 use super::rounds::{Event, Rounds};
 use crate::protocol::executor::{Command, RunEnd, encode};
 use crate::protocol::jsonrpc::{self, Answer, Asked};
@@ -13,10 +13,10 @@
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::future::or;
-use hazelgrade::desk::{JobId, Outcome};
+use hazelgrade::api::{JobId, Outcome};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_net::ending::ConnectionEnd;
-use hazelgrade_site::Site;
+use hazelgrade_settings::Site;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -32,9 +32,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     pub arrived: u64,
-    pub satisfied: u64,
-    pub bounced: u64,
-    pub written_off: u64,
+    pub succeeded: u64,
+    pub rejected: u64,
+    pub failed: u64,
     pub callers_gone: u64,
     /// Ends of runs whose job was answered before.
     pub unwanted: u64,
@@ -52,7 +52,7 @@
 pub struct Parts {
     pub rounds: Rc<Rounds>,
     pub hand: Rc<Hand>,
-    pub repeats: Rc<Repeats>,
+    pub result_cache: Rc<ResultCache>,
     pub calls: Rc<Calls>,
     pub link: Rc<Link>,
     /// As it is served now; a job that has arrived keeps its own.
@@ -71,13 +71,13 @@
         };
         tracing::trace!(job = &**id, answer = answer.word(), "answered");
         match answer {
-            Answer::Satisfied(_) => tally.satisfied += 1,
-            Answer::Bounced { .. } => {
-                tally.bounced += 1;
-                asker.client.bounced();
+            Answer::Succeeded(_) => tally.succeeded += 1,
+            Answer::Rejected { .. } => {
+                tally.rejected += 1;
+                asker.client.rejected();
             }
             Answer::Denied(_) => tally.denied += 1,
-            Answer::WrittenOff => tally.written_off += 1,
+            Answer::Failed => tally.failed += 1,
         }
         asker.client.put(&jsonrpc::encode(asker.call, answer, self.rounds.said()));
         asker.client.close(asker.call);
@@ -124,13 +124,13 @@
 /// Lives through a job. Its turns come one by one: decisions of the module, and what the others tell.
 pub async fn live(asked: Asked, turns: Receiver<Turn>, parts: Rc<Parts>) {
     let Asked { job, body, .. } = asked;
-    let (id, repeats) = (job.id.clone(), job.repeats.clone());
-    let use_case = parts.site.borrow().use_cases[job.use_case].name.clone();
+    let (id, repeats) = (job.id.clone(), job.retry_of.clone());
+    let job_class = parts.site.borrow().job_classes[job.job_class].name.clone();
 
     // It has arrived; the module hears of it, and its verdict comes as a turn. With `--log trace` a job can be followed
     // by its id through every instance that touched it.
-    let unread_ms = parts.rounds.clock.now().since(job.reached).as_ms();
-    tracing::trace!(job = &*id, use_case, again = job.again, unread_ms, "arrived");
+    let unread_ms = parts.rounds.clock.now().since(job.received_at).as_ms();
+    tracing::trace!(job = &*id, job_class, again = job.is_retry, unread_ms, "arrived");
     parts.rounds.tell(Event::Arrived(job));
     let mut result = None;
     'in_hand: loop {
@@ -146,13 +146,13 @@
                 Turn::CallerGone => break 'in_hand,
                 Turn::Share => {
                     let prior = repeats.as_ref().unwrap_or(&id);
-                    if let Some(body) = parts.repeats.share(&id, prior) {
+                    if let Some(body) = parts.result_cache.share(&id, prior) {
                         parts.hand.send(&id, Turn::Shared(body));
                     }
                 }
                 Turn::Shared(body) => {
-                    let answer = body.clone().map_or(Answer::WrittenOff, Answer::Satisfied);
-                    let outcome = body.as_ref().map_or(Outcome::Errored, |_| Outcome::Completed);
+                    let answer = body.clone().map_or(Answer::Failed, Answer::Succeeded);
+                    let outcome = body.as_ref().map_or(Outcome::Failed, |_| Outcome::Completed);
                     parts.answer(&id, &answer);
                     parts.rounds.tell(Event::RunEnded(id.clone(), outcome, Span::ZERO));
                     result = body;
@@ -164,7 +164,7 @@
 
         // Run. An answer may be given before the run has ended; what it yields is dropped then.
         tracing::trace!(job = &*id, "run");
-        parts.send(&Command::Run { id: &id, use_case: &use_case, body: &body });
+        parts.send(&Command::Run { id: &id, job_class: &job_class, body: &body });
         let began = parts.rounds.clock.now();
         let (mut last, mut stopping, mut at_call) = (Some(Last::Run), false, None::<AtCall>);
         let mut sent = Instant::now();
@@ -230,7 +230,7 @@
                     // A reply that did arrive must not come again: the run may stand at its next call.
                     match last.as_ref().filter(|_| from <= sent && sent < to) {
                         Some(Last::Run) => {
-                            parts.send(&Command::Run { id: &id, use_case: &use_case, body: &body })
+                            parts.send(&Command::Run { id: &id, job_class: &job_class, body: &body })
                         }
                         Some(Last::Reply(body)) => parts.send(&Command::Reply { id: &id, body }),
                         Some(Last::SkipCall(cursor)) => {
@@ -266,16 +266,16 @@
         parts.calls.give_up(&id, false);
         let outcome = outcome::of_run(end);
         tracing::trace!(job = &*id, ?outcome, lasted_ms = lasted.as_ms(), "run ended");
-        let held_again = outcome == Outcome::Stopped && parts.hand.is_owed(&id);
+        let held_again = outcome == Outcome::Cancelled && parts.hand.is_owed(&id);
         parts.rounds.tell(Event::RunEnded(id.clone(), outcome, lasted));
         if held_again {
             continue;
         }
         if outcome == Outcome::Completed {
             result = Some(yielded.clone());
-            parts.answer(&id, &Answer::Satisfied(yielded));
+            parts.answer(&id, &Answer::Succeeded(yielded));
         } else {
-            parts.answer(&id, &Answer::WrittenOff);
+            parts.answer(&id, &Answer::Failed);
         }
         break;
     }
@@ -284,7 +284,7 @@
     parts.hand.let_go(&id);
     parts.calls.done(&id);
     let now = parts.rounds.clock.now();
-    for repeat in parts.repeats.done(&id, now, result.clone()) {
+    for repeat in parts.result_cache.done(&id, now, result.clone()) {
         parts.hand.send(&repeat, Turn::Shared(result.clone()));
     }
 }
--- a/crates/hazelgrade-server/src/routing/repeats.rs
+++ b/crates/hazelgrade-server/src/routing/result_cache.rs
@@ -2,18 +2,18 @@
 //! what is remembered and for how long; nothing here decides.
 
 use crate::protocol::Body;
-use hazelgrade::desk::JobId;
+use hazelgrade::api::JobId;
 use hazelgrade::time::{Span, Time};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{BuildHasher, RandomState};
 
-/// What makes two tries those of one job: use case, customer, mark, and what is asked for. A mark alone is no proof: whoever
+/// What makes two tries those of one job: job class, tenant, mark, and what is asked for. A mark alone is no proof: whoever
 /// has seen it could ask for the result with words of its own, or have the place taken by a job that nobody has.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Key {
-    use_case: usize,
-    customer: usize,
+    job_class: usize,
+    tenant: usize,
     mark: String,
     /// A digest that no client can choose, in place of the body: bodies are kilobytes.
     content: u64,
@@ -63,7 +63,7 @@
     most_bytes: usize,
 }
 
-pub struct Repeats {
+pub struct ResultCache {
     table: RefCell<Table>,
     digests: RandomState,
 }
@@ -100,14 +100,14 @@
     }
 }
 
-impl Repeats {
-    pub fn new(most_bytes: usize) -> Repeats {
+impl ResultCache {
+    pub fn new(most_bytes: usize) -> ResultCache {
         let table = RefCell::new(Table { most_bytes, ..Table::default() });
-        Repeats { table, digests: RandomState::new() }
+        ResultCache { table, digests: RandomState::new() }
     }
 
-    pub fn key(&self, use_case: usize, customer: usize, mark: String, body: &Body) -> Key {
-        Key { use_case, customer, mark, content: self.digests.hash_one(body) }
+    pub fn key(&self, job_class: usize, tenant: usize, mark: String, body: &Body) -> Key {
+        Key { job_class, tenant, mark, content: self.digests.hash_one(body) }
     }
 
     /// A job that is out of hand and known by this id: what it was, and the result that is kept of it.
--- a/crates/hazelgrade-server/src/routing/rounds.rs
+++ b/crates/hazelgrade-server/src/routing/rounds.rs
@@ -4,14 +4,14 @@
 use super::budgets::Seat;
 use super::clock::Clock;
 use super::hand::{Hand, Turn};
-use super::repeats::Repeats;
+use super::result_cache::ResultCache;
 use crate::protocol::executor::{self, Command};
 use crate::protocol::jsonrpc::Answer;
 use crate::transport::executor::Link;
 use async_io::Timer;
 use futures_lite::future::or;
-use hazelgrade::control::{Control, Inflow};
-use hazelgrade::desk::{Allowance, Decisions, Job, JobId, Outcome, Revision};
+use hazelgrade::api::{CallLease, Decisions, Job, JobId, Outcome, SettingsUpdate};
+use hazelgrade::controller::{Controller, EventSink};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_net::bell::Bell;
 use std::cell::{Cell, RefCell};
@@ -39,11 +39,11 @@
     Leaving(Time),
     Woke(u64, Option<f64>),
     /// A part of what all nodes may call below.
-    Allowed(Allowance),
+    Allowed(CallLease),
 }
 
 pub struct Rounds {
-    control: RefCell<Control>,
+    control: RefCell<Controller>,
     pub clock: Clock,
     tick: Duration,
     events: RefCell<Vec<Event>>,
@@ -66,14 +66,20 @@
     /// Parts of what all nodes share, where budgets are on.
     seat: RefCell<Option<Rc<Seat>>>,
     hand: Rc<Hand>,
-    repeats: Rc<Repeats>,
+    result_cache: Rc<ResultCache>,
     link: Rc<Link>,
     pub rounds: Cell<u64>,
     pub longest: Cell<Duration>,
 }
 
 impl Rounds {
-    pub fn new(control: Control, tick: Span, hand: Rc<Hand>, repeats: Rc<Repeats>, link: Rc<Link>) -> Rounds {
+    pub fn new(
+        control: Controller,
+        tick: Span,
+        hand: Rc<Hand>,
+        result_cache: Rc<ResultCache>,
+        link: Rc<Link>,
+    ) -> Rounds {
         let clock = Clock::default();
         Rounds {
             control: RefCell::new(control),
@@ -93,7 +99,7 @@
             health_changed: Bell::default(),
             seat: RefCell::default(),
             hand,
-            repeats,
+            result_cache,
             link,
             rounds: Cell::new(0),
             longest: Cell::new(Duration::ZERO),
@@ -128,8 +134,8 @@
     }
 
     /// Other figures to go by, from the next round on.
-    pub fn revise(&self, to: Revision) -> bool {
-        self.control.borrow_mut().revise(self.clock.now(), to)
+    pub fn revise(&self, to: SettingsUpdate) -> bool {
+        self.control.borrow_mut().update_settings(self.clock.now(), to)
     }
 
     /// From now on calls below go by this node's part of what all nodes share.
@@ -230,23 +236,23 @@
     fn round(&self) {
         let (began, now) = (Instant::now(), self.clock.now());
         let events = self.events.take();
-        let feed = |inflow: &mut Inflow| {
+        let feed = |sink: &mut EventSink| {
             for event in events {
                 match event {
-                    Event::Arrived(job) => inflow.arrived(job),
-                    Event::RunEnded(id, outcome, took) => inflow.run_ended(&id, outcome, took),
-                    Event::AtCall(id) => inflow.at_call(&id),
-                    Event::CallEnded(id, outcome, took) => inflow.call_ended(&id, outcome, took),
-                    Event::CallerGone(id) => inflow.caller_gone(&id),
-                    Event::Leaving(stop) => inflow.leaving(stop),
-                    Event::Woke(token, cores_used) => inflow.woke(token, cores_used),
-                    Event::Allowed(allowance) => inflow.allowed(allowance),
+                    Event::Arrived(job) => sink.job_arrived(job),
+                    Event::RunEnded(id, outcome, took) => sink.run_ended(&id, outcome, took),
+                    Event::AtCall(id) => sink.call_requested(&id),
+                    Event::CallEnded(id, outcome, took) => sink.call_ended(&id, outcome, took),
+                    Event::CallerGone(id) => sink.caller_disconnected(&id),
+                    Event::Leaving(stop) => sink.drain_started(stop),
+                    Event::Woke(token, cores_used) => sink.timer_fired(token, cores_used),
+                    Event::Allowed(allowance) => sink.call_lease_updated(allowance),
                 }
             }
         };
         self.control.borrow_mut().round(now, feed, &mut Writer { rounds: self, now });
         if let Some(seat) = &*self.seat.borrow() {
-            seat.uses(self.control.borrow_mut().need(now));
+            seat.uses(self.control.borrow_mut().call_demand(now));
         }
         self.alive();
         self.rounds.set(self.rounds.get() + 1);
@@ -267,19 +273,19 @@
 }
 
 impl Decisions for Writer<'_> {
-    fn run(&mut self, id: &JobId) {
+    fn start_run(&mut self, id: &JobId) {
         self.turn(id, Turn::Run);
     }
 
-    fn bounce(&mut self, id: &JobId, not_elsewhere: bool, back_in: Span) {
-        self.turn(id, Turn::Answer(Answer::Bounced { not_elsewhere, back_in }));
+    fn reject(&mut self, id: &JobId, not_elsewhere: bool, retry_after: Span) {
+        self.turn(id, Turn::Answer(Answer::Rejected { not_elsewhere, retry_after }));
     }
 
-    fn write_off(&mut self, id: &JobId) {
-        self.turn(id, Turn::Answer(Answer::WrittenOff));
+    fn fail(&mut self, id: &JobId) {
+        self.turn(id, Turn::Answer(Answer::Failed));
     }
 
-    fn call(&mut self, id: &JobId, within: Span) {
+    fn start_call(&mut self, id: &JobId, within: Span) {
         self.turn(id, Turn::Call(within));
     }
 
@@ -287,33 +293,33 @@
         self.turn(id, Turn::SkipCall);
     }
 
-    fn stop(&mut self, id: &JobId) {
+    fn cancel_run(&mut self, id: &JobId) {
         self.turn(id, Turn::Stop);
     }
 
-    fn share(&mut self, id: &JobId) {
+    fn await_original(&mut self, id: &JobId) {
         self.turn(id, Turn::Share);
     }
 
-    fn remember(&mut self, id: &JobId, span: Span) {
-        self.rounds.repeats.remember(id, self.now, span);
+    fn store_record(&mut self, id: &JobId, span: Span) {
+        self.rounds.result_cache.remember(id, self.now, span);
     }
 
-    fn forget(&mut self, id: &JobId) {
-        self.rounds.repeats.forget(id);
+    fn remove_record(&mut self, id: &JobId) {
+        self.rounds.result_cache.forget(id);
     }
 
-    fn say(&mut self, value: f64) {
+    fn publish_load_signal(&mut self, value: f64) {
         self.rounds.said.set(Some(value));
     }
 
-    fn health(&mut self, good: bool, _from_store: bool) {
+    fn publish_health(&mut self, good: bool, _from_store: bool) {
         if self.rounds.good.replace(good) != good {
             self.rounds.health_changed.ring();
         }
     }
 
-    fn wake_at(&mut self, at: Time, token: u64) {
+    fn set_timer(&mut self, at: Time, token: u64) {
         let mut timers = self.rounds.timers.borrow_mut();
         timers.insert((at, token));
         if timers.len() > TIMERS {
@@ -321,17 +327,17 @@
         }
     }
 
-    fn short(&mut self, id: &JobId) {
+    fn limited_by_lease(&mut self, id: &JobId) {
         tracing::debug!(
             job = &**id,
-            "turned away for want of a part of what all nodes share, not by a full queue"
+            "rejected for want of a part of what all nodes share, not by a full queue"
         );
         if let Some(seat) = &*self.rounds.seat.borrow() {
             seat.short.set(seat.short.get() + 1);
         }
     }
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         tracing::debug!(text, "the module notes");
     }
 }
--- a/crates/hazelgrade-server/tests/budgets/main.rs
+++ b/crates/hazelgrade-server/tests/budgets/main.rs
@@ -2,14 +2,14 @@
 //! counted there, and never more than the whole.
 
 use hazelgrade_budget::message::Word;
-use hazelgrade_rig::account::Account;
-use hazelgrade_rig::edge::{ms, now};
-use hazelgrade_rig::group::Group;
-use hazelgrade_rig::plan::{Disk, Fault, Link, Plan, Ways};
-use hazelgrade_rig::play::play;
-use hazelgrade_rig::shared::Setting;
-use hazelgrade_standins::executor::{Executor, Work};
-use hazelgrade_standins::{free_address, world};
+use hazelgrade_fakes::executor::{Executor, Work};
+use hazelgrade_fakes::{free_address, world};
+use hazelgrade_fault_injection::account::Account;
+use hazelgrade_fault_injection::edge::{ms, now};
+use hazelgrade_fault_injection::group::Group;
+use hazelgrade_fault_injection::plan::{Disk, Fault, Link, Plan, Ways};
+use hazelgrade_fault_injection::play::play;
+use hazelgrade_fault_injection::shared::Setting;
 use serde_json::Value;
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -92,7 +92,7 @@
     group.service.word(word)
 }
 
-/// Of the use case that callers ask for.
+/// Of the job class that callers ask for.
 const GOAL_MS: f64 = 1000.0;
 
 /// Nodes die, leave, stand still past their lease, are cut off one way, have clocks that differ, and come twice under one name.
@@ -135,7 +135,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let executor =
         Executor::start(Work { cores: 4, takes: Duration::from_millis(16), calls: true }).expect("it starts");
-    let plan = hazelgrade_standins::node::Plan {
+    let plan = hazelgrade_fakes::node::Plan {
         folder: folder.path().into(),
         listen: free_address(),
         executor: executor.address,
@@ -170,7 +170,7 @@
     let part = account.part_served(0, began, over, ms(GOAL_MS)).unwrap_or(0.0);
     assert!(part >= 0.5, "node 0 served {part}");
     for node in [0, 2] {
-        // What it has no call for is given up by its goal time, also by the one that is cut off from the keeper.
+        // What it has no call for is given up by its latency objective, also by the one that is cut off from the keeper.
         let part = account.part_answered(node, began, over, ms(GOAL_MS + 500.0)).unwrap_or(0.0);
         assert!(part >= 0.98, "node {node} answered {part}");
     }
--- a/crates/hazelgrade-server/tests/instance/fleet.rs
+++ b/crates/hazelgrade-server/tests/instance/fleet.rs
@@ -1,10 +1,10 @@
 //! Twenty processes at a time: what holds for each has to hold for all of them together.
 
 use crate::common::*;
-use hazelgrade_rig::edge::Edge;
-use hazelgrade_standins::callers::{Callers, Fate, Plan};
-use hazelgrade_standins::dependency::Dependency;
-use hazelgrade_standins::executor::{Executor, Work};
+use hazelgrade_fakes::callers::{Callers, Fate, Plan};
+use hazelgrade_fakes::dependency::Dependency;
+use hazelgrade_fakes::executor::{Executor, Work};
+use hazelgrade_fault_injection::edge::Edge;
 use serde_json::json;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -45,9 +45,9 @@
             (specifics["callsOver"], specifics["cores"]) = (json!(1000), json!(4));
         });
         let rate = 2.0 * SHARE as f64 / CALL.as_secs_f64();
-        let use_cases = vec!["read".to_owned()];
+        let job_classes = vec!["read".to_owned()];
         let node = instance.listen;
-        let plan = Plan { node, connections: 3, rate, use_cases, owner: "acme".into(), token: None };
+        let plan = Plan { node, connections: 3, rate, job_classes, owner: "acme".into(), token: None };
         Member { instance, executor, link, callers: Callers::start(&plan) }
     };
     (0..NODES).map(member).collect()
@@ -73,7 +73,7 @@
 
 fn served(members: &[Member]) -> Vec<usize> {
     let served =
-        |member: &Member| member.callers.told().iter().filter(|told| told.fate == Fate::Satisfied).count();
+        |member: &Member| member.callers.told().iter().filter(|told| told.fate == Fate::Succeeded).count();
     members.iter().map(served).collect()
 }
 
--- a/crates/hazelgrade-server/tests/instance/serving.rs
+++ b/crates/hazelgrade-server/tests/instance/serving.rs
@@ -1,7 +1,7 @@
 //! A job from its arrival to its answer, and what may go wrong with each of those it meets on the way.
 
 use crate::common::*;
-use hazelgrade::desk::JobId;
+use hazelgrade::api::JobId;
 use hazelgrade_server::transport::clients::Clients;
 use hazelgrade_server::transport::listener::{bind, take_backlog};
 use serde_json::{Value, json};
@@ -17,8 +17,8 @@
 }
 
 /// Starts a job and hears that it is run.
-fn run_job(link: &mut Peer, client: &mut Peer, call: u64, use_case: &str, id: &str) {
-    client.say(&job(call, use_case, id));
+fn run_job(link: &mut Peer, client: &mut Peer, call: u64, job_class: &str, id: &str) {
+    client.say(&job(call, job_class, id));
     let run = link.command();
     assert_eq!((&run["event"], &run["handle"]), (&json!("EXEC"), &json!(id)), "{run}");
 }
@@ -218,7 +218,7 @@
     }
     let (first, second) = (below.call("a1"), below.call("a2"));
     assert_ne!(first, second);
-    // An unknown id ahead, and a second copy: the copy must not pass for the reply to the next call.
+    // An unknown id ahead, and a hedged request: the copy must not pass for the reply to the next call.
     below.reply(first, "zz ROWS 1\r\nz\r\na1 ROWS 1\r\n1\r\na1 ROWS 1\r\n1\r\n");
     assert_eq!(link.command(), json!({"event": "RETURN", "handle": "a1", "arg": "MQ=="}));
     link.say(&at_call(3, "a1"));
@@ -446,7 +446,7 @@
     drop(early);
 }
 
-/// Found by groups of processes under faults: jobs that had lain unread past their cut-off while the process stood still were
+/// Found by groups of processes under faults: jobs that had lain unread past their deadline while the process stood still were
 /// taken for wrong messages, and after five of them the connection was closed with all others on it.
 #[test]
 fn jobs_that_lay_unread_while_the_process_stood_still_are_not_held_against_their_caller() {
--- a/crates/hazelgrade-server/tests/streaming/main.rs
+++ b/crates/hazelgrade-server/tests/streaming/main.rs
@@ -5,13 +5,13 @@
 mod node;
 
 use hazelgrade_config::{Document, Version};
-use hazelgrade_standins::callers::Callers;
-use hazelgrade_standins::control::{Control, Subscriber};
-use hazelgrade_standins::documents::{Case, document};
-use hazelgrade_standins::executor::{Executor, Work};
-use hazelgrade_standins::node::{Node, Plan};
-use hazelgrade_standins::registry::Registry;
-use hazelgrade_standins::{free_address, world};
+use hazelgrade_fakes::callers::Callers;
+use hazelgrade_fakes::control::{Control, Subscriber};
+use hazelgrade_fakes::documents::{Case, document};
+use hazelgrade_fakes::executor::{Executor, Work};
+use hazelgrade_fakes::node::{Node, Plan};
+use hazelgrade_fakes::registry::Registry;
+use hazelgrade_fakes::{free_address, world};
 use hazelgrade_stream::protocol::{Refusal, Said};
 use std::path::Path;
 use std::time::Duration;
@@ -57,8 +57,8 @@
         (subscriber, have)
     }
 
-    fn callers(&self, node: &Node, rate: f64, use_cases: &[&str]) -> Callers {
-        world::callers(node.plan.listen, rate, use_cases)
+    fn callers(&self, node: &Node, rate: f64, job_classes: &[&str]) -> Callers {
+        world::callers(node.plan.listen, rate, job_classes)
     }
 }
 
--- a/crates/hazelgrade-site/src/lib.rs
+++ b/crates/hazelgrade-settings/src/lib.rs
@@ -1,11 +1,11 @@
-//! The settings object that an instance is started with, decoded once for every host: into a `Control`, and
-//! into what the host itself goes by. `places.rs` says which place a name has when use cases and customers come and go.
+//! The settings object that an instance is started with, decoded once for every host: into a `Controller`, and
+//! into what the host itself goes by. `places.rs` says which place a name has when job classes and tenants come and go.
 
 pub mod places;
 
-use hazelgrade::chance::Chance;
-use hazelgrade::control::Control;
-use hazelgrade::desk::*;
+use hazelgrade::api::*;
+use hazelgrade::controller::Controller;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::Span;
 use serde_json::Value;
 
@@ -20,12 +20,12 @@
 /// What a host needs of the settings: names in the order of the places that the module goes by.
 #[derive(Clone, Debug)]
 pub struct Site {
-    pub use_cases: Vec<Named>,
-    /// By place; none where the customer is gone.
-    pub customers: Vec<Option<String>>,
+    pub job_classes: Vec<Named>,
+    /// By place; none where the tenant is gone.
+    pub tenants: Vec<Option<String>>,
     /// What the settings promise, for documents that leave it open.
-    pub promises: Promises,
-    /// Callers are known: the customer of a job need not be named.
+    pub promises: ServiceLimits,
+    /// Callers are known: the tenant of a job need not be named.
     pub callers_known: bool,
     /// There is something below to call.
     pub calls_below: bool,
@@ -44,22 +44,22 @@
 #[derive(Clone, Debug)]
 pub struct Named {
     pub name: String,
-    pub repeats: Repeats,
-    pub cut_off: Span,
+    pub repeats: Idempotency,
+    pub deadline: Span,
     /// Jobs may ask for it; one that is gone keeps its place for those in hand.
     pub in_use: bool,
 }
 
 impl Site {
-    /// The place of a use case, and whether it is in use.
-    pub fn use_case(&self, name: &str) -> Option<(usize, bool)> {
-        let place = self.use_cases.iter().position(|case| case.name == name)?;
-        Some((place, self.use_cases[place].in_use))
+    /// The place of a job class, and whether it is in use.
+    pub fn job_class(&self, name: &str) -> Option<(usize, bool)> {
+        let place = self.job_classes.iter().position(|case| case.name == name)?;
+        Some((place, self.job_classes[place].in_use))
     }
 
     /// Something can be asked for.
     pub fn serves(&self) -> bool {
-        self.use_cases.iter().any(|case| case.in_use)
+        self.job_classes.iter().any(|case| case.in_use)
     }
 }
 
@@ -116,7 +116,7 @@
 }
 
 /// Decodes the settings into a new instance of the module.
-pub fn instance(settings: &Value, seed: u64) -> Result<(Control, Site), Fault> {
+pub fn instance(settings: &Value, seed: u64) -> Result<(Controller, Site), Fault> {
     if !settings.is_object() {
         return fault("settings", "a JSON object");
     }
@@ -125,89 +125,89 @@
     let (calls, skips) = (by_class("callsByClass"), by_class("classSkipWorth"));
     let below = specifics.word("below", "none")?;
     let calls_below = !matches!(below, "none" | "silent" | "");
-    let (mut use_cases, mut named) = (Vec::new(), Vec::new());
+    let (mut job_classes, mut named) = (Vec::new(), Vec::new());
     for (place, class) in list(settings, "classes")?.iter().enumerate() {
         let part = Part { value: Some(class), path: "classes" };
         let at = |list: Option<&Vec<Value>>| list.and_then(|list| list.get(place)).cloned();
-        let cut_off = part.number("giveUp", 0.0)?;
-        use_cases.push(UseCase {
-            goal: part.span("aim", cut_off)?,
-            goal_per_work: part.number("aimStretch", 0.0)?,
-            cut_off: Span::from_ms(cut_off),
-            earnings: part.number("gain", 1.0)?,
-            late_part: part.number("lateWorth", 0.0)?,
-            repeats: match part.word("idempotency", "safe")? {
-                "safe" => Repeats::Reissuable,
-                "keyed" => Repeats::Numbered,
-                "unsafe" => Repeats::AtMostOnce,
+        let deadline = part.number("giveUp", 0.0)?;
+        job_classes.push(JobClass {
+            latency_objective: part.span("aim", deadline)?,
+            objective_per_work: part.number("aimStretch", 0.0)?,
+            deadline: Span::from_ms(deadline),
+            priority_weight: part.number("gain", 1.0)?,
+            late_weight_ratio: part.number("lateWorth", 0.0)?,
+            idempotency: match part.word("idempotency", "safe")? {
+                "safe" => Idempotency::Idempotent,
+                "keyed" => Idempotency::Keyed,
+                "unsafe" => Idempotency::AtMostOnce,
                 _ => return fault("settings.classes.idempotency", "safe, keyed or unsafe"),
             },
-            window: part.span("window", 0.0)?,
-            calls: calls_below && at(calls).and_then(|value| value.as_bool()).unwrap_or(true),
-            part_without_call: at(skips).and_then(|value| value.as_f64()).unwrap_or(0.0),
+            retry_window: part.span("window", 0.0)?,
+            calls_dependency: calls_below && at(calls).and_then(|value| value.as_bool()).unwrap_or(true),
+            weight_ratio_without_call: at(skips).and_then(|value| value.as_f64()).unwrap_or(0.0),
         });
         named.push(Named {
             name: part.word("name", "")?.into(),
-            repeats: use_cases[place].repeats,
-            cut_off: Span::from_ms(cut_off),
+            repeats: job_classes[place].idempotency,
+            deadline: Span::from_ms(deadline),
             in_use: true,
         });
     }
-    let (mut customers, mut names) = (Vec::new(), Vec::new());
-    for customer in list(settings, "customers")? {
-        let part = Part { value: Some(customer), path: "customers" };
-        customers.push(Customer { quota: part.number("quotaPerS", f64::INFINITY)? });
+    let (mut tenants, mut names) = (Vec::new(), Vec::new());
+    for tenant in list(settings, "customers")? {
+        let part = Part { value: Some(tenant), path: "customers" };
+        tenants.push(Tenant { quota_per_s: part.number("quotaPerS", f64::INFINITY)? });
         names.push(Some(part.word("name", "")?.into()));
     }
     let guarantees = Part::of(settings, "guarantees");
     let machine = Machine {
         cores: specifics.number("cores", 1.0)?.max(1.0),
         memory_kb: specifics.number("memoryKb", f64::INFINITY)?,
-        running_factor: specifics.number("blowup", 1.0)?,
-        entry_kb: specifics.number("keyKb", 0.0)?,
+        running_memory_ratio: specifics.number("blowup", 1.0)?,
+        record_kb: specifics.number("keyKb", 0.0)?,
         cold: specifics.truth("cold")?,
-        stopping: match specifics.word("halt", "silent")? {
-            "silent" | "none" => Stopping::Never,
-            "drop" => Stopping::Drops,
-            "pause" => Stopping::Pauses,
+        cancellation: match specifics.word("halt", "silent")? {
+            "silent" | "none" => Cancellation::Unsupported,
+            "drop" => Cancellation::Discards,
+            "pause" => Cancellation::Requeues,
             _ => return fault("settings.specifics.halt", "silent, drop or pause"),
         },
         tick: Span::from_ms(Part { value: Some(settings), path: "" }.number("quantum", 1.0)?.max(0.001)),
     };
-    let promises = Promises {
+    let promises = ServiceLimits {
         answer_slack: guarantees.span("answerSlack", 0.0)?,
-        cold_from: guarantees.number("coldFrom", 1.0)?,
+        cold_speed_ratio: guarantees.number("coldFrom", 1.0)?,
         warm_up: guarantees.span("warmUp", 0.0)?,
         drain_grace: guarantees.span("drainGrace", 0.0)?,
-        crowd_per_core: guarantees.number("tipMultiple", f64::INFINITY)?.max(1.0),
+        max_jobs_per_core: guarantees.number("tipMultiple", f64::INFINITY)?.max(1.0),
     };
     let told = specifics.number("callsOut", 0.0)?;
-    let below = Below {
-        share: (told > 0.0).then_some(told),
-        share_over: specifics.span("callsOver", 0.0)?,
+    let below = Dependency {
+        max_calls: (told > 0.0).then_some(told),
+        max_calls_window: specifics.span("callsOver", 0.0)?,
         linger: specifics.span("linger", 0.0)?,
     };
     let ceilings = Part::of(settings, "ceilings");
     let advice = ceilings.truth("retryAfter")?;
-    let callers = Callers {
+    let callers = CallerSettings {
         count: specifics.number("callers", 1.0)?,
         signal: match specifics.word("signal", "silent")? {
-            "silent" | "none" => Signal::Silent,
-            "level" => Signal::Level,
-            "credit" => Signal::Credit,
-            "weight" => Signal::Weight,
+            "silent" | "none" => LoadSignal::Silent,
+            "level" => LoadSignal::Level,
+            "credit" => LoadSignal::Credit,
+            "weight" => LoadSignal::Weight,
             _ => return fault("settings.specifics.signal", "silent, level, credit or weight"),
         },
-        heeded_for: specifics.span("saidFor", 1000.0)?,
-        longest_back_in: if advice { ceilings.span("maxRetryAfter", 0.0)? } else { Span::ZERO },
-        mark_again: Part::of(settings, "clients").truth("marksRetry")?,
-        fleet: Part { value: Some(settings), path: "" }.number("fleetSize", 1.0)?,
-        over_quota_part: Part { value: Some(settings), path: "" }.number("overShareWorth", 1.0)?,
+        signal_lifetime: specifics.span("saidFor", 1000.0)?,
+        max_retry_after: if advice { ceilings.span("maxRetryAfter", 0.0)? } else { Span::ZERO },
+        mark_retries: Part::of(settings, "clients").truth("marksRetry")?,
+        fleet_size: Part { value: Some(settings), path: "" }.number("fleetSize", 1.0)?,
+        over_quota_weight_ratio: Part { value: Some(settings), path: "" }.number("overShareWorth", 1.0)?,
     };
     let gauges = list(specifics.value.unwrap_or(&Value::Null), "ownStats")?;
     let site = Site {
-        use_cases: named,
-        customers: names,
+        job_classes: named,
+        tenants: names,
         promises: promises.clone(),
         calls_below,
         callers_known: false,
@@ -217,5 +217,16 @@
         shared_for: specifics.span("shareFor", 0.0)?,
         linger: below.linger,
     };
-    Ok((Control::new(use_cases, customers, machine, promises, below, callers, Chance::new(seed)), site))
+    Ok((
+        Controller::new(
+            job_classes,
+            tenants,
+            machine,
+            promises,
+            below,
+            callers,
+            MultiplyWithCarry::new(seed),
+        ),
+        site,
+    ))
 }
--- a/crates/hazelgrade-wirehost/src/main.rs
+++ b/crates/hazelgrade-simulator-adapter/src/main.rs
@@ -3,15 +3,15 @@
 
 mod wire;
 
-use hazelgrade::control::Control;
-use hazelgrade_site::Fault;
+use hazelgrade::controller::Controller;
+use hazelgrade_settings::Fault;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 use wire::{Counts, Fields, Reply};
 
 /// Instances by number; one that crashed and was not launched again stays as `None`.
-type Fleet = BTreeMap<u64, Option<(Control, Counts)>>;
+type Fleet = BTreeMap<u64, Option<(Controller, Counts)>>;
 
 /// An event of a batch, not yet decoded: the number of its line, its name and the fields after the instance.
 type Pending<'a> = Vec<(usize, &'a str, &'a str)>;
@@ -20,7 +20,7 @@
     match host(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("hazelgrade-wirehost: {message}");
+            eprintln!("hazelgrade-simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
@@ -129,9 +129,9 @@
             continue;
         };
         let mut outcome = Ok(());
-        let feed = |inflow: &mut hazelgrade::control::Inflow| {
+        let feed = |sink: &mut hazelgrade::controller::EventSink| {
             for (offset, name, rest) in events {
-                if let Err(fault) = wire::tell(name, &mut Fields::new(rest), *counts, now, inflow) {
+                if let Err(fault) = wire::tell(name, &mut Fields::new(rest), *counts, now, sink) {
                     outcome = Err((offset, fault));
                     return;
                 }
--- a/crates/hazelgrade-wirehost/src/wire.rs
+++ b/crates/hazelgrade-simulator-adapter/src/wire.rs
@@ -1,9 +1,9 @@
-//! The line protocol: decodes each line into a call on `Inflow`, encodes decisions into lines.
+//! The line protocol: decodes each line into a call on `EventSink`, encodes decisions into lines.
 
-use hazelgrade::control::{Control, Inflow};
-use hazelgrade::desk::*;
+use hazelgrade::api::*;
+use hazelgrade::controller::{Controller, EventSink};
 use hazelgrade::time::{Span, Time};
-use hazelgrade_site::{Fault, fault};
+use hazelgrade_settings::{Fault, fault};
 use serde_json::Value;
 use std::fmt::Write;
 
@@ -72,13 +72,13 @@
     fn outcome(&mut self, field: &str) -> Result<Outcome, Fault> {
         Ok(match self.text(field)? {
             "completed" => Outcome::Completed,
-            "errored" => Outcome::Errored,
-            "saturated" => Outcome::Full,
-            "overdue" => Outcome::Overdue,
+            "errored" => Outcome::Failed,
+            "saturated" => Outcome::Rejected,
+            "overdue" => Outcome::TimedOut,
             "refused_conn" => Outcome::Unreachable,
-            "severed" => Outcome::Severed,
-            "recalled" => Outcome::Stopped,
-            "superseded" => Outcome::Moot,
+            "severed" => Outcome::ConnectionLost,
+            "recalled" => Outcome::Cancelled,
+            "superseded" => Outcome::Superseded,
             _ => return fault(field, "one of the outcome codes"),
         })
     }
@@ -95,69 +95,69 @@
     fields: &mut Fields,
     counts: Counts,
     now: Time,
-    inflow: &mut Inflow,
+    sink: &mut EventSink,
 ) -> Result<(), Fault> {
     match name {
         "ingress" => {
             let job = job(fields, counts, now)?;
             fields.end()?;
-            inflow.arrived(job);
+            sink.job_arrived(job);
         }
         "wound_up" | "returned" => {
             let (id, outcome, took) = (fields.id("handle")?, fields.outcome("result")?, fields.span("rtt")?);
             fields.end()?;
             match name {
-                "wound_up" => inflow.run_ended(&id, outcome, took),
-                _ => inflow.call_ended(&id, outcome, took),
+                "wound_up" => sink.run_ended(&id, outcome, took),
+                _ => sink.call_ended(&id, outcome, took),
             }
         }
         "needs_dep" => {
             let id = fields.id("handle")?;
             fields.end()?;
-            inflow.at_call(&id);
+            sink.call_requested(&id);
         }
         "timed_out_client" => {
             let id = fields.id("handle")?;
             fields.end()?;
-            inflow.caller_gone(&id);
+            sink.caller_disconnected(&id);
         }
         "retire_soon" => {
             let stop = fields.time("expires")?;
             fields.end()?;
-            inflow.leaving(stop);
+            sink.drain_started(stop);
         }
         "timeout_fired" => {
             let token = fields.whole("cookie")?;
             let cores_used = cores_used(fields.text("serverStats")?)?;
             fields.end()?;
-            inflow.woke(token, cores_used);
+            sink.timer_fired(token, cores_used);
         }
         _ => return fault("message", "a known message name"),
     }
     Ok(())
 }
 
-/// How many use cases and customers an instance was told of: places in those lists must lie within.
+/// How many job classes and tenants an instance was told of: places in those lists must lie within.
 #[derive(Clone, Copy, Debug)]
 pub struct Counts {
-    use_cases: usize,
-    customers: usize,
+    job_classes: usize,
+    tenants: usize,
 }
 
 fn job(fields: &mut Fields, counts: Counts, now: Time) -> Result<Job, Fault> {
     let id = fields.id("handle")?;
-    let use_case = fields.whole("category")? as usize;
-    if use_case >= counts.use_cases {
+    let job_class = fields.whole("category")? as usize;
+    if job_class >= counts.job_classes {
         return fault("category", "a place in the list of classes");
     }
-    let customer = fields.number("team", 0.0, Some(0.0))? as usize;
-    if customer >= counts.customers.max(1) {
+    let tenant = fields.number("team", 0.0, Some(0.0))? as usize;
+    if tenant >= counts.tenants.max(1) {
         return fault("team", "a place in the list of customers");
     }
     fields.text("affinity")?;
     let expires = fields.number("expires", f64::MIN, Some(0.0))?;
     let cost = fields.number("costGuess", 0.0, Some(0.0))?;
-    let held_kb = fields.number("sizeKb", 0.0, Some(0.0))?;
+    let queued_kb = fields.number("sizeKb", 0.0, Some(0.0))?;
     let rank = fields.number("standing", 0.0, Some(0.0))?;
     if rank >= 1.0 {
         return fault("standing", "a number from 0 up to less than 1");
@@ -172,23 +172,23 @@
         "-" | "0" | "" => None,
         prior => Some(prior.into()),
     };
-    let waits_until = (expires != 0.0).then(|| Time::from_ms(expires));
+    let caller_deadline = (expires != 0.0).then(|| Time::from_ms(expires));
     let again = bits & 2 != 0;
     let work = (bits & 1 != 0).then(|| Span::from_ms(cost));
     Ok(Job {
         id,
-        use_case,
-        customer,
-        reached: now - lay,
-        waits_until,
-        work,
-        held_kb,
-        rank,
-        again,
-        repeats,
-        known: true,
-        beyond: false,
-        short: None,
+        job_class,
+        tenant,
+        received_at: now - lay,
+        caller_deadline,
+        expected_work: work,
+        queued_kb,
+        priority_rank: rank,
+        is_retry: again,
+        retry_of: repeats,
+        from_known_caller: true,
+        over_caller_limit: false,
+        lease_retry_after: None,
     })
 }
 
@@ -206,14 +206,14 @@
 }
 
 /// Decodes the rest of a `launch` line into a new instance.
-pub fn launch(fields: &mut Fields) -> Result<(Control, Counts), Fault> {
+pub fn launch(fields: &mut Fields) -> Result<(Controller, Counts), Fault> {
     let seed = fields.whole("prng")?;
     let text = fields.remainder("settings")?;
     let Ok(settings) = serde_json::from_str::<Value>(text) else {
         return fault("settings", "a JSON object");
     };
-    let (control, site) = hazelgrade_site::instance(&settings, seed)?;
-    Ok((control, Counts { use_cases: site.use_cases.len(), customers: site.customers.len() }))
+    let (control, site) = hazelgrade_settings::instance(&settings, seed)?;
+    Ok((control, Counts { job_classes: site.job_classes.len(), tenants: site.tenants.len() }))
 }
 
 /// Writes the decisions of one instance as lines of the reply.
@@ -230,19 +230,19 @@
 }
 
 impl Decisions for Reply<'_> {
-    fn run(&mut self, id: &JobId) {
+    fn start_run(&mut self, id: &JobId) {
         self.line("execute", id, format_args!(""));
     }
 
-    fn bounce(&mut self, id: &JobId, not_elsewhere: bool, back_in: Span) {
-        self.line("decline", id, format_args!("\t{}\t{}", u8::from(not_elsewhere), back_in.as_ms()));
+    fn reject(&mut self, id: &JobId, not_elsewhere: bool, retry_after: Span) {
+        self.line("decline", id, format_args!("\t{}\t{}", u8::from(not_elsewhere), retry_after.as_ms()));
     }
 
-    fn write_off(&mut self, id: &JobId) {
+    fn fail(&mut self, id: &JobId) {
         self.line("finish_error", id, format_args!(""));
     }
 
-    fn call(&mut self, id: &JobId, within: Span) {
+    fn start_call(&mut self, id: &JobId, within: Span) {
         self.line("call_dep", id, format_args!("\t{}", within.as_ms()));
     }
 
@@ -250,35 +250,35 @@
         self.line("go_on", id, format_args!(""));
     }
 
-    fn stop(&mut self, id: &JobId) {
+    fn cancel_run(&mut self, id: &JobId) {
         self.line("halt", id, format_args!(""));
     }
 
-    fn share(&mut self, id: &JobId) {
+    fn await_original(&mut self, id: &JobId) {
         self.line("join", id, format_args!(""));
     }
 
-    fn remember(&mut self, id: &JobId, span: Span) {
+    fn store_record(&mut self, id: &JobId, span: Span) {
         self.line("keep", id, format_args!("\t{}", span.as_ms()));
     }
 
-    fn forget(&mut self, id: &JobId) {
+    fn remove_record(&mut self, id: &JobId) {
         self.line("drop_key", id, format_args!(""));
     }
 
-    fn say(&mut self, value: f64) {
+    fn publish_load_signal(&mut self, value: f64) {
         self.line("announce", "", format_args!("{value}"));
     }
 
-    fn health(&mut self, good: bool, from_store: bool) {
+    fn publish_health(&mut self, good: bool, from_store: bool) {
         self.line("set_health", "", format_args!("{}\t{}", u8::from(from_store), u8::from(good)));
     }
 
-    fn wake_at(&mut self, at: Time, token: u64) {
+    fn set_timer(&mut self, at: Time, token: u64) {
         self.line("timer", "", format_args!("{}\t{token}", at.as_ms()));
     }
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         self.line("print", "", format_args!("{}", text.replace(['\t', '\n', '\r'], " ")));
     }
 }
--- a/crates/hazelgrade-stream/tests/common/mod.rs
+++ b/crates/hazelgrade-stream/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Documents and a subscriber to start from, for all tests.
 #![allow(dead_code)]
 
-use hazelgrade::chance::Chance;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::operator::Trial;
 use hazelgrade_config::{Document, Kind, Version};
@@ -52,7 +52,7 @@
         lineage: None,
         rules: rules(),
         controls: 2,
-        chance: Chance::new(7),
+        chance: MultiplyWithCarry::new(7),
         backoff: Backoff::default(),
         kept,
         file,
@@ -67,7 +67,7 @@
     out
 }
 
-/// So many jobs of which this part was satisfied.
+/// So many jobs of which this part was succeeded.
 pub fn served(answered: f64, part: f64) -> Event {
-    Event::Served(Sample { answered, satisfied: answered * part, linked: true })
+    Event::Served(Sample { answered, succeeded: answered * part, linked: true })
 }
--- a/crates/hazelgrade/tests/common/mod.rs
+++ b/crates/hazelgrade/tests/common/mod.rs
@@ -1,15 +1,15 @@
 //! A writer that records, and an instance with settings to change, for all tests.
 
-use hazelgrade::chance::Chance;
-use hazelgrade::control::{Control, Inflow};
-use hazelgrade::desk::*;
+use hazelgrade::api::*;
+use hazelgrade::controller::{Controller, EventSink};
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
     Run(JobId),
-    Bounce(JobId, Span, bool),
-    WriteOff(JobId),
+    Reject(JobId, Span, bool),
+    Fail(JobId),
     Call(JobId, Span),
     Skip(JobId),
     Stop(JobId),
@@ -19,6 +19,7 @@
     Say(f64),
     Health(bool),
     Wake(Time, u64),
+    Limited(JobId),
 }
 
 #[derive(Default)]
@@ -31,36 +32,39 @@
 }
 
 impl Decisions for Record {
-    record!(run => Run, write_off => WriteOff, skip_call => Skip, stop => Stop, share => Share, forget => Forget,);
-    fn bounce(&mut self, id: &JobId, not_elsewhere: bool, back_in: Span) {
-        self.0.push(Act::Bounce(id.clone(), back_in, not_elsewhere));
+    record!(start_run => Run, fail => Fail, skip_call => Skip, cancel_run => Stop, await_original => Share, remove_record => Forget,);
+    fn reject(&mut self, id: &JobId, not_elsewhere: bool, retry_after: Span) {
+        self.0.push(Act::Reject(id.clone(), retry_after, not_elsewhere));
     }
-    fn call(&mut self, id: &JobId, within: Span) {
+    fn start_call(&mut self, id: &JobId, within: Span) {
         self.0.push(Act::Call(id.clone(), within));
     }
-    fn remember(&mut self, id: &JobId, span: Span) {
+    fn store_record(&mut self, id: &JobId, span: Span) {
         self.0.push(Act::Remember(id.clone(), span));
     }
-    fn say(&mut self, value: f64) {
+    fn publish_load_signal(&mut self, value: f64) {
         self.0.push(Act::Say(value));
     }
-    fn health(&mut self, good: bool, _: bool) {
+    fn publish_health(&mut self, good: bool, _: bool) {
         self.0.push(Act::Health(good));
     }
-    fn wake_at(&mut self, at: Time, token: u64) {
+    fn set_timer(&mut self, at: Time, token: u64) {
         self.0.push(Act::Wake(at, token));
     }
-    fn note(&mut self, _: &str) {}
+    fn log(&mut self, _: &str) {}
+    fn limited_by_lease(&mut self, id: &JobId) {
+        self.0.push(Act::Limited(id.clone()));
+    }
 }
 
 /// Settings of a plain deployment; tests change what they are about.
 #[derive(Clone)]
 pub struct Setup {
-    pub use_cases: Vec<UseCase>,
+    pub job_classes: Vec<JobClass>,
     pub machine: Machine,
-    pub promises: Promises,
-    pub below: Below,
-    pub callers: Callers,
+    pub promises: ServiceLimits,
+    pub below: Dependency,
+    pub callers: CallerSettings,
 }
 
 pub fn ms(ms: f64) -> Span {
@@ -72,62 +76,79 @@
 }
 
 pub fn setup() -> Setup {
-    let (goal, goal_per_work, cut_off, window) = (ms(2000.0), 0.0, ms(6000.0), ms(3000.0));
-    let (earnings, late_part, part_without_call) = (1.0, 0.0, 0.0);
-    let (repeats, calls) = (Repeats::Reissuable, true);
-    let (cores, memory_kb, running_factor, entry_kb) = (4.0, 20_000.0, 8.0, 10.0);
-    let (cold, stopping, tick) = (false, Stopping::Drops, ms(10.0));
-    let (answer_slack, cold_from, warm_up) = (ms(60.0), 0.2, ms(8000.0));
-    let (drain_grace, crowd_per_core) = (ms(1000.0), 4.0);
-    let (count, signal, heeded_for, longest_back_in) = (4.0, Signal::Weight, ms(1000.0), ms(1000.0));
-    let (mark_again, fleet, over_quota_part) = (true, 5.0, 0.1);
+    let (goal, objective_per_work, deadline, window) = (ms(2000.0), 0.0, ms(6000.0), ms(3000.0));
+    let (priority_weight, late_weight_ratio, weight_ratio_without_call) = (1.0, 0.0, 0.0);
+    let (repeats, calls) = (Idempotency::Idempotent, true);
+    let (cores, memory_kb, running_memory_ratio, record_kb) = (4.0, 20_000.0, 8.0, 10.0);
+    let (cold, stopping, tick) = (false, Cancellation::Discards, ms(10.0));
+    let (answer_slack, cold_speed_ratio, warm_up) = (ms(60.0), 0.2, ms(8000.0));
+    let (drain_grace, max_jobs_per_core) = (ms(1000.0), 4.0);
+    let (count, signal, signal_lifetime, max_retry_after) = (4.0, LoadSignal::Weight, ms(1000.0), ms(1000.0));
+    let (mark_retries, fleet, over_quota_weight_ratio) = (true, 5.0, 0.1);
     Setup {
-        use_cases: vec![UseCase {
-            goal,
-            goal_per_work,
-            cut_off,
-            earnings,
-            late_part,
-            repeats,
-            window,
-            calls,
-            part_without_call,
+        job_classes: vec![JobClass {
+            latency_objective: goal,
+            objective_per_work,
+            deadline,
+            priority_weight,
+            late_weight_ratio,
+            idempotency: repeats,
+            retry_window: window,
+            calls_dependency: calls,
+            weight_ratio_without_call,
         }],
-        machine: Machine { cores, memory_kb, running_factor, entry_kb, cold, stopping, tick },
-        promises: Promises { answer_slack, cold_from, warm_up, drain_grace, crowd_per_core },
-        below: Below { share: None, share_over: ms(5000.0), linger: ms(200.0) },
-        callers: Callers { count, signal, heeded_for, longest_back_in, mark_again, fleet, over_quota_part },
+        machine: Machine {
+            cores,
+            memory_kb,
+            running_memory_ratio,
+            record_kb,
+            cold,
+            cancellation: stopping,
+            tick,
+        },
+        promises: ServiceLimits { answer_slack, cold_speed_ratio, warm_up, drain_grace, max_jobs_per_core },
+        below: Dependency { max_calls: None, max_calls_window: ms(5000.0), linger: ms(200.0) },
+        callers: CallerSettings {
+            count,
+            signal,
+            signal_lifetime,
+            max_retry_after,
+            mark_retries,
+            fleet_size: fleet,
+            over_quota_weight_ratio,
+        },
     }
 }
 
 impl Setup {
     #[allow(dead_code)] // not every test that includes this file makes one by it
-    pub fn control(&self) -> Control {
-        let Setup { use_cases, machine, promises, below, callers } = self.clone();
-        Control::new(use_cases, vec![], machine, promises, below, callers, Chance::new(7))
+    pub fn control(&self) -> Controller {
+        let Setup { job_classes, machine, promises, below, callers } = self.clone();
+        Controller::new(job_classes, vec![], machine, promises, below, callers, MultiplyWithCarry::new(7))
     }
 }
 
+#[allow(dead_code)] // as above
 pub fn job(id: &str, reached: Time) -> Job {
     Job {
         id: id.into(),
-        use_case: 0,
-        customer: 0,
-        reached,
-        waits_until: None,
-        work: None,
-        held_kb: 20.0,
-        rank: 0.5,
-        again: false,
-        repeats: None,
-        known: true,
-        beyond: false,
-        short: None,
+        job_class: 0,
+        tenant: 0,
+        received_at: reached,
+        caller_deadline: None,
+        expected_work: None,
+        queued_kb: 20.0,
+        priority_rank: 0.5,
+        is_retry: false,
+        retry_of: None,
+        from_known_caller: true,
+        over_caller_limit: false,
+        lease_retry_after: None,
     }
 }
 
 /// One round; what was decided in it.
-pub fn round(control: &mut Control, now: Time, feed: impl FnOnce(&mut Inflow)) -> Vec<Act> {
+pub fn round(control: &mut Controller, now: Time, feed: impl FnOnce(&mut EventSink)) -> Vec<Act> {
     let mut record = Record::default();
     control.round(now, feed, &mut record);
     record.0
--- a/crates/hazelgrade/tests/crowd.rs
+++ b/crates/hazelgrade/tests/crowd.rs
@@ -5,9 +5,9 @@
 mod common;
 
 use common::*;
-use hazelgrade::chance::Chance;
-use hazelgrade::control::Control;
-use hazelgrade::desk::*;
+use hazelgrade::api::*;
+use hazelgrade::controller::Controller;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -42,7 +42,7 @@
 }
 
 struct Server {
-    control: Control,
+    control: Controller,
     zone: usize,
     begun: f64,
     speed: f64,
@@ -65,7 +65,7 @@
     caller: usize,
     made: f64,
     tries: u32,
-    use_case: usize,
+    job_class: usize,
     reached: f64,
     ran: bool,
 }
@@ -82,10 +82,10 @@
 
 #[derive(Default)]
 struct Seen {
-    /// By second in which they were made: requests, and those served within the goal time.
+    /// By second in which they were made: requests, and those served within the latency objective.
     made: Vec<u32>,
     served: Vec<u32>,
-    bounces: Vec<u32>,
+    rejections: Vec<u32>,
     /// By tick: the part of the live servers that say they are bad.
     bad: Vec<f64>,
     /// Means of arrivals and their squares, of each server in each second.
@@ -101,7 +101,7 @@
     size: usize,
     servers: Vec<Server>,
     callers: Vec<Caller>,
-    chance: Chance,
+    chance: MultiplyWithCarry,
     now: f64,
     events: BTreeMap<(i64, u64), Event>,
     numbers: u64,
@@ -116,10 +116,10 @@
 fn server(setup: &Setup, number: usize, seed: u64, now: f64, cold: bool) -> Server {
     let mut setup = setup.clone();
     setup.machine.cold = cold;
-    let Setup { use_cases, machine, promises, below, callers } = setup;
-    let chance = Chance::new(seed);
+    let Setup { job_classes, machine, promises, below, callers } = setup;
+    let chance = MultiplyWithCarry::new(seed);
     Server {
-        control: Control::new(use_cases, vec![], machine, promises, below, callers, chance),
+        control: Controller::new(job_classes, vec![], machine, promises, below, callers, chance),
         zone: number % ZONES,
         begun: if cold { now } else { now - WARM_UP },
         speed: 1.0,
@@ -139,20 +139,25 @@
 impl Crowd {
     fn new(seed: u64, (size, callers): (usize, usize), load: f64, seconds: f64) -> Crowd {
         let mut setup = setup();
-        let base = setup.use_cases[0].clone();
-        setup.use_cases = [(Repeats::Reissuable, 1.0), (Repeats::AtMostOnce, 3.0)]
-            .map(|(repeats, earnings)| UseCase { repeats, earnings, calls: false, ..base.clone() })
+        let base = setup.job_classes[0].clone();
+        setup.job_classes = [(Idempotency::Idempotent, 1.0), (Idempotency::AtMostOnce, 3.0)]
+            .map(|(repeats, priority_weight)| JobClass {
+                idempotency: repeats,
+                priority_weight,
+                calls_dependency: false,
+                ..base.clone()
+            })
             .to_vec();
         setup.machine.cores = CORES;
         setup.promises.warm_up = ms(WARM_UP);
-        setup.promises.cold_from = COLD;
+        setup.promises.cold_speed_ratio = COLD;
         setup.callers.count = callers as f64;
-        setup.callers.fleet = size as f64;
-        let mut chance = Chance::new(seed);
+        setup.callers.fleet_size = size as f64;
+        let mut chance = MultiplyWithCarry::new(seed);
         let servers = (0..size).map(|n| server(&setup, n, seed * 1000 + n as u64, 0.0, false)).collect();
         let callers = (0..callers).map(|number| Caller {
             heeds: [Heeds::All, Heeds::All, Heeds::Half, Heeds::Nothing][number % 4],
-            news: 1000.0 + 4000.0 * chance.draw(),
+            news: 1000.0 + 4000.0 * chance.next_f64(),
             heard: BTreeMap::new(),
             away_until: BTreeMap::new(),
             connected: vec![true; size],
@@ -210,7 +215,7 @@
                 for number in which {
                     let left: Vec<Asked> =
                         std::mem::take(&mut self.servers[number].owed).into_values().collect();
-                    let seed = (self.chance.draw() * 1e9) as u64;
+                    let seed = (self.chance.next_f64() * 1e9) as u64;
                     self.servers[number] = server(&self.setup, number, seed, self.now, true);
                     self.callers.iter_mut().for_each(|caller| caller.connected[number] = false);
                     left.into_iter().for_each(|asked| self.again(asked, GONE_AFTER));
@@ -231,11 +236,11 @@
         }
     }
 
-    /// A request goes out, or a further try of one.
+    /// A request goes out, or a retry of one.
     fn ask(&mut self, mut asked: Asked) {
         let now = self.now;
         if now < self.callers[asked.caller].back_at {
-            let at = self.callers[asked.caller].back_at + 200.0 * self.chance.draw();
+            let at = self.callers[asked.caller].back_at + 200.0 * self.chance.next_f64();
             return self.at(at, Event::Ask(asked));
         }
         let caller = &mut self.callers[asked.caller];
@@ -243,12 +248,12 @@
         let list = &self.lists[age.min(self.lists.len() - 1)];
         let heeds = match caller.heeds {
             Heeds::All => true,
-            Heeds::Half => self.chance.draw() < 0.5,
+            Heeds::Half => self.chance.next_f64() < 0.5,
             Heeds::Nothing => false,
         };
         let mut chosen = None;
         for _ in 0..20 {
-            let number = (self.chance.draw() * self.size as f64) as usize;
+            let number = (self.chance.next_f64() * self.size as f64) as usize;
             if !list[number] {
                 continue;
             }
@@ -259,7 +264,7 @@
                 .get(&number)
                 .filter(|(_, at)| now - at < 1000.0)
                 .map_or(1.0, |(value, _)| *value);
-            if !heeds || !away && self.chance.draw() < value {
+            if !heeds || !away && self.chance.next_f64() < value {
                 break;
             }
         }
@@ -272,7 +277,7 @@
         self.numbers += 1;
         let id: JobId = format!("{}", self.numbers).into();
         let mut sent = job(&id, at(now));
-        (sent.use_case, sent.again, asked.reached) = (asked.use_case, asked.tries > 0, now);
+        (sent.job_class, sent.is_retry, asked.reached) = (asked.job_class, asked.tries > 0, now);
         let server = &mut self.servers[number];
         server.arrivals += 1;
         server.unread.push_back((sent, READING + greeting));
@@ -283,7 +288,7 @@
     fn again(&mut self, asked: Asked, after: f64) {
         let most = if self.callers[asked.caller].heeds == Heeds::Nothing { 6 } else { 3 };
         let (at, tries) = (self.now + after, asked.tries + 1);
-        let once_ran = asked.ran && asked.use_case == 1;
+        let once_ran = asked.ran && asked.job_class == 1;
         if tries < most && at < asked.made + 2000.0 && !once_ran {
             self.at(at, Event::Ask(Asked { tries, ran: false, ..asked }));
         }
@@ -325,13 +330,13 @@
             return;
         }
         let busy = (sharing / CORES).min(1.0);
-        let acts = round(&mut server.control, at(now), |inflow| {
-            arrived.into_iter().for_each(|(job, _)| inflow.arrived(job));
+        let acts = round(&mut server.control, at(now), |sink| {
+            arrived.into_iter().for_each(|(job, _)| sink.job_arrived(job));
             for (id, _, since) in over {
-                inflow.run_ended(&id, Outcome::Completed, at(now).since(since));
+                sink.run_ended(&id, Outcome::Completed, at(now).since(since));
                 done.push(id);
             }
-            fired.iter().for_each(|token| inflow.woke(*token, Some(busy)));
+            fired.iter().for_each(|token| sink.timer_fired(*token, Some(busy)));
         });
         for id in done {
             self.answered(number, &id, true, None);
@@ -342,7 +347,7 @@
         let server = &self.servers[number];
         // What it lives through: less while it is cold.
         let warm = (COLD + (1.0 - COLD) * (now - server.begun) / WARM_UP).min(1.0);
-        let crowd = CORES * (1.0 + (self.setup.promises.crowd_per_core - 1.0) * warm);
+        let crowd = CORES * (1.0 + (self.setup.promises.max_jobs_per_core - 1.0) * warm);
         if warm < 1.0 {
             self.seen.cold = self.seen.cold.max(server.running.len() as f64 / crowd);
         }
@@ -359,7 +364,7 @@
 
     fn apply(&mut self, number: usize, act: Act) {
         let now = at(self.now);
-        let work = WORK * (0.2 + 1.6 * self.chance.draw());
+        let work = WORK * (0.2 + 1.6 * self.chance.next_f64());
         let server = &mut self.servers[number];
         match act {
             Act::Run(id) => {
@@ -368,16 +373,16 @@
                 }
                 server.running.push((id, work, now));
             }
-            Act::Bounce(id, back_in, not_elsewhere) => {
-                self.answered(number, &id, false, Some((back_in, not_elsewhere)));
+            Act::Reject(id, retry_after, not_elsewhere) => {
+                self.answered(number, &id, false, Some((retry_after, not_elsewhere)));
             }
-            Act::WriteOff(id) => self.answered(number, &id, false, None),
+            Act::Fail(id) => self.answered(number, &id, false, None),
             Act::Stop(id) => {
                 let since =
                     server.running.iter().find(|(run, ..)| *run == id).map_or(now, |(.., since)| *since);
                 server.running.retain(|(run, ..)| *run != id);
-                let acts = round(&mut server.control, now, |inflow| {
-                    inflow.run_ended(&id, Outcome::Stopped, now.since(since));
+                let acts = round(&mut server.control, now, |sink| {
+                    sink.run_ended(&id, Outcome::Cancelled, now.since(since));
                 });
                 acts.into_iter().for_each(|act| self.apply(number, act));
             }
@@ -389,7 +394,7 @@
     }
 
     /// The one answer of a try reaches its caller.
-    fn answered(&mut self, number: usize, id: &JobId, served: bool, bounced: Option<(Span, bool)>) {
+    fn answered(&mut self, number: usize, id: &JobId, served: bool, rejected: Option<(Span, bool)>) {
         let now = self.now;
         let Some(asked) = self.servers[number].owed.remove(id) else {
             // The run of a job that was given up ends too.
@@ -398,8 +403,8 @@
             }
             return;
         };
-        let chance = self.chance.draw();
-        if bounced.is_some() && asked.ran && asked.use_case == 1 {
+        let chance = self.chance.next_f64();
+        if rejected.is_some() && asked.ran && asked.job_class == 1 {
             self.flag("bounced what ran", id);
         }
         let caller = &mut self.callers[asked.caller];
@@ -409,13 +414,13 @@
             if now <= asked.made + 2000.0 {
                 Self::count(&mut self.seen.served, asked.made);
             }
-        } else if let Some((back_in, not_elsewhere)) = bounced {
-            Self::count(&mut self.seen.bounces, now);
-            caller.away_until.insert(number, now + back_in.as_ms());
+        } else if let Some((retry_after, not_elsewhere)) = rejected {
+            Self::count(&mut self.seen.rejections, now);
+            caller.away_until.insert(number, now + retry_after.as_ms());
             if !(heeds && not_elsewhere) {
                 self.again(Asked { ran: false, ..asked }, if heeds { 20.0 + 80.0 * chance } else { 5.0 });
-            } else if back_in > Span::ZERO {
-                self.again(Asked { ran: false, ..asked }, back_in.as_ms());
+            } else if retry_after > Span::ZERO {
+                self.again(Asked { ran: false, ..asked }, retry_after.as_ms());
             }
         }
     }
@@ -435,12 +440,12 @@
             asks += self.rate * TICK;
             while asks >= 1.0 {
                 asks -= 1.0;
-                let (caller, use_case) =
-                    ((self.chance.draw() * self.callers.len() as f64) as usize, self.chance.draw());
-                let use_case = usize::from(use_case < 0.2);
-                let (made, at) = (self.now, self.now + 1.0 + TICK * self.chance.draw());
+                let (caller, job_class) =
+                    ((self.chance.next_f64() * self.callers.len() as f64) as usize, self.chance.next_f64());
+                let job_class = usize::from(job_class < 0.2);
+                let (made, at) = (self.now, self.now + 1.0 + TICK * self.chance.next_f64());
                 Self::count(&mut self.seen.made, made);
-                let asked = Asked { caller, made, tries: 0, use_case, reached: made, ran: false };
+                let asked = Asked { caller, made, tries: 0, job_class, reached: made, ran: false };
                 self.at(at, Event::Ask(asked));
             }
             while let Some(first) =
@@ -470,7 +475,7 @@
 }
 
 impl Seen {
-    /// The part of the requests made in these seconds that were served within their goal time.
+    /// The part of the requests made in these seconds that were served within their latency objective.
     fn part(&self, from: usize, to: usize) -> f64 {
         let sum = |of: &[u32]| f64::from(of[from..to.min(of.len())].iter().sum::<u32>());
         sum(&self.served) / sum(&self.made).max(1.0)
@@ -513,7 +518,7 @@
             seen.part(8, 12),
             seen.part(12, 18),
             seen.part(18, 27),
-            seen.bounces.iter().sum::<u32>(),
+            seen.rejections.iter().sum::<u32>(),
             seen.most_bad(),
             seen.mean_bad(9),
             seen.swing(2),
@@ -628,10 +633,13 @@
         1.3,
         |_| {},
         |seen| {
-            // At best 1 in 1.3 of them; tries that are bounced cost reading.
+            // At best 1 in 1.3 of them; tries that are rejected cost reading.
             seen.is_served(8, 27, 0.64);
-            let (bounces, made): (u32, u32) = (seen.bounces.iter().sum(), seen.made.iter().sum());
-            assert!(f64::from(bounces) < 1.25 * f64::from(made), "{bounces} bounces of {made} requests");
+            let (rejections, made): (u32, u32) = (seen.rejections.iter().sum(), seen.made.iter().sum());
+            assert!(
+                f64::from(rejections) < 1.25 * f64::from(made),
+                "{rejections} bounces of {made} requests"
+            );
         },
     );
 }
@@ -650,13 +658,20 @@
 #[test]
 fn modules_in_the_same_case_do_not_act_in_step() {
     let mut setup = setup();
-    (setup.callers.count, setup.callers.fleet) = (150.0, 300.0);
-    setup.use_cases[0].calls = false;
-    let (mut off_for, mut back_in) = (vec![], vec![]);
+    (setup.callers.count, setup.callers.fleet_size) = (150.0, 300.0);
+    setup.job_classes[0].calls_dependency = false;
+    let (mut off_for, mut retry_after) = (vec![], vec![]);
     for seed in 0..300 {
-        let Setup { use_cases, machine, promises, below, callers } = setup.clone();
-        let mut control =
-            Control::new(use_cases, vec![], machine, promises, below, callers, Chance::new(seed));
+        let Setup { job_classes, machine, promises, below, callers } = setup.clone();
+        let mut control = Controller::new(
+            job_classes,
+            vec![],
+            machine,
+            promises,
+            below,
+            callers,
+            MultiplyWithCarry::new(seed),
+        );
         let (mut off, mut told, mut runs) = (None, None, VecDeque::new());
         for step in 0..600 {
             let now = at(f64::from(step) * 10.0);
@@ -664,27 +679,27 @@
             let count = if step == 100 { 40 } else { u32::from(step % 5 == 0 && step < 100) };
             let ended = runs.iter().take_while(|(_, since)| now.since(*since) >= ms(300.0)).count();
             let ended: Vec<(JobId, Time)> = runs.drain(..ended).collect();
-            let acts = round(&mut control, now, |inflow| {
+            let acts = round(&mut control, now, |sink| {
                 for number in 0..count {
                     let late = if step == 100 { 0.0 } else { 1500.0 };
-                    inflow.arrived(job(&format!("{step}-{number}"), now - ms(late)));
+                    sink.job_arrived(job(&format!("{step}-{number}"), now - ms(late)));
                 }
-                ended.iter().for_each(|(id, _)| inflow.run_ended(id, Outcome::Completed, ms(300.0)));
-                inflow.woke(u64::MAX, Some(0.5));
+                ended.iter().for_each(|(id, _)| sink.run_ended(id, Outcome::Completed, ms(300.0)));
+                sink.timer_fired(u64::MAX, Some(0.5));
             });
             for act in acts {
                 match act {
                     Act::Run(id) => runs.push_back((id, now)),
                     Act::Health(false) => off = off.or(Some(now)),
                     Act::Health(true) => off_for.extend(off.take().map(|off| now.since(off).as_ms())),
-                    Act::Bounce(_, back, _) => told = told.or(Some(back.as_ms())),
+                    Act::Reject(_, back, _) => told = told.or(Some(back.as_ms())),
                     _ => {}
                 }
             }
         }
-        back_in.extend(told);
+        retry_after.extend(told);
     }
-    for (what, mut told) in [("off the list", off_for), ("back in", back_in)] {
+    for (what, mut told) in [("off the list", off_for), ("back in", retry_after)] {
         told.sort_by(f64::total_cmp);
         assert!(told.len() >= 200, "{what}: told by {} only", told.len());
         let (low, middle, high) = (told[told.len() / 10], told[told.len() / 2], told[told.len() * 9 / 10]);
--- a/crates/hazelgrade/tests/rules.rs
+++ b/crates/hazelgrade/tests/rules.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::*;
-use hazelgrade::chance::Chance;
-use hazelgrade::control::Control;
-use hazelgrade::desk::*;
+use hazelgrade::api::*;
+use hazelgrade::controller::Controller;
+use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
 
 struct World {
     setup: Setup,
-    chance: Chance,
+    chance: MultiplyWithCarry,
     jobs: BTreeMap<JobId, Known>,
     /// Entries: who holds it, and until when it lives.
     entries: BTreeMap<usize, (JobId, Time)>,
@@ -61,13 +61,13 @@
     }
 
     fn pick(&mut self, least: f64, most: f64) -> f64 {
-        least + (most - least) * self.chance.draw()
+        least + (most - least) * self.chance.next_f64()
     }
 
     fn apply(&mut self, act: &Act, now: Time) {
         let (Act::Run(id)
-        | Act::Bounce(id, ..)
-        | Act::WriteOff(id)
+        | Act::Reject(id, ..)
+        | Act::Fail(id)
         | Act::Call(id, _)
         | Act::Skip(id)
         | Act::Stop(id)
@@ -77,20 +77,25 @@
         else {
             match act {
                 Act::Wake(at, token) => self.timers.push((*at, *token)),
-                Act::Say(_) => self.flag(self.setup.callers.signal == Signal::Silent, "bad say", &"-".into()),
+                Act::Say(_) => {
+                    self.flag(self.setup.callers.signal == LoadSignal::Silent, "bad say", &"-".into())
+                }
                 _ => {}
             }
             return;
         };
-        let (work, fate, below) = (self.pick(50.0, 900.0), self.chance.draw(), self.pick(20.0, 1500.0));
+        let (work, fate, below) = (self.pick(50.0, 900.0), self.chance.next_f64(), self.pick(20.0, 1500.0));
         let Some(known) = self.jobs.get(id) else { return self.flag(true, "unknown job", id) };
-        let case = self.setup.use_cases[known.job.use_case].clone();
-        let (stage, request, reached, doubt) = (known.at, known.request, known.job.reached, known.call_doubt);
-        let (ran_ever, repeats) = (known.ran_ever, known.job.repeats.is_some());
-        let ran_before = match case.repeats {
-            Repeats::Numbered => self.ran.get(&request).is_some_and(|ran| reached.since(*ran) < case.window),
-            Repeats::AtMostOnce => ran_ever,
-            Repeats::Reissuable => false,
+        let case = self.setup.job_classes[known.job.job_class].clone();
+        let (stage, request, reached, doubt) =
+            (known.at, known.request, known.job.received_at, known.call_doubt);
+        let (ran_ever, repeats) = (known.ran_ever, known.job.retry_of.is_some());
+        let ran_before = match case.idempotency {
+            Idempotency::Keyed => {
+                self.ran.get(&request).is_some_and(|ran| reached.since(*ran) < case.retry_window)
+            }
+            Idempotency::AtMostOnce => ran_ever,
+            Idempotency::Idempotent => false,
         };
         match act {
             Act::Run(_) => {
@@ -101,19 +106,21 @@
                 self.flag(late, "ran what came past the grace", id);
                 self.ran.entry(request).or_insert(reached);
             }
-            Act::Bounce(..) | Act::WriteOff(_) => {
+            Act::Reject(..) | Act::Fail(_) => {
                 self.flag(!self.jobs[id].owed, "answered twice", id);
-                let once_ran = ran_before || ran_ever && case.repeats != Repeats::Reissuable;
-                self.flag(matches!(act, Act::Bounce(..)) && once_ran, "bounced what ran", id);
+                let once_ran = ran_before || ran_ever && case.idempotency != Idempotency::Idempotent;
+                self.flag(matches!(act, Act::Reject(..)) && once_ran, "bounced what ran", id);
                 let last = self.jobs[id].due + self.setup.promises.answer_slack;
                 self.flag(now > last, "answered late", id);
             }
             Act::Call(..) => {
-                self.flag(doubt && case.repeats != Repeats::Reissuable, "called again in doubt", id);
-                self.flag(!case.calls || stage != At::Call, "called when not at a call", id);
+                self.flag(doubt && case.idempotency != Idempotency::Idempotent, "called again in doubt", id);
+                self.flag(!case.calls_dependency || stage != At::Call, "called when not at a call", id);
+            }
+            Act::Skip(_) => self.flag(case.weight_ratio_without_call <= 0.0, "bad skip", id),
+            Act::Stop(_) => {
+                self.flag(self.setup.machine.cancellation == Cancellation::Unsupported, "bad stop", id)
             }
-            Act::Skip(_) => self.flag(case.part_without_call <= 0.0, "bad skip", id),
-            Act::Stop(_) => self.flag(self.setup.machine.stopping == Stopping::Never, "bad stop", id),
             Act::Share(_) => self.flag(!repeats, "shared without a job to share", id),
             _ => {}
         }
@@ -122,7 +129,7 @@
             Act::Run(_) if known.at == At::Held => {
                 (known.at, known.ran_ever, known.started) = (At::Cores(now + ms(work)), true, now);
             }
-            Act::Bounce(..) | Act::WriteOff(_) => {
+            Act::Reject(..) | Act::Fail(_) => {
                 known.owed = false;
                 known.at = if matches!(known.at, At::Held | At::Shared) { At::Over } else { known.at };
             }
@@ -134,7 +141,7 @@
             Act::Skip(_) if known.at == At::Call => known.at = At::Cores(now + ms(work)),
             Act::Stop(_) if matches!(known.at, At::Cores(_)) => known.at = At::Cores(now),
             Act::Share(_) => known.at = At::Shared,
-            Act::Remember(_, span) if case.repeats == Repeats::Numbered => {
+            Act::Remember(_, span) if case.idempotency == Idempotency::Keyed => {
                 self.entries.insert(request, (id.clone(), now + *span));
             }
             Act::Forget(_) => {
@@ -157,10 +164,10 @@
         let machine = &self.setup.machine;
         let running = |known: &&Known| matches!(known.at, At::Cores(_) | At::Call | At::Below { .. });
         let held = |known: &&Known| matches!(known.at, At::Held | At::Shared);
-        let run_kb: f64 = self.jobs.values().filter(running).map(|known| known.job.held_kb).sum();
-        let held_kb: f64 = self.jobs.values().filter(held).map(|known| known.job.held_kb).sum();
+        let run_kb: f64 = self.jobs.values().filter(running).map(|known| known.job.queued_kb).sum();
+        let queued_kb: f64 = self.jobs.values().filter(held).map(|known| known.job.queued_kb).sum();
         let entries = self.entries.values().filter(|(_, until)| *until > now).count() as f64;
-        let needed = run_kb * machine.running_factor + held_kb + entries * machine.entry_kb;
+        let needed = run_kb * machine.running_memory_ratio + queued_kb + entries * machine.record_kb;
         let memory_gone = needed > machine.memory_kb;
         let on_cores = self.jobs.values().filter(|known| matches!(known.at, At::Cores(_))).count() as f64;
         let out = self.jobs.values().filter(|known| matches!(known.at, At::Below { .. })).count();
@@ -169,18 +176,19 @@
             let old = steps.iter().take_while(|(at, _)| now.since(*at) > ms(6000.0)).count();
             steps.drain(..old.saturating_sub(1));
         }
-        self.jobs.retain(|_, known| known.at != At::Over || now.since(known.job.reached) < ms(4000.0));
+        self.jobs.retain(|_, known| known.at != At::Over || now.since(known.job.received_at) < ms(4000.0));
         self.crowd.push((now, on_cores));
         self.calls.push((now, (out + self.lingering.len()) as f64));
         let promises = &self.setup.promises;
-        let warm = if machine.cold { promises.cold_from } else { 1.0 };
+        let warm = if machine.cold { promises.cold_speed_ratio } else { 1.0 };
         let speed = (warm + (1.0 - warm) * (now.since(begun) / promises.warm_up)).min(1.0);
-        let cap = machine.cores * (1.0 + (promises.crowd_per_core - 1.0) * speed);
+        let cap = machine.cores * (1.0 + (promises.max_jobs_per_core - 1.0) * speed);
         let crowded = Self::mean(&self.crowd, now, ms(2000.0)) > cap + 1e-6;
         let below = &self.setup.below;
         // Calls end at a tick or after a pause: up to 200 ms in the 5 s are the world's doing.
-        let flooded =
-            below.share.is_some_and(|share| Self::mean(&self.calls, now, below.share_over) > share + 0.04);
+        let flooded = below
+            .max_calls
+            .is_some_and(|share| Self::mean(&self.calls, now, below.max_calls_window) > share + 0.04);
         let lost = self.jobs.values().find(|known| {
             let due = self.notice.map_or(known.due, |(_, stop)| known.due.min(stop));
             known.owed && !matches!(known.at, At::Unread) && now > due + promises.answer_slack
@@ -194,33 +202,34 @@
     }
 }
 
-fn one_of<T: Copy>(chance: &mut Chance, from: &[T]) -> T {
-    from[(chance.draw() * from.len() as f64) as usize]
+fn one_of<T: Copy>(chance: &mut MultiplyWithCarry, from: &[T]) -> T {
+    from[(chance.next_f64() * from.len() as f64) as usize]
 }
 
 fn world(seed: u64) -> World {
-    let mut chance = Chance::new(seed);
+    let mut chance = MultiplyWithCarry::new(seed);
     let mut setup = setup();
-    let base = setup.use_cases[0].clone();
-    setup.use_cases = [Repeats::Reissuable, Repeats::Numbered, Repeats::AtMostOnce]
-        .map(|repeats| UseCase {
-            repeats,
-            late_part: if chance.draw() < 0.5 { 0.0 } else { 0.3 },
-            part_without_call: if chance.draw() < 0.5 { 0.0 } else { 0.4 },
-            calls: chance.draw() < 0.7,
+    let base = setup.job_classes[0].clone();
+    setup.job_classes = [Idempotency::Idempotent, Idempotency::Keyed, Idempotency::AtMostOnce]
+        .map(|repeats| JobClass {
+            idempotency: repeats,
+            late_weight_ratio: if chance.next_f64() < 0.5 { 0.0 } else { 0.3 },
+            weight_ratio_without_call: if chance.next_f64() < 0.5 { 0.0 } else { 0.4 },
+            calls_dependency: chance.next_f64() < 0.7,
             ..base.clone()
         })
         .to_vec();
     setup.machine.cores = one_of(&mut chance, &[1.0, 2.0, 4.0]);
-    (setup.machine.memory_kb, setup.machine.entry_kb) =
+    (setup.machine.memory_kb, setup.machine.record_kb) =
         one_of(&mut chance, &[(3_000.0, 10.0), (3_000.0, 300.0), (20_000.0, 10.0)]);
-    setup.machine.stopping = one_of(&mut chance, &[Stopping::Never, Stopping::Drops, Stopping::Pauses]);
-    setup.below.share = one_of(&mut chance, &[None, Some(0.04), Some(0.4), Some(3.5)]);
-    use Signal::*;
+    setup.machine.cancellation =
+        one_of(&mut chance, &[Cancellation::Unsupported, Cancellation::Discards, Cancellation::Requeues]);
+    setup.below.max_calls = one_of(&mut chance, &[None, Some(0.04), Some(0.4), Some(3.5)]);
+    use LoadSignal::*;
     setup.callers.signal = one_of(&mut chance, &[Silent, Level, Credit, Weight]);
-    (setup.machine.cold, setup.callers.mark_again) = (chance.draw() < 0.5, chance.draw() < 0.7);
+    (setup.machine.cold, setup.callers.mark_retries) = (chance.next_f64() < 0.5, chance.next_f64() < 0.7);
     let sizes = [(1.0, 1.0), (4.0, 5.0), (3_000.0, 400.0)];
-    (setup.callers.count, setup.callers.fleet) = one_of(&mut chance, &sizes);
+    (setup.callers.count, setup.callers.fleet_size) = one_of(&mut chance, &sizes);
     World {
         setup,
         chance,
@@ -252,20 +261,21 @@
             world.flag(open, "unanswered at the stop", &"-".into());
             break;
         }
-        // New jobs, and further tries of numbered ones, reach the machine; some wait long unread.
-        while world.chance.draw() < rate && now.since(begun) < ms(17_000.0) {
+        // New jobs, and retries of numbered ones, reach the machine; some wait long unread.
+        while world.chance.next_f64() < rate && now.since(begun) < ms(17_000.0) {
             count += 1;
-            let use_case = (world.chance.draw() * 3.0) as usize;
+            let job_class = (world.chance.next_f64() * 3.0) as usize;
             let old: Vec<(usize, JobId)> =
                 world.jobs.values().map(|k| (k.request, k.job.id.clone())).collect();
-            let again = use_case == 1 && !old.is_empty() && world.chance.draw() < 0.4;
+            let again = job_class == 1 && !old.is_empty() && world.chance.next_f64() < 0.4;
             let (mut request, mut id_before) = (count, None);
             if again {
-                let (number, id) = old[(world.chance.draw() * old.len() as f64) as usize].clone();
+                let (number, id) = old[(world.chance.next_f64() * old.len() as f64) as usize].clone();
                 // A caller waits a while for one try before it sends the next.
-                let last = world.jobs.values().filter(|k| k.request == number).map(|k| k.job.reached).max();
+                let last =
+                    world.jobs.values().filter(|k| k.request == number).map(|k| k.job.received_at).max();
                 let waited = last.is_some_and(|last| now.since(last) > ms(400.0));
-                if world.jobs[&id].job.use_case == 1 && waited {
+                if world.jobs[&id].job.job_class == 1 && waited {
                     (request, id_before) = (number, Some(id));
                 }
             }
@@ -273,11 +283,12 @@
             let linked =
                 world.entries.get(&request).filter(|(_, until)| *until > now).map(|(id, _)| id.clone());
             let wait =
-                if world.chance.draw() < 0.1 { world.pick(0.0, 3000.0) } else { world.pick(0.0, 20.0) };
+                if world.chance.next_f64() < 0.1 { world.pick(0.0, 3000.0) } else { world.pick(0.0, 20.0) };
             let mut job = job(&id, now);
-            (job.use_case, job.again) = (use_case, id_before.is_some() && world.setup.callers.mark_again);
-            (job.repeats, job.held_kb) = (linked, world.pick(5.0, 40.0));
-            let due = now + world.setup.use_cases[use_case].cut_off;
+            (job.job_class, job.is_retry) =
+                (job_class, id_before.is_some() && world.setup.callers.mark_retries);
+            (job.retry_of, job.queued_kb) = (linked, world.pick(5.0, 40.0));
+            let due = now + world.setup.job_classes[job_class].deadline;
             let known = Known {
                 job,
                 request,
@@ -285,7 +296,7 @@
                 at: At::Unread,
                 due,
                 owed: true,
-                calls_left: (world.chance.draw() * 3.0) as u32,
+                calls_left: (world.chance.next_f64() * 3.0) as u32,
                 call_doubt: false,
                 ran_ever: false,
                 started: now,
@@ -295,7 +306,7 @@
         if now < paused_until {
             continue;
         }
-        if world.chance.draw() < 0.001 {
+        if world.chance.next_f64() < 0.001 {
             paused_until = now + ms(world.pick(50.0, 150.0));
             // A delay of a frozen process is not counted against it.
             let owed = world.jobs.values_mut().filter(|known| known.owed);
@@ -311,14 +322,14 @@
 }
 
 /// All that happens in the world at a tick, told to the module; its decisions, if anything happened.
-fn events(world: &mut World, control: &mut Control, now: Time, leaves: Time) -> Option<Vec<Act>> {
+fn events(world: &mut World, control: &mut Controller, now: Time, leaves: Time) -> Option<Vec<Act>> {
     let (mut arrived, mut ended, mut at_call, mut returned, mut gone) =
         (vec![], vec![], vec![], vec![], vec![]);
     let ids: Vec<JobId> = world.jobs.keys().cloned().collect();
     for id in ids {
         let (luck, leaving, work) =
-            (world.chance.draw(), world.chance.draw() < 0.0005, world.pick(20.0, 1500.0));
-        let calls = world.setup.use_cases[world.jobs[&id].job.use_case].calls;
+            (world.chance.next_f64(), world.chance.next_f64() < 0.0005, world.pick(20.0, 1500.0));
+        let calls = world.setup.job_classes[world.jobs[&id].job.job_class].calls_dependency;
         let linger = world.setup.below.linger;
         let Some(known) = world.jobs.get_mut(&id) else { continue };
         match known.at {
@@ -332,28 +343,28 @@
                     at_call.push(id.clone());
                 } else {
                     (known.at, known.owed) = (At::Over, false);
-                    let outcome = if luck < 0.1 { Outcome::Errored } else { Outcome::Completed };
+                    let outcome = if luck < 0.1 { Outcome::Failed } else { Outcome::Completed };
                     ended.push((id.clone(), outcome, now.since(known.started)));
                 }
             }
             At::Call if !known.owed => {
                 known.at = At::Over;
-                ended.push((id.clone(), Outcome::Stopped, now.since(known.started)));
+                ended.push((id.clone(), Outcome::Cancelled, now.since(known.started)));
             }
             At::Below { since, .. } if !known.owed => {
                 known.at = At::Over;
                 world.lingering.push(now + linger);
-                ended.push((id.clone(), Outcome::Stopped, now.since(since)));
+                ended.push((id.clone(), Outcome::Cancelled, now.since(since)));
             }
             At::Below { since, ends, given_up } if ends <= now || given_up <= now => {
                 let outcome = match luck {
-                    _ if given_up < ends => Outcome::Overdue,
-                    _ if luck < 0.1 => Outcome::Errored,
-                    _ if luck < 0.2 => Outcome::Full,
-                    _ if luck < 0.3 => Outcome::Severed,
+                    _ if given_up < ends => Outcome::TimedOut,
+                    _ if luck < 0.1 => Outcome::Failed,
+                    _ if luck < 0.2 => Outcome::Rejected,
+                    _ if luck < 0.3 => Outcome::ConnectionLost,
                     _ => Outcome::Completed,
                 };
-                world.lingering.extend((outcome == Outcome::Overdue).then_some(now + linger));
+                world.lingering.extend((outcome == Outcome::TimedOut).then_some(now + linger));
                 known.call_doubt = outcome != Outcome::Completed && !outcome.never_ran();
                 known.at = if outcome == Outcome::Completed { At::Cores(now + ms(work)) } else { At::Call };
                 returned.push((id.clone(), outcome, now.since(since)));
@@ -370,12 +381,13 @@
     let requests: Vec<usize> = arrived.iter().map(|job| world.jobs[&job.id].request).collect();
     for mine in 0..arrived.len() {
         let other = (0..arrived.len()).find(|other| *other != mine && requests[*other] == requests[mine]);
-        if let Some(other) = other.filter(|_| arrived[mine].repeats.is_none() && arrived[mine].use_case == 1)
+        if let Some(other) =
+            other.filter(|_| arrived[mine].retry_of.is_none() && arrived[mine].job_class == 1)
         {
-            arrived[mine].repeats = Some(arrived[other].id.clone());
-            let (id, named) = (arrived[mine].id.clone(), arrived[mine].repeats.clone());
+            arrived[mine].retry_of = Some(arrived[other].id.clone());
+            let (id, named) = (arrived[mine].id.clone(), arrived[mine].retry_of.clone());
             if let Some(known) = world.jobs.get_mut(&id) {
-                known.job.repeats = named;
+                known.job.retry_of = named;
             }
         }
     }
@@ -383,22 +395,22 @@
     world.timers.retain(|(at, _)| *at > now);
     let leaving = (now >= leaves && world.notice.is_none()).then(|| now + ms(4000.0));
     world.notice = world.notice.or(leaving.map(|stop| (now, stop)));
-    let busy = world.chance.draw();
+    let busy = world.chance.next_f64();
     let lists = [arrived.len(), ended.len(), at_call.len(), returned.len(), gone.len(), fired.len()];
     if lists.iter().sum::<usize>() == 0 && leaving.is_none() {
         return None;
     }
-    Some(round(control, now, |inflow| {
-        inflow.run_ended(&"stranger".into(), Outcome::Moot, Span::ZERO); // odd but legal, as is the next
-        inflow.woke(u64::MAX, None);
-        arrived.into_iter().for_each(|job| inflow.arrived(job));
-        ended.iter().for_each(|(id, outcome, took)| inflow.run_ended(id, *outcome, *took));
-        at_call.iter().for_each(|id| inflow.at_call(id));
-        returned.iter().for_each(|(id, outcome, took)| inflow.call_ended(id, *outcome, *took));
-        gone.iter().for_each(|id| inflow.caller_gone(id));
-        fired.iter().for_each(|token| inflow.woke(*token, Some(busy)));
+    Some(round(control, now, |sink| {
+        sink.run_ended(&"stranger".into(), Outcome::Superseded, Span::ZERO); // odd but legal, as is the next
+        sink.timer_fired(u64::MAX, None);
+        arrived.into_iter().for_each(|job| sink.job_arrived(job));
+        ended.iter().for_each(|(id, outcome, took)| sink.run_ended(id, *outcome, *took));
+        at_call.iter().for_each(|id| sink.call_requested(id));
+        returned.iter().for_each(|(id, outcome, took)| sink.call_ended(id, *outcome, *took));
+        gone.iter().for_each(|id| sink.caller_disconnected(id));
+        fired.iter().for_each(|token| sink.timer_fired(*token, Some(busy)));
         if let Some(stop) = leaving {
-            inflow.leaving(stop);
+            sink.drain_started(stop);
         }
     }))
 }
