--- a/crates/hazelgrade-simulator-adapter/src/main.rs
+++ b/crates/hazelgrade-simulator-adapter/src/main.rs
@@ -1,144 +1,68 @@
-//! Hosts hazelgrade instances on the bench's line protocol: batches in on standard input, replies out on
-//! standard output. A malformed batch ends it with one plain line on standard error.
+//! Hosts many instances of the controller on the simulator's line protocol: batches of events in on standard input,
+//! decisions out on standard output. A malformed batch ends it with one line on standard error.
 
-mod wire;
+mod batch;
+mod error;
+mod events;
+mod fields;
+mod reply;
 
-use hazelgrade::controller::Controller;
-use hazelgrade_settings::Fault;
-use std::collections::BTreeMap;
+use batch::{END_OF_BATCH, Instances};
+use error::{AdapterError, BatchError};
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
-use wire::{Counts, Fields, Reply};
-
-/// Instances by number; one that crashed and was not launched again stays as `None`.
-type Fleet = BTreeMap<u64, Option<(Controller, Counts)>>;
-
-/// An event of a batch, not yet decoded: the number of its line, its name and the fields after the instance.
-type Pending<'a> = Vec<(usize, &'a str, &'a str)>;
 
 fn main() -> ExitCode {
-    match host(&mut io::stdin().lock(), &mut io::stdout().lock()) {
+    match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("hazelgrade-simulator-adapter: {message}");
+        Err(error) => {
+            eprintln!("hazelgrade-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn host(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), String> {
-    let mut fleet = Fleet::new();
-    let (mut batch, mut line_no) = (String::new(), 0);
+/// Answers batch after batch until the input ends.
+fn run(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), AdapterError> {
+    let mut instances = Instances::default();
+    let mut batch = String::new();
+    let mut lines_read = 0;
     loop {
         batch.clear();
-        let first = line_no + 1;
-        loop {
-            let start = batch.len();
-            let read =
-                input.read_line(&mut batch).map_err(|error| format!("line {}: {error}", line_no + 1))?;
-            if read == 0 && batch.is_empty() {
-                return Ok(());
-            }
-            line_no += 1;
-            match &batch[start..] {
-                "eof_batch\n" | "eof_batch" => break,
-                text if !text.ends_with('\n') => {
-                    return Err(format!(
-                        "line {line_no}: field message: expected eof_batch before the input ends"
-                    ));
-                }
-                _ => {}
-            }
+        let first_line = lines_read + 1;
+        if !read_batch(input, &mut batch, &mut lines_read)? {
+            return Ok(());
         }
         let mut reply = String::new();
-        answer(&batch, &mut fleet, &mut reply)
-            .map_err(|(offset, Fault(message))| format!("line {}: {message}", first + offset))?;
+        instances.answer(&batch, &mut reply).map_err(|BatchError { offset, error }| {
+            let line = first_line + offset;
+            AdapterError::Line { line, error }
+        })?;
         reply.push_str("ok\n");
-        output
-            .write_all(reply.as_bytes())
-            .and_then(|()| output.flush())
-            .map_err(|error| error.to_string())?;
+        output.write_all(reply.as_bytes()).and_then(|()| output.flush()).map_err(AdapterError::Write)?;
     }
 }
 
-/// Answers one batch. Events go to their instance in the order they came; a crash wipes what came before it
-/// for that instance, and a launch starts a new one in its place.
-fn answer(batch: &str, fleet: &mut Fleet, reply: &mut String) -> Result<(), (usize, Fault)> {
-    let mut lines = batch.lines().enumerate();
-    let mut clock = Fields::new(lines.next().map_or("", |(_, line)| line));
-    let head = || -> Result<_, Fault> {
-        if clock.text("message")? != "sync" {
-            return Err(Fault("field message: expected sync at the head of a batch".into()));
+/// Reads one batch up to the line that ends it; `false` where the input has ended before.
+fn read_batch(
+    input: &mut impl BufRead,
+    batch: &mut String,
+    lines_read: &mut usize,
+) -> Result<bool, AdapterError> {
+    loop {
+        let start = batch.len();
+        let bytes =
+            input.read_line(batch).map_err(|error| AdapterError::Read { line: *lines_read + 1, error })?;
+        if bytes == 0 && batch.is_empty() {
+            return Ok(false);
+        }
+        *lines_read += 1;
+        let line = &batch[start..];
+        if line.trim_end_matches('\n') == END_OF_BATCH {
+            return Ok(true);
+        }
+        if !line.ends_with('\n') {
+            return Err(AdapterError::UnfinishedBatch { line: *lines_read });
         }
-        let now = clock.time("clock")?;
-        clock.end()?;
-        Ok(now)
-    };
-    let now = { head }().map_err(|fault| (0, fault))?;
-    let mut order: Vec<u64> = Vec::new();
-    let mut pending: BTreeMap<u64, Pending> = BTreeMap::new();
-    for (offset, line) in lines.filter(|(_, line)| *line != "eof_batch") {
-        let mut fields = Fields::new(line);
-        let mut decode = || -> Result<(), Fault> {
-            let name = fields.text("message")?;
-            let known = [
-                "launch",
-                "ingress",
-                "wound_up",
-                "returned",
-                "crash_now",
-                "timeout_fired",
-                "timed_out_client",
-                "needs_dep",
-                "retire_soon",
-            ];
-            if !known.contains(&name) {
-                return Err(Fault(format!("field message: expected a known message name, found {name:?}")));
-            }
-            let instance = fields.whole("i")?;
-            match name {
-                "crash_now" => {
-                    fields.end()?;
-                    fleet.insert(instance, None);
-                    pending.remove(&instance);
-                    return Ok(());
-                }
-                "launch" => {
-                    fleet.insert(instance, Some(wire::launch(&mut fields)?));
-                    pending.insert(instance, Vec::new());
-                }
-                _ if !fleet.contains_key(&instance) => {
-                    return Err(Fault("field i: expected an instance that was launched".into()));
-                }
-                _ => {
-                    let start = line.match_indices('\t').nth(1).map_or(line.len(), |(at, _)| at + 1);
-                    pending.entry(instance).or_default().push((offset, name, &line[start..]));
-                }
-            }
-            if !order.contains(&instance) {
-                order.push(instance);
-            }
-            Ok(())
-        };
-        decode().map_err(|fault| (offset, fault))?;
-    }
-    for instance in order {
-        let (Some(events), Some(Some((control, counts)))) =
-            (pending.remove(&instance), fleet.get_mut(&instance))
-        else {
-            continue;
-        };
-        let mut outcome = Ok(());
-        let feed = |sink: &mut hazelgrade::controller::EventSink| {
-            for (offset, name, rest) in events {
-                if let Err(fault) = wire::tell(name, &mut Fields::new(rest), *counts, now, sink) {
-                    outcome = Err((offset, fault));
-                    return;
-                }
-            }
-        };
-        control.round(now, feed, &mut Reply { lines: reply, instance });
-        outcome?;
     }
-    Ok(())
 }
--- a/crates/hazelgrade/tests/common/mod.rs
+++ b/crates/hazelgrade/tests/common/mod.rs
@@ -6,54 +6,54 @@
 use hazelgrade::time::{Span, Time};
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
-    Run(JobId),
+pub enum Decision {
+    StartRun(JobId),
     Reject(JobId, Span, bool),
     Fail(JobId),
-    Call(JobId, Span),
-    Skip(JobId),
-    Stop(JobId),
-    Share(JobId),
-    Remember(JobId, Span),
-    Forget(JobId),
-    Say(f64),
+    StartCall(JobId, Span),
+    SkipCall(JobId),
+    CancelRun(JobId),
+    AwaitOriginal(JobId),
+    StoreRecord(JobId, Span),
+    RemoveRecord(JobId),
+    LoadSignal(f64),
     Health(bool),
-    Wake(Time, u64),
-    Limited(JobId),
+    SetTimer(Time, u64),
+    LimitedByLease(JobId),
 }
 
 #[derive(Default)]
-pub struct Record(pub Vec<Act>);
+pub struct Record(pub Vec<Decision>);
 
 macro_rules! record {
     ($($name:ident => $act:ident,)*) => {
-        $(fn $name(&mut self, id: &JobId) { self.0.push(Act::$act(id.clone())); })*
+        $(fn $name(&mut self, id: &JobId) { self.0.push(Decision::$act(id.clone())); })*
     };
 }
 
 impl Decisions for Record {
-    record!(start_run => Run, fail => Fail, skip_call => Skip, cancel_run => Stop, await_original => Share, remove_record => Forget,);
+    record!(start_run => StartRun, fail => Fail, skip_call => SkipCall, cancel_run => CancelRun, await_original => AwaitOriginal, remove_record => RemoveRecord,);
     fn reject(&mut self, id: &JobId, not_elsewhere: bool, retry_after: Span) {
-        self.0.push(Act::Reject(id.clone(), retry_after, not_elsewhere));
+        self.0.push(Decision::Reject(id.clone(), retry_after, not_elsewhere));
     }
     fn start_call(&mut self, id: &JobId, within: Span) {
-        self.0.push(Act::Call(id.clone(), within));
+        self.0.push(Decision::StartCall(id.clone(), within));
     }
     fn store_record(&mut self, id: &JobId, span: Span) {
-        self.0.push(Act::Remember(id.clone(), span));
+        self.0.push(Decision::StoreRecord(id.clone(), span));
     }
     fn publish_load_signal(&mut self, value: f64) {
-        self.0.push(Act::Say(value));
+        self.0.push(Decision::LoadSignal(value));
     }
     fn publish_health(&mut self, good: bool, _: bool) {
-        self.0.push(Act::Health(good));
+        self.0.push(Decision::Health(good));
     }
     fn set_timer(&mut self, at: Time, token: u64) {
-        self.0.push(Act::Wake(at, token));
+        self.0.push(Decision::SetTimer(at, token));
     }
     fn log(&mut self, _: &str) {}
     fn limited_by_lease(&mut self, id: &JobId) {
-        self.0.push(Act::Limited(id.clone()));
+        self.0.push(Decision::LimitedByLease(id.clone()));
     }
 }
 
@@ -62,8 +62,8 @@
 pub struct Setup {
     pub job_classes: Vec<JobClass>,
     pub machine: Machine,
-    pub promises: ServiceLimits,
-    pub below: Dependency,
+    pub limits: ServiceLimits,
+    pub dependency: Dependency,
     pub callers: CallerSettings,
 }
 
@@ -106,8 +106,8 @@
             cancellation: stopping,
             tick,
         },
-        promises: ServiceLimits { answer_slack, cold_speed_ratio, warm_up, drain_grace, max_jobs_per_core },
-        below: Dependency { max_calls: None, max_calls_window: ms(5000.0), linger: ms(200.0) },
+        limits: ServiceLimits { answer_slack, cold_speed_ratio, warm_up, drain_grace, max_jobs_per_core },
+        dependency: Dependency { max_calls: None, max_calls_window: ms(5000.0), linger: ms(200.0) },
         callers: CallerSettings {
             count,
             signal,
@@ -123,18 +123,18 @@
 impl Setup {
     #[allow(dead_code)] // not every test that includes this file makes one by it
     pub fn control(&self) -> Controller {
-        let Setup { job_classes, machine, promises, below, callers } = self.clone();
-        Controller::new(job_classes, vec![], machine, promises, below, callers, MultiplyWithCarry::new(7))
+        let Setup { job_classes, machine, limits, dependency, callers } = self.clone();
+        Controller::new(job_classes, vec![], machine, limits, dependency, callers, MultiplyWithCarry::new(7))
     }
 }
 
 #[allow(dead_code)] // as above
-pub fn job(id: &str, reached: Time) -> Job {
+pub fn job(id: &str, received_at: Time) -> Job {
     Job {
         id: id.into(),
         job_class: 0,
         tenant: 0,
-        received_at: reached,
+        received_at,
         caller_deadline: None,
         expected_work: None,
         queued_kb: 20.0,
@@ -148,7 +148,7 @@
 }
 
 /// One round; what was decided in it.
-pub fn round(control: &mut Controller, now: Time, feed: impl FnOnce(&mut EventSink)) -> Vec<Act> {
+pub fn round(control: &mut Controller, now: Time, feed: impl FnOnce(&mut EventSink)) -> Vec<Decision> {
     let mut record = Record::default();
     control.round(now, feed, &mut record);
     record.0
--- a/crates/hazelgrade/tests/decisions.rs
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -124,14 +124,14 @@
         let classes = self.history.setup.job_classes.len() as f64;
         let tenants = self.history.tenants.len().max(1) as f64;
         let unread = self.history.unread_ms * self.random.next_f64() * self.random.next_f64();
-        let reached = now - ms(unread);
+        let received_at = now - ms(unread);
         let skew = self.random.next_f64();
         Job {
             id: format!("j{}", self.made).into(),
             job_class: (self.random.next_f64() * classes) as usize,
             tenant: (skew * skew * tenants) as usize,
-            received_at: reached,
-            caller_deadline: self.happens(0.3).then(|| reached + ms(self.history.lasts_ms.min(2500.0))),
+            received_at: received_at,
+            caller_deadline: self.happens(0.3).then(|| received_at + ms(self.history.lasts_ms.min(2500.0))),
             expected_work: self.happens(0.4).then(|| ms(80.0)),
             queued_kb: self.history.job_kb * (0.5 + self.random.next_f64()),
             priority_rank: self.random.next_f64(),
@@ -324,59 +324,63 @@
         }
     }
 
-    fn apply(&mut self, act: &Act, now: Time) {
+    fn apply(&mut self, act: &Decision, now: Time) {
         self.decisions += 1;
         let line = written(act);
         self.digest.update(line.as_bytes());
         let left_ms = self.between(10.0, 140.0);
         match act {
-            Act::Run(id) => {
+            Decision::StartRun(id) => {
                 let Some(tracked) = self.jobs.get_mut(id) else { return };
                 (tracked.at, tracked.began) = (Stage::Running { left_ms }, now);
             }
-            Act::Reject(id, retry_after, _) => self.answered(id, Some(*retry_after), now),
-            Act::Fail(id) => self.answered(id, None, now),
-            Act::Call(id, within) => {
+            Decision::Reject(id, retry_after, _) => self.answered(id, Some(*retry_after), now),
+            Decision::Fail(id) => self.answered(id, None, now),
+            Decision::StartCall(id, within) => {
                 let (ends, outcome) = self.call_outcome(now, *within);
                 let Some(tracked) = self.jobs.get_mut(id) else { return };
                 tracked.at = Stage::Calling { made: now, ends, outcome };
             }
-            Act::Skip(id) => {
+            Decision::SkipCall(id) => {
                 let Some(tracked) = self.jobs.get_mut(id) else { return };
                 tracked.at = Stage::Running { left_ms };
             }
-            Act::Stop(id) => {
+            Decision::CancelRun(id) => {
                 let Some(tracked) = self.jobs.get_mut(id) else { return };
                 tracked.cancelled = true;
             }
-            Act::Share(id) => {
+            Decision::AwaitOriginal(id) => {
                 let Some(tracked) = self.jobs.get_mut(id) else { return };
                 tracked.at = Stage::AwaitingOriginal;
             }
-            Act::Wake(at, token) => self.timers.push((*at, *token)),
-            Act::Remember(..) | Act::Forget(_) | Act::Say(_) | Act::Health(_) | Act::Limited(_) => {}
+            Decision::SetTimer(at, token) => self.timers.push((*at, *token)),
+            Decision::StoreRecord(..)
+            | Decision::RemoveRecord(_)
+            | Decision::LoadSignal(_)
+            | Decision::Health(_)
+            | Decision::LimitedByLease(_) => {}
         }
     }
 }
 
 /// A decision as one line, in words of this file alone.
-fn written(act: &Act) -> String {
+fn written(act: &Decision) -> String {
     match act {
-        Act::Run(id) => format!("run {id}\n"),
-        Act::Reject(id, retry_after, not_elsewhere) => {
+        Decision::StartRun(id) => format!("run {id}\n"),
+        Decision::Reject(id, retry_after, not_elsewhere) => {
             format!("reject {id} {} {not_elsewhere}\n", retry_after.as_ms())
         }
-        Act::Fail(id) => format!("fail {id}\n"),
-        Act::Call(id, within) => format!("call {id} {}\n", within.as_ms()),
-        Act::Skip(id) => format!("skip {id}\n"),
-        Act::Stop(id) => format!("cancel {id}\n"),
-        Act::Share(id) => format!("original {id}\n"),
-        Act::Remember(id, span) => format!("record {id} {}\n", span.as_ms()),
-        Act::Forget(id) => format!("forget {id}\n"),
-        Act::Say(value) => format!("signal {value}\n"),
-        Act::Health(good) => format!("health {good}\n"),
-        Act::Wake(at, token) => format!("timer {} {token}\n", at.as_ms()),
-        Act::Limited(id) => format!("limited {id}\n"),
+        Decision::Fail(id) => format!("fail {id}\n"),
+        Decision::StartCall(id, within) => format!("call {id} {}\n", within.as_ms()),
+        Decision::SkipCall(id) => format!("skip {id}\n"),
+        Decision::CancelRun(id) => format!("cancel {id}\n"),
+        Decision::AwaitOriginal(id) => format!("original {id}\n"),
+        Decision::StoreRecord(id, span) => format!("record {id} {}\n", span.as_ms()),
+        Decision::RemoveRecord(id) => format!("forget {id}\n"),
+        Decision::LoadSignal(value) => format!("signal {value}\n"),
+        Decision::Health(good) => format!("health {good}\n"),
+        Decision::SetTimer(at, token) => format!("timer {} {token}\n", at.as_ms()),
+        Decision::LimitedByLease(id) => format!("limited {id}\n"),
     }
 }
 
@@ -398,17 +402,17 @@
     SettingsUpdate {
         job_classes: placed.collect(),
         tenants,
-        limits: history.setup.promises.clone(),
+        limits: history.setup.limits.clone(),
         reset_classes: vec![0],
         reset_tenants: vec![0],
     }
 }
 
 fn play(history: &History) -> String {
-    let Setup { job_classes, machine, promises, below, callers } = history.setup.clone();
+    let Setup { job_classes, machine, limits, dependency, callers } = history.setup.clone();
     let tenants = history.tenants.clone();
     let random = MultiplyWithCarry::new(history.seed + 1);
-    let mut control = Controller::new(job_classes, tenants, machine, promises, below, callers, random);
+    let mut control = Controller::new(job_classes, tenants, machine, limits, dependency, callers, random);
     let mut world = World::new(history);
     let (mut now_ms, mut updates) = (0.0, 0);
     while now_ms < history.lasts_ms {
@@ -493,14 +497,14 @@
     all.push(overload);
 
     let mut limited = plain("call-limit", 12);
-    limited.setup.below.max_calls = Some(6.0);
+    limited.setup.dependency.max_calls = Some(6.0);
     limited.setup.callers.signal = LoadSignal::Credit;
     limited.silent_calls = 0.1;
     limited.drain_ms = Some((30_000.0, 6_000.0));
     all.push(limited);
 
     let mut fraction = plain("call-limit-below-one", 13);
-    fraction.setup.below.max_calls = Some(0.7);
+    fraction.setup.dependency.max_calls = Some(0.7);
     fraction.setup.callers.signal = LoadSignal::Level;
     all.push(fraction);
 
@@ -520,7 +524,7 @@
 
     let mut cold = plain("cold-start", 16);
     cold.setup.machine.cold = true;
-    cold.setup.promises.max_jobs_per_core = 2.0;
+    cold.setup.limits.max_jobs_per_core = 2.0;
     cold.setup.machine.cancellation = Cancellation::Unsupported;
     all.push(cold);
 
@@ -555,7 +559,7 @@
     all.push(busy);
 
     let mut crowd = plain("few-jobs-a-core", 22);
-    crowd.setup.promises.max_jobs_per_core = 1.2;
+    crowd.setup.limits.max_jobs_per_core = 1.2;
     crowd.silent_calls = 0.3;
     crowd.setup.job_classes = vec![classes()[3].clone(), classes()[4].clone()];
     all.push(crowd);
@@ -565,7 +569,7 @@
     drain.retried = 0.0;
     drain.silent_calls = 0.4;
     drain.drain_ms = Some((20_000.0, 9_000.0));
-    drain.setup.promises.drain_grace = ms(5_000.0);
+    drain.setup.limits.drain_grace = ms(5_000.0);
     all.push(drain);
 
     let mut small = plain("little-memory", 24);
--- a/crates/hazelgrade/tests/failures.rs
+++ b/crates/hazelgrade/tests/failures.rs
@@ -7,69 +7,72 @@
 use hazelgrade::controller::{Controller, EventSink};
 use hazelgrade::time::{Span, Time};
 
-fn runs(acts: &[Act]) -> usize {
-    acts.iter().filter(|act| matches!(act, Act::Run(_))).count()
+fn runs(decisions: &[Decision]) -> usize {
+    decisions.iter().filter(|act| matches!(act, Decision::StartRun(_))).count()
 }
 
-fn rejected(acts: &[Act], id: &str) -> bool {
-    acts.iter().any(|act| matches!(act, Act::Reject(job, ..) if **job == *id))
+fn rejected(decisions: &[Decision], id: &str) -> bool {
+    decisions.iter().any(|act| matches!(act, Decision::Reject(job, ..) if **job == *id))
 }
 
 /// Brings `count` jobs to their call at `now`, each after a run of 10 ms.
-fn at_calls(control: &mut Controller, now: f64, from: usize, count: usize) -> Vec<Act> {
-    let mut acts = vec![];
+fn at_calls(control: &mut Controller, now: f64, from: usize, count: usize) -> Vec<Decision> {
+    let mut decisions = vec![];
     for number in from..from + count {
         let id = format!("c{number}");
-        acts.extend(round(control, at(now), |sink| sink.job_arrived(job(&id, at(now)))));
-        acts.extend(round(control, at(now), |sink| sink.call_requested(&id.as_str().into())));
+        decisions.extend(round(control, at(now), |sink| sink.job_arrived(job(&id, at(now)))));
+        decisions.extend(round(control, at(now), |sink| sink.call_requested(&id.as_str().into())));
     }
-    acts
+    decisions
 }
 
 /// The call of job `id`, made at 0, comes back at `now`.
-fn call_done(control: &mut Controller, id: &str, now: f64) -> Vec<Act> {
+fn call_done(control: &mut Controller, id: &str, now: f64) -> Vec<Decision> {
     round(control, at(now), |sink| sink.call_ended(&id.into(), Outcome::Completed, ms(now)))
 }
 
-fn made(acts: &[Act]) -> Vec<JobId> {
-    acts.iter().filter_map(|act| if let Act::Call(id, _) = act { Some(id.clone()) } else { None }).collect()
+fn made(decisions: &[Decision]) -> Vec<JobId> {
+    decisions
+        .iter()
+        .filter_map(|act| if let Decision::StartCall(id, _) = act { Some(id.clone()) } else { None })
+        .collect()
 }
 
 #[test]
-fn past_the_permits_calls_wait_and_past_the_depth_new_jobs_bounce() {
+fn past_the_permits_calls_wait_and_past_the_queue_capacity_new_jobs_are_rejected() {
     let mut control = setup().control();
-    let acts = at_calls(&mut control, 0.0, 0, 16);
-    assert_eq!(made(&acts).len(), 8, "eight permits at the start");
-    let acts = round(&mut control, at(1.0), |sink| sink.job_arrived(job("late", at(1.0))));
-    let retry_after = acts
-        .iter()
-        .find_map(|act| if let Act::Reject(_, retry_after, _) = act { Some(*retry_after) } else { None });
+    let decisions = at_calls(&mut control, 0.0, 0, 16);
+    assert_eq!(made(&decisions).len(), 8, "eight permits at the start");
+    let decisions = round(&mut control, at(1.0), |sink| sink.job_arrived(job("late", at(1.0))));
+    let retry_after = decisions.iter().find_map(|act| {
+        if let Decision::Reject(_, retry_after, _) = act { Some(*retry_after) } else { None }
+    });
     assert!(
         retry_after.is_some_and(|retry_after| retry_after > Span::ZERO),
-        "the queue of eight is full: {acts:?}"
+        "the queue of eight is full: {decisions:?}"
     );
 }
 
 /// Foreseen: retries that the depth counts as fresh arrivals. Depth goes by time in calls alone.
 #[test]
-fn retries_do_not_change_the_depth() {
+fn retries_do_not_change_the_queue_capacity() {
     let mut control = setup().control();
     at_calls(&mut control, 0.0, 0, 16);
     for number in 0..50 {
         let mut again = job(&format!("r{number}"), at(5.0));
         again.is_retry = true;
-        let acts = round(&mut control, at(5.0), |sink| sink.job_arrived(again));
-        assert!(rejected(&acts, &format!("r{number}")), "the queue is as full as before");
+        let decisions = round(&mut control, at(5.0), |sink| sink.job_arrived(again));
+        assert!(rejected(&decisions, &format!("r{number}")), "the queue is as full as before");
     }
-    let acts = call_done(&mut control, "c0", 100.0);
-    assert_eq!(made(&acts).len(), 1, "one permit came back");
-    let acts = round(&mut control, at(101.0), |sink| sink.job_arrived(job("new", at(101.0))));
-    assert!(!rejected(&acts, "new"), "the learned depth takes it");
+    let decisions = call_done(&mut control, "c0", 100.0);
+    assert_eq!(made(&decisions).len(), 1, "one permit came back");
+    let decisions = round(&mut control, at(101.0), |sink| sink.job_arrived(job("new", at(101.0))));
+    assert!(!rejected(&decisions, "new"), "the learned depth takes it");
 }
 
 /// Foreseen: a process pause, after which a drain counted over the clock would have shrunk the depth.
 #[test]
-fn a_pause_does_not_shrink_the_depth() {
+fn a_pause_does_not_shrink_the_queue_capacity() {
     let mut control = setup().control();
     at_calls(&mut control, 0.0, 0, 8);
     for number in 0..8 {
@@ -79,8 +82,11 @@
             sink.run_ended(&id.as_str().into(), Outcome::Completed, ms(110.0))
         });
     }
-    let acts = at_calls(&mut control, 60_000.0, 100, 20);
-    assert!(!acts.iter().any(|act| matches!(act, Act::Reject(..) | Act::Fail(_))), "{acts:?}");
+    let decisions = at_calls(&mut control, 60_000.0, 100, 20);
+    assert!(
+        !decisions.iter().any(|act| matches!(act, Decision::Reject(..) | Decision::Fail(_))),
+        "{decisions:?}"
+    );
 }
 
 /// Foreseen: long calls hold the permits, so that what queues behind them can't clear within its budget.
@@ -88,31 +94,31 @@
 fn a_call_queued_past_its_budget_or_whose_caller_left_is_never_made() {
     let mut control = setup().control();
     at_calls(&mut control, 0.0, 0, 9);
-    let acts = round(&mut control, at(2100.0), |sink| sink.timer_fired(1, None));
-    assert!(rejected(&acts, "c8"), "{acts:?}");
-    let acts = call_done(&mut control, "c0", 2200.0);
-    assert!(made(&acts).is_empty(), "{acts:?}");
+    let decisions = round(&mut control, at(2100.0), |sink| sink.timer_fired(1, None));
+    assert!(rejected(&decisions, "c8"), "{decisions:?}");
+    let decisions = call_done(&mut control, "c0", 2200.0);
+    assert!(made(&decisions).is_empty(), "{decisions:?}");
     // Nor one whose caller left.
     let mut control = setup().control();
     at_calls(&mut control, 0.0, 0, 10);
-    let acts = round(&mut control, at(50.0), |sink| {
+    let decisions = round(&mut control, at(50.0), |sink| {
         sink.caller_disconnected(&"c8".into());
         sink.call_ended(&"c0".into(), Outcome::Completed, ms(50.0));
     });
-    assert_eq!(made(&acts), vec!["c9".into()]);
+    assert_eq!(made(&decisions), vec!["c9".into()]);
 }
 
 /// Found on generated days: a keyed job that was on the machine unread together with one that ran.
 #[test]
-fn a_blind_repeat_of_a_numbered_job_is_written_off() {
+fn an_unlinked_retry_of_a_keyed_job_that_ran_fails() {
     let mut setup = setup();
     setup.job_classes[0].idempotency = Idempotency::Keyed;
     let mut control = setup.control();
     assert_eq!(runs(&round(&mut control, at(500.0), |sink| sink.job_arrived(job("first", at(0.0))))), 1);
     let mut again = job("again", at(400.0));
     again.is_retry = true;
-    let acts = round(&mut control, at(600.0), |sink| sink.job_arrived(again));
-    assert!(acts.contains(&Act::Fail("again".into())) && runs(&acts) == 0, "{acts:?}");
+    let decisions = round(&mut control, at(600.0), |sink| sink.job_arrived(again));
+    assert!(decisions.contains(&Decision::Fail("again".into())) && runs(&decisions) == 0, "{decisions:?}");
 }
 
 /// Found: fast servers queued dozens of calls behind eight permits while the tier below was idle.
@@ -123,14 +129,14 @@
     let mut most = 0;
     for step in 1..60 {
         let now = 100.0 * f64::from(step);
-        let mut acts = at_calls(&mut control, now, 100 * step as usize, 12);
+        let mut decisions = at_calls(&mut control, now, 100 * step as usize, 12);
         for id in std::mem::take(&mut out) {
-            acts.extend(round(&mut control, at(now), |sink| {
+            decisions.extend(round(&mut control, at(now), |sink| {
                 sink.call_ended(&id, Outcome::Completed, ms(100.0));
                 sink.run_ended(&id, Outcome::Completed, ms(120.0));
             }));
         }
-        out = made(&acts);
+        out = made(&decisions);
         out.dedup();
         most = most.max(out.len());
     }
@@ -142,7 +148,7 @@
 #[test]
 fn permits_double_in_a_round_trip_at_the_start() {
     let mut setup = setup();
-    setup.promises.max_jobs_per_core = 20.0;
+    setup.limits.max_jobs_per_core = 20.0;
     let mut control = setup.control();
     at_calls(&mut control, 0.0, 0, 16);
     for number in 0..8 {
@@ -182,9 +188,10 @@
             sink.run_ended(&id.as_str().into(), Outcome::Completed, ms(200.0 + took));
         });
     }
-    let acts = at_calls(&mut control, 20_000.0, 500, 1);
-    let within =
-        acts.iter().find_map(|act| if let Act::Call(_, within) = act { Some(*within) } else { None });
+    let decisions = at_calls(&mut control, 20_000.0, 500, 1);
+    let within = decisions
+        .iter()
+        .find_map(|act| if let Decision::StartCall(_, within) = act { Some(*within) } else { None });
     // The latency objective is 2000 ms, the core time 200 ms.
     assert!(within.is_some_and(|within| within > ms(1780.0) && within < ms(1820.0)), "{within:?}");
 }
@@ -202,22 +209,29 @@
         round(control, at(start + age), |sink| sink.call_requested(&id.into()))
     };
     assert_eq!(made(&late(&mut control, "some", 2000.0, 1750.0)), vec!["some".into()]);
-    let acts = late(&mut control, "none", 6000.0, 1850.0);
-    assert!(acts.contains(&Act::Skip("none".into())) && made(&acts).is_empty(), "{acts:?}");
+    let decisions = late(&mut control, "none", 6000.0, 1850.0);
+    assert!(
+        decisions.contains(&Decision::SkipCall("none".into())) && made(&decisions).is_empty(),
+        "{decisions:?}"
+    );
 }
 
 /// Found by a group of processes: one that had stood still for two latency objectives with calls in hand learned that calls take so long, and
 /// made none ever again, as each would have been in vain by what was learned.
 #[test]
-fn after_calls_that_took_longer_than_goals_one_at_a_time_is_tried() {
+fn after_calls_that_took_longer_than_objectives_one_at_a_time_is_tried() {
     let mut setup = setup();
     setup.job_classes[0].weight_ratio_without_call = 0.5;
     let mut control = setup.control();
     at_calls(&mut control, 0.0, 0, 1);
     call_done(&mut control, "c0", 5000.0);
-    let acts = at_calls(&mut control, 60_000.0, 1, 3);
-    assert_eq!(made(&acts), ["c1".into()], "{acts:?}");
-    assert!(acts.contains(&Act::Skip("c2".into())) && acts.contains(&Act::Skip("c3".into())), "{acts:?}");
+    let decisions = at_calls(&mut control, 60_000.0, 1, 3);
+    assert_eq!(made(&decisions), ["c1".into()], "{decisions:?}");
+    assert!(
+        decisions.contains(&Decision::SkipCall("c2".into()))
+            && decisions.contains(&Decision::SkipCall("c3".into())),
+        "{decisions:?}"
+    );
     // It was quick, and so is what is learned once the slow one has faded.
     round(&mut control, at(60_050.0), |sink| {
         sink.call_ended(&"c1".into(), Outcome::Completed, ms(50.0));
@@ -228,15 +242,15 @@
 /// Found by a group of processes past what calls carry: the queue went by the deadline, three latency objectives, so that each job came to its call
 /// with less time left than calls take, and nearly all calls were given up.
 #[test]
-fn the_call_queue_is_no_deeper_than_what_goes_through_within_the_goal_time() {
+fn the_call_queue_holds_no_more_than_gets_through_within_the_objective() {
     let mut setup = setup();
     setup.machine.memory_kb = 1e6;
     let mut control = setup.control();
     at_calls(&mut control, 0.0, 0, 1);
     call_done(&mut control, "c0", 100.0);
     // Eight permits and 100 ms a call: 80 in a second, for the 1900 ms that the latency objective leaves.
-    let acts = at_calls(&mut control, 200.0, 1, 300);
-    assert_eq!((made(&acts).len(), runs(&acts)), (8, 8 + 152));
+    let decisions = at_calls(&mut control, 200.0, 1, 300);
+    assert_eq!((made(&decisions).len(), runs(&decisions)), (8, 8 + 152));
 }
 
 /// Found on sockets: calls that were never answered held their permits until the deadline, and after 25 of them calls
@@ -244,8 +258,9 @@
 #[test]
 fn a_call_takes_no_longer_than_some_times_the_mean() {
     let mut control = setup().control();
-    let within =
-        |acts: &[Act]| acts.iter().find_map(|act| if let Act::Call(_, w) = act { Some(*w) } else { None });
+    let within = |decisions: &[Decision]| {
+        decisions.iter().find_map(|act| if let Decision::StartCall(_, w) = act { Some(*w) } else { None })
+    };
     assert!(within(&at_calls(&mut control, 0.0, 0, 1)).is_some_and(|within| within > ms(1900.0)));
     call_done(&mut control, "c0", 50.0);
     assert_eq!(within(&at_calls(&mut control, 100.0, 1, 1)), Some(ms(800.0)));
@@ -262,13 +277,13 @@
 
 /// Found by reading: a call on a connection that the other side had forgotten ends at once, and was learned as fast.
 #[test]
-fn a_severed_call_tells_nothing_of_the_latency() {
+fn a_lost_connection_tells_nothing_of_the_latency() {
     let mut control = setup().control();
     at_calls(&mut control, 0.0, 0, 2);
     call_done(&mut control, "c0", 100.0);
     round(&mut control, at(100.0), |sink| sink.call_ended(&"c1".into(), Outcome::ConnectionLost, ms(1.0)));
-    let acts = at_calls(&mut control, 100.0, 5, 1);
-    assert!(acts.contains(&Act::Call("c5".into(), ms(1600.0))), "{acts:?}");
+    let decisions = at_calls(&mut control, 100.0, 5, 1);
+    assert!(decisions.contains(&Decision::StartCall("c5".into(), ms(1600.0))), "{decisions:?}");
 }
 
 /// Found: while jobs lay unread for seconds, as many ran as ever and kept the cores from reading.
@@ -298,14 +313,14 @@
         let (mut control, mut last) = (setup.control(), vec![]);
         for step in 1..60 {
             let now = at(100.0 * f64::from(step));
-            let acts = round(&mut control, now, |sink| {
+            let decisions = round(&mut control, now, |sink| {
                 sink.timer_fired(0, Some(used));
                 last.iter().for_each(|id| sink.run_ended(id, Outcome::Completed, ms(100.0)));
                 (0..12).for_each(|number| sink.job_arrived(job(&format!("j{step}-{number}"), now)));
             });
-            last = acts
+            last = decisions
                 .iter()
-                .filter_map(|a| if let Act::Run(id) = a { Some(id.clone()) } else { None })
+                .filter_map(|a| if let Decision::StartRun(id) = a { Some(id.clone()) } else { None })
                 .collect();
         }
         last.len()
@@ -326,16 +341,16 @@
         if due.is_empty() && !comes && ran.is_empty() {
             continue;
         }
-        let acts = round(&mut control, now, |sink| {
+        let decisions = round(&mut control, now, |sink| {
             due.iter().for_each(|(_, token)| sink.timer_fired(*token, None));
             ran.drain(..).for_each(|id| sink.run_ended(&id, Outcome::Completed, ms(10.0)));
             (0..u32::from(comes)).for_each(|_| sink.job_arrived(job(&format!("j{step}"), now - ms(1900.0))));
         });
-        for act in acts {
+        for act in decisions {
             match act {
-                Act::Health(good) => said.push(good),
-                Act::Wake(at, token) => wakes.push((at, token)),
-                Act::Run(id) => ran.push(id),
+                Decision::Health(good) => said.push(good),
+                Decision::SetTimer(at, token) => wakes.push((at, token)),
+                Decision::StartRun(id) => ran.push(id),
                 _ => {}
             }
         }
@@ -345,7 +360,7 @@
 
 /// Found at full size: callers that come once a minute never heard the value of a server that lagged.
 #[test]
-fn a_server_that_lags_goes_off_the_list_for_a_while_where_its_value_is_seldom_heard() {
+fn a_server_that_lags_is_unlisted_for_a_while_where_its_load_signal_is_unheeded() {
     assert_eq!(health_when_lagging(4.0, 1000), [true], "often heard: the value does it");
     for last in 100..300 {
         let seldom = health_when_lagging(400.0, last);
@@ -371,31 +386,32 @@
 
 /// Found: with few runs allowed, the best earner at the head of an empty hold was rejected for its own run.
 #[test]
-fn a_job_is_not_bounced_for_the_time_of_its_own_run() {
+fn a_job_is_not_rejected_for_the_time_of_its_own_run() {
     let mut control = taught(1.0, true);
-    let acts = round(&mut control, at(2200.0), |sink| {
+    let decisions = round(&mut control, at(2200.0), |sink| {
         ["runs", "head"].iter().for_each(|id| sink.job_arrived(job(id, at(1500.0))));
     });
-    assert!(runs(&acts) == 1 && !rejected(&acts, "head"), "{acts:?}");
+    assert!(runs(&decisions) == 1 && !rejected(&decisions, "head"), "{decisions:?}");
 }
 
 /// Found: one long run among a few on two cores made every held job look too late.
 #[test]
-fn one_long_run_does_not_bounce_the_hold() {
+fn one_long_run_does_not_reject_the_run_queue() {
     let mut control = taught(2.0, true);
     round(&mut control, at(2200.0), |sink| sink.job_arrived(job("long", at(2200.0))));
-    let acts = round(&mut control, at(4100.0), |sink| {
+    let decisions = round(&mut control, at(4100.0), |sink| {
         ["a", "b", "c", "d"].iter().for_each(|id| sink.job_arrived(job(id, at(4100.0))));
     });
-    assert!(["a", "b", "c", "d"].iter().all(|id| !rejected(&acts, id)), "{acts:?}");
+    assert!(["a", "b", "c", "d"].iter().all(|id| !rejected(&decisions, id)), "{decisions:?}");
 }
 
 /// Found: where retries are not marked, each reject in overload sent the job on to the next full server.
 #[test]
-fn own_bounces_tell_crowding_where_retries_are_not_marked() {
-    let acts = round(&mut taught(2.0, false), at(2200.0), |sink| {
+fn own_rejections_tell_of_retries_where_those_are_not_marked() {
+    let decisions = round(&mut taught(2.0, false), at(2200.0), |sink| {
         (0..40).for_each(|number| sink.job_arrived(job(&format!("j{number}"), at(2200.0))));
     });
-    let mut last = acts.iter().filter_map(|a| if let Act::Reject(.., last) = a { Some(*last) } else { None });
-    assert!(last.next() == Some(false) && last.next_back() == Some(true), "{acts:?}");
+    let mut last =
+        decisions.iter().filter_map(|a| if let Decision::Reject(.., last) = a { Some(*last) } else { None });
+    assert!(last.next() == Some(false) && last.next_back() == Some(true), "{decisions:?}");
 }
--- a/crates/hazelgrade/tests/crowd.rs
+++ b/crates/hazelgrade/tests/fleet.rs
@@ -11,20 +11,20 @@
 use hazelgrade::time::{Span, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-const TICK: f64 = 10.0;
+const TICK_MS: f64 = 10.0;
 const ZONES: usize = 3;
 const CORES: f64 = 2.0;
 /// Time on a core that a job takes, in the mean; that reading one takes; and that a new connection takes.
-const WORK: f64 = 300.0;
-const READING: f64 = 5.0;
-const GREETING: f64 = 3.0;
+const WORK_MS: f64 = 300.0;
+const READ_MS: f64 = 5.0;
+const CONNECT_MS: f64 = 3.0;
 /// A caller finds out that a server is gone, or doesn't answer at all.
-const GONE_AFTER: f64 = 300.0;
-const COLD: f64 = 0.3;
-const WARM_UP: f64 = 8000.0;
+const UNREACHABLE_AFTER_MS: f64 = 300.0;
+const COLD_SPEED_RATIO: f64 = 0.3;
+const WARM_UP_MS: f64 = 8000.0;
 
 #[derive(Clone, Copy, PartialEq)]
-enum Heeds {
+enum Heed {
     All,
     /// Every second thing it is told.
     Half,
@@ -32,10 +32,10 @@
 }
 
 struct Caller {
-    heeds: Heeds,
+    heeds: Heed,
     /// How old what it knows of the list is.
-    news: f64,
-    heard: BTreeMap<usize, (f64, f64)>,
+    list_age_ms: f64,
+    signals: BTreeMap<usize, (f64, f64)>,
     away_until: BTreeMap<usize, f64>,
     connected: Vec<bool>,
     back_at: f64,
@@ -44,14 +44,14 @@
 struct Server {
     control: Controller,
     zone: usize,
-    begun: f64,
+    started_at_ms: f64,
     speed: f64,
     /// Nothing comes in, goes out or moves on until then.
-    stands_until: f64,
+    stalled_until_ms: f64,
     unread: VecDeque<(Job, f64)>,
     read: f64,
     running: Vec<(JobId, f64, Time)>,
-    owed: BTreeMap<JobId, Asked>,
+    unanswered: BTreeMap<JobId, Request>,
     timers: Vec<(Time, u64)>,
     good: bool,
     value: f64,
@@ -61,17 +61,17 @@
 
 /// One try of a request.
 #[derive(Clone)]
-struct Asked {
+struct Request {
     caller: usize,
     made: f64,
     tries: u32,
     job_class: usize,
-    reached: f64,
+    received_at: f64,
     ran: bool,
 }
 
 enum Event {
-    Ask(Asked),
+    Ask(Request),
     Release,
     Replace(Vec<usize>),
     Lose(usize),
@@ -81,7 +81,7 @@
 }
 
 #[derive(Default)]
-struct Seen {
+struct Observed {
     /// By second in which they were made: requests, and those served within the latency objective.
     made: Vec<u32>,
     served: Vec<u32>,
@@ -96,19 +96,19 @@
     fault: Option<String>,
 }
 
-struct Crowd {
+struct Fleet {
     setup: Setup,
     size: usize,
     servers: Vec<Server>,
     callers: Vec<Caller>,
-    chance: MultiplyWithCarry,
+    random: MultiplyWithCarry,
     now: f64,
     events: BTreeMap<(i64, u64), Event>,
     numbers: u64,
     /// Who was listed as good, by tenth of a second.
     lists: Vec<Vec<bool>>,
-    gone: [bool; ZONES],
-    seen: Seen,
+    lost_zones: [bool; ZONES],
+    observed: Observed,
     rate: f64,
     over: f64,
 }
@@ -116,18 +116,18 @@
 fn server(setup: &Setup, number: usize, seed: u64, now: f64, cold: bool) -> Server {
     let mut setup = setup.clone();
     setup.machine.cold = cold;
-    let Setup { job_classes, machine, promises, below, callers } = setup;
-    let chance = MultiplyWithCarry::new(seed);
+    let Setup { job_classes, machine, limits, dependency, callers } = setup;
+    let random = MultiplyWithCarry::new(seed);
     Server {
-        control: Controller::new(job_classes, vec![], machine, promises, below, callers, chance),
+        control: Controller::new(job_classes, vec![], machine, limits, dependency, callers, random),
         zone: number % ZONES,
-        begun: if cold { now } else { now - WARM_UP },
+        started_at_ms: if cold { now } else { now - WARM_UP_MS },
         speed: 1.0,
-        stands_until: now,
+        stalled_until_ms: now,
         unread: VecDeque::new(),
         read: 0.0,
         running: vec![],
-        owed: BTreeMap::new(),
+        unanswered: BTreeMap::new(),
         timers: vec![],
         good: true,
         value: 1.0,
@@ -136,8 +136,8 @@
     }
 }
 
-impl Crowd {
-    fn new(seed: u64, (size, callers): (usize, usize), load: f64, seconds: f64) -> Crowd {
+impl Fleet {
+    fn new(seed: u64, (size, callers): (usize, usize), load: f64, seconds: f64) -> Fleet {
         let mut setup = setup();
         let base = setup.job_classes[0].clone();
         setup.job_classes = [(Idempotency::Idempotent, 1.0), (Idempotency::AtMostOnce, 3.0)]
@@ -149,34 +149,34 @@
             })
             .to_vec();
         setup.machine.cores = CORES;
-        setup.promises.warm_up = ms(WARM_UP);
-        setup.promises.cold_speed_ratio = COLD;
+        setup.limits.warm_up = ms(WARM_UP_MS);
+        setup.limits.cold_speed_ratio = COLD_SPEED_RATIO;
         setup.callers.count = callers as f64;
         setup.callers.fleet_size = size as f64;
-        let mut chance = MultiplyWithCarry::new(seed);
+        let mut random = MultiplyWithCarry::new(seed);
         let servers = (0..size).map(|n| server(&setup, n, seed * 1000 + n as u64, 0.0, false)).collect();
         let callers = (0..callers).map(|number| Caller {
-            heeds: [Heeds::All, Heeds::All, Heeds::Half, Heeds::Nothing][number % 4],
-            news: 1000.0 + 4000.0 * chance.next_f64(),
-            heard: BTreeMap::new(),
+            heeds: [Heed::All, Heed::All, Heed::Half, Heed::Nothing][number % 4],
+            list_age_ms: 1000.0 + 4000.0 * random.next_f64(),
+            signals: BTreeMap::new(),
             away_until: BTreeMap::new(),
             connected: vec![true; size],
             back_at: 0.0,
         });
         let callers = callers.collect();
-        Crowd {
+        Fleet {
             setup,
             size,
             servers,
             callers,
-            chance,
+            random,
             now: 0.0,
             events: BTreeMap::new(),
             numbers: 0,
             lists: vec![],
-            gone: [false; ZONES],
-            seen: Seen::default(),
-            rate: load * size as f64 * CORES / (WORK + READING),
+            lost_zones: [false; ZONES],
+            observed: Observed::default(),
+            rate: load * size as f64 * CORES / (WORK_MS + READ_MS),
             over: seconds * 1000.0,
         }
     }
@@ -188,7 +188,7 @@
 
     fn flag(&mut self, what: &str, id: &str) {
         let now = self.now;
-        self.seen.fault.get_or_insert_with(|| format!("{what}: job {id} at {now} ms"));
+        self.observed.fault.get_or_insert_with(|| format!("{what}: job {id} at {now} ms"));
     }
 
     fn count(of: &mut Vec<u32>, ms: f64) {
@@ -201,11 +201,11 @@
 
     fn happens(&mut self, event: Event) {
         match event {
-            Event::Ask(asked) => self.ask(asked),
+            Event::Ask(request) => self.ask(request),
             Event::Release => {
                 for number in 0..self.callers.len() * 7 / 10 {
                     let caller = &mut self.callers[number];
-                    caller.heard.clear();
+                    caller.signals.clear();
                     caller.away_until.clear();
                     caller.connected.fill(false);
                     caller.back_at = self.now + 500.0;
@@ -213,22 +213,22 @@
             }
             Event::Replace(which) => {
                 for number in which {
-                    let left: Vec<Asked> =
-                        std::mem::take(&mut self.servers[number].owed).into_values().collect();
-                    let seed = (self.chance.next_f64() * 1e9) as u64;
+                    let left: Vec<Request> =
+                        std::mem::take(&mut self.servers[number].unanswered).into_values().collect();
+                    let seed = (self.random.next_f64() * 1e9) as u64;
                     self.servers[number] = server(&self.setup, number, seed, self.now, true);
                     self.callers.iter_mut().for_each(|caller| caller.connected[number] = false);
-                    left.into_iter().for_each(|asked| self.again(asked, GONE_AFTER));
+                    left.into_iter().for_each(|request| self.again(request, UNREACHABLE_AFTER_MS));
                 }
             }
-            Event::Lose(zone) => self.gone[zone] = true,
+            Event::Lose(zone) => self.lost_zones[zone] = true,
             Event::Return(zone) => {
-                self.gone[zone] = false;
+                self.lost_zones[zone] = false;
                 let which = (0..self.size).filter(|number| number % ZONES == zone).collect();
                 self.happens(Event::Replace(which));
             }
             Event::Stall(which, until) => {
-                which.into_iter().for_each(|number| self.servers[number].stands_until = until);
+                which.into_iter().for_each(|number| self.servers[number].stalled_until_ms = until);
             }
             Event::Slow(which, speed) => {
                 which.into_iter().for_each(|number| self.servers[number].speed = speed)
@@ -237,71 +237,74 @@
     }
 
     /// A request goes out, or a retry of one.
-    fn ask(&mut self, mut asked: Asked) {
+    fn ask(&mut self, mut request: Request) {
         let now = self.now;
-        if now < self.callers[asked.caller].back_at {
-            let at = self.callers[asked.caller].back_at + 200.0 * self.chance.next_f64();
-            return self.at(at, Event::Ask(asked));
+        if now < self.callers[request.caller].back_at {
+            let at = self.callers[request.caller].back_at + 200.0 * self.random.next_f64();
+            return self.at(at, Event::Ask(request));
         }
-        let caller = &mut self.callers[asked.caller];
-        let age = ((now - caller.news).max(0.0) / 100.0) as usize;
+        let caller = &mut self.callers[request.caller];
+        let age = ((now - caller.list_age_ms).max(0.0) / 100.0) as usize;
         let list = &self.lists[age.min(self.lists.len() - 1)];
         let heeds = match caller.heeds {
-            Heeds::All => true,
-            Heeds::Half => self.chance.next_f64() < 0.5,
-            Heeds::Nothing => false,
+            Heed::All => true,
+            Heed::Half => self.random.next_f64() < 0.5,
+            Heed::Nothing => false,
         };
         let mut chosen = None;
         for _ in 0..20 {
-            let number = (self.chance.next_f64() * self.size as f64) as usize;
+            let number = (self.random.next_f64() * self.size as f64) as usize;
             if !list[number] {
                 continue;
             }
             chosen = Some(number);
             let away = caller.away_until.get(&number).is_some_and(|until| now < *until);
             let value = caller
-                .heard
+                .signals
                 .get(&number)
                 .filter(|(_, at)| now - at < 1000.0)
                 .map_or(1.0, |(value, _)| *value);
-            if !heeds || !away && self.chance.next_f64() < value {
+            if !heeds || !away && self.random.next_f64() < value {
                 break;
             }
         }
-        let Some(number) = chosen else { return self.again(asked, 100.0) };
-        if self.gone[self.servers[number].zone] {
+        let Some(number) = chosen else { return self.again(request, 100.0) };
+        if self.lost_zones[self.servers[number].zone] {
             caller.away_until.insert(number, now + 2000.0);
-            return self.again(asked, GONE_AFTER);
+            return self.again(request, UNREACHABLE_AFTER_MS);
         }
-        let greeting = if std::mem::replace(&mut caller.connected[number], true) { 0.0 } else { GREETING };
+        let connecting_ms =
+            if std::mem::replace(&mut caller.connected[number], true) { 0.0 } else { CONNECT_MS };
         self.numbers += 1;
         let id: JobId = format!("{}", self.numbers).into();
         let mut sent = job(&id, at(now));
-        (sent.job_class, sent.is_retry, asked.reached) = (asked.job_class, asked.tries > 0, now);
+        (sent.job_class, sent.is_retry, request.received_at) = (request.job_class, request.tries > 0, now);
         let server = &mut self.servers[number];
         server.arrivals += 1;
-        server.unread.push_back((sent, READING + greeting));
-        server.owed.insert(id, asked);
+        server.unread.push_back((sent, READ_MS + connecting_ms));
+        server.unanswered.insert(id, request);
     }
 
     /// One more try after a while, if its caller has any left.
-    fn again(&mut self, asked: Asked, after: f64) {
-        let most = if self.callers[asked.caller].heeds == Heeds::Nothing { 6 } else { 3 };
-        let (at, tries) = (self.now + after, asked.tries + 1);
-        let once_ran = asked.ran && asked.job_class == 1;
-        if tries < most && at < asked.made + 2000.0 && !once_ran {
-            self.at(at, Event::Ask(Asked { tries, ran: false, ..asked }));
+    fn again(&mut self, request: Request, after: f64) {
+        let most = if self.callers[request.caller].heeds == Heed::Nothing { 6 } else { 3 };
+        let (at, tries) = (self.now + after, request.tries + 1);
+        let once_ran = request.ran && request.job_class == 1;
+        if tries < most && at < request.made + 2000.0 && !once_ran {
+            self.at(at, Event::Ask(Request { tries, ran: false, ..request }));
         }
     }
 
     fn speed(&self, server: &Server) -> f64 {
-        server.speed * (COLD + (1.0 - COLD) * (self.now - server.begun) / WARM_UP).min(1.0)
+        server.speed
+            * (COLD_SPEED_RATIO + (1.0 - COLD_SPEED_RATIO) * (self.now - server.started_at_ms) / WARM_UP_MS)
+                .min(1.0)
     }
 
     /// What happened on one machine in a tick, told to its module; then its decisions are carried out.
     fn turn(&mut self, number: usize) {
         let now = self.now;
-        if now < self.servers[number].stands_until {
+        if now < self.servers[number].stalled_until_ms {
             return;
         }
         let speed = self.speed(&self.servers[number]);
@@ -309,7 +312,7 @@
         // Reading shares the cores with the runs, as one more of them.
         let reads = !server.unread.is_empty();
         let sharing = server.running.len() as f64 + f64::from(u8::from(reads));
-        let part = TICK * speed * (CORES / sharing.max(CORES));
+        let part = TICK_MS * speed * (CORES / sharing.max(CORES));
         server.busy += (sharing / CORES).min(1.0);
         server.running.iter_mut().for_each(|(_, left, _)| *left -= part);
         let (over, running) =
@@ -330,7 +333,7 @@
             return;
         }
         let busy = (sharing / CORES).min(1.0);
-        let acts = round(&mut server.control, at(now), |sink| {
+        let decisions = round(&mut server.control, at(now), |sink| {
             arrived.into_iter().for_each(|(job, _)| sink.job_arrived(job));
             for (id, _, since) in over {
                 sink.run_ended(&id, Outcome::Completed, at(now).since(since));
@@ -341,18 +344,19 @@
         for id in done {
             self.answered(number, &id, true, None);
         }
-        for act in acts {
+        for act in decisions {
             self.apply(number, act);
         }
         let server = &self.servers[number];
         // What it lives through: less while it is cold.
-        let warm = (COLD + (1.0 - COLD) * (now - server.begun) / WARM_UP).min(1.0);
-        let crowd = CORES * (1.0 + (self.setup.promises.max_jobs_per_core - 1.0) * warm);
+        let warm = (COLD_SPEED_RATIO + (1.0 - COLD_SPEED_RATIO) * (now - server.started_at_ms) / WARM_UP_MS)
+            .min(1.0);
+        let crowd = CORES * (1.0 + (self.setup.limits.max_jobs_per_core - 1.0) * warm);
         if warm < 1.0 {
-            self.seen.cold = self.seen.cold.max(server.running.len() as f64 / crowd);
+            self.observed.cold = self.observed.cold.max(server.running.len() as f64 / crowd);
         }
         let crowded = server.running.len() as f64 > crowd;
-        let late = server.owed.iter().find(|(_, asked)| now > asked.reached + 6000.0 + 60.0);
+        let late = server.unanswered.iter().find(|(_, request)| now > request.received_at + 6000.0 + 60.0);
         let late = late.map(|(id, _)| id.clone());
         if crowded {
             self.flag("crowd", "-");
@@ -362,33 +366,33 @@
         }
     }
 
-    fn apply(&mut self, number: usize, act: Act) {
+    fn apply(&mut self, number: usize, act: Decision) {
         let now = at(self.now);
-        let work = WORK * (0.2 + 1.6 * self.chance.next_f64());
+        let work = WORK_MS * (0.2 + 1.6 * self.random.next_f64());
         let server = &mut self.servers[number];
         match act {
-            Act::Run(id) => {
-                if let Some(asked) = server.owed.get_mut(&id) {
-                    asked.ran = true;
+            Decision::StartRun(id) => {
+                if let Some(request) = server.unanswered.get_mut(&id) {
+                    request.ran = true;
                 }
                 server.running.push((id, work, now));
             }
-            Act::Reject(id, retry_after, not_elsewhere) => {
+            Decision::Reject(id, retry_after, not_elsewhere) => {
                 self.answered(number, &id, false, Some((retry_after, not_elsewhere)));
             }
-            Act::Fail(id) => self.answered(number, &id, false, None),
-            Act::Stop(id) => {
+            Decision::Fail(id) => self.answered(number, &id, false, None),
+            Decision::CancelRun(id) => {
                 let since =
                     server.running.iter().find(|(run, ..)| *run == id).map_or(now, |(.., since)| *since);
                 server.running.retain(|(run, ..)| *run != id);
-                let acts = round(&mut server.control, now, |sink| {
+                let decisions = round(&mut server.control, now, |sink| {
                     sink.run_ended(&id, Outcome::Cancelled, now.since(since));
                 });
-                acts.into_iter().for_each(|act| self.apply(number, act));
+                decisions.into_iter().for_each(|act| self.apply(number, act));
             }
-            Act::Wake(due, token) => server.timers.push((due, token)),
-            Act::Health(good) => server.good = good,
-            Act::Say(value) => server.value = value,
+            Decision::SetTimer(due, token) => server.timers.push((due, token)),
+            Decision::Health(good) => server.good = good,
+            Decision::LoadSignal(value) => server.value = value,
             other => self.flag(&format!("not called for: {other:?}"), "-"),
         }
     }
@@ -396,57 +400,58 @@
     /// The one answer of a try reaches its caller.
     fn answered(&mut self, number: usize, id: &JobId, served: bool, rejected: Option<(Span, bool)>) {
         let now = self.now;
-        let Some(asked) = self.servers[number].owed.remove(id) else {
+        let Some(request) = self.servers[number].unanswered.remove(id) else {
             // The run of a job that was given up ends too.
             if !served {
                 self.flag("answered twice", id);
             }
             return;
         };
-        let chance = self.chance.next_f64();
-        if rejected.is_some() && asked.ran && asked.job_class == 1 {
+        let random = self.random.next_f64();
+        if rejected.is_some() && request.ran && request.job_class == 1 {
             self.flag("bounced what ran", id);
         }
-        let caller = &mut self.callers[asked.caller];
-        let heeds = caller.heeds == Heeds::All || caller.heeds == Heeds::Half && chance < 0.5;
-        caller.heard.insert(number, (self.servers[number].value, now));
+        let caller = &mut self.callers[request.caller];
+        let heeds = caller.heeds == Heed::All || caller.heeds == Heed::Half && random < 0.5;
+        caller.signals.insert(number, (self.servers[number].value, now));
         if served {
-            if now <= asked.made + 2000.0 {
-                Self::count(&mut self.seen.served, asked.made);
+            if now <= request.made + 2000.0 {
+                Self::count(&mut self.observed.served, request.made);
             }
         } else if let Some((retry_after, not_elsewhere)) = rejected {
-            Self::count(&mut self.seen.rejections, now);
+            Self::count(&mut self.observed.rejections, now);
             caller.away_until.insert(number, now + retry_after.as_ms());
             if !(heeds && not_elsewhere) {
-                self.again(Asked { ran: false, ..asked }, if heeds { 20.0 + 80.0 * chance } else { 5.0 });
+                self.again(Request { ran: false, ..request }, if heeds { 20.0 + 80.0 * random } else { 5.0 });
             } else if retry_after > Span::ZERO {
-                self.again(Asked { ran: false, ..asked }, retry_after.as_ms());
+                self.again(Request { ran: false, ..request }, retry_after.as_ms());
             }
         }
     }
 }
 
-impl Crowd {
-    fn play(mut self) -> Seen {
+impl Fleet {
+    fn play(mut self) -> Observed {
         let mut asks = 0.0;
         while self.now < self.over {
-            self.now += TICK;
+            self.now += TICK_MS;
             if self.lists.is_empty() || (self.now / 100.0) as usize > self.lists.len() {
                 // Newest first; a zone that is gone is taken off the list as late as any news.
-                let good = self.servers.iter().map(|server| server.good && !self.gone[server.zone]).collect();
+                let good =
+                    self.servers.iter().map(|server| server.good && !self.lost_zones[server.zone]).collect();
                 self.lists.insert(0, good);
                 self.lists.truncate(60);
             }
-            asks += self.rate * TICK;
+            asks += self.rate * TICK_MS;
             while asks >= 1.0 {
                 asks -= 1.0;
                 let (caller, job_class) =
-                    ((self.chance.next_f64() * self.callers.len() as f64) as usize, self.chance.next_f64());
+                    ((self.random.next_f64() * self.callers.len() as f64) as usize, self.random.next_f64());
                 let job_class = usize::from(job_class < 0.2);
-                let (made, at) = (self.now, self.now + 1.0 + TICK * self.chance.next_f64());
-                Self::count(&mut self.seen.made, made);
-                let asked = Asked { caller, made, tries: 0, job_class, reached: made, ran: false };
-                self.at(at, Event::Ask(asked));
+                let (made, at) = (self.now, self.now + 1.0 + TICK_MS * self.random.next_f64());
+                Self::count(&mut self.observed.made, made);
+                let request = Request { caller, made, tries: 0, job_class, received_at: made, ran: false };
+                self.at(at, Event::Ask(request));
             }
             while let Some(first) =
                 self.events.first_entry().filter(|first| first.key().0 <= (self.now * 1000.0) as i64)
@@ -455,26 +460,27 @@
                 self.happens(event);
             }
             (0..self.size).for_each(|number| self.turn(number));
-            let live: Vec<&Server> = self.servers.iter().filter(|server| !self.gone[server.zone]).collect();
+            let live: Vec<&Server> =
+                self.servers.iter().filter(|server| !self.lost_zones[server.zone]).collect();
             let bad = live.iter().filter(|server| !server.good).count();
-            self.seen.bad.push(bad as f64 / live.len() as f64);
-            if ((self.now / TICK).round() as u64).is_multiple_of(100) {
+            self.observed.bad.push(bad as f64 / live.len() as f64);
+            if ((self.now / TICK_MS).round() as u64).is_multiple_of(100) {
                 let count = live.len() as f64;
                 let (mut sum, mut squares, mut busy) = (0.0, 0.0, 0.0);
                 for server in &mut self.servers {
                     let arrivals = f64::from(std::mem::take(&mut server.arrivals));
                     (sum, squares) = (sum + arrivals, squares + arrivals * arrivals);
-                    busy += std::mem::take(&mut server.busy) * TICK / 1000.0;
+                    busy += std::mem::take(&mut server.busy) * TICK_MS / 1000.0;
                 }
-                self.seen.spread.push((sum / count, squares / count));
-                self.seen.busy.push(busy / count);
+                self.observed.spread.push((sum / count, squares / count));
+                self.observed.busy.push(busy / count);
             }
         }
-        self.seen
+        self.observed
     }
 }
 
-impl Seen {
+impl Observed {
     /// The part of the requests made in these seconds that were served within their latency objective.
     fn part(&self, from: usize, to: usize) -> f64 {
         let sum = |of: &[u32]| f64::from(of[from..to.min(of.len())].iter().sum::<u32>());
@@ -507,82 +513,82 @@
 const WHOLE: (usize, usize) = (300, 150);
 
 /// Plays each of two seeds; no module may break a rule, and before the fault at 8 s all is served evenly.
-fn plays(size: (usize, usize), load: f64, fault: impl Fn(&mut Crowd), check: impl Fn(&Seen)) {
+fn plays(size: (usize, usize), load: f64, fault: impl Fn(&mut Fleet), check: impl Fn(&Observed)) {
     for seed in 1..=2 {
-        let mut crowd = Crowd::new(seed, size, load, 30.0);
+        let mut crowd = Fleet::new(seed, size, load, 30.0);
         fault(&mut crowd);
-        let seen = crowd.play();
+        let observed = crowd.play();
         println!(
             "seed {seed}: 3-8 s {:.3}, 8-12 {:.3}, 12-18 {:.3}, 18-27 {:.3}; {} bounces; bad {:.2} most, {:.3} mean; swing {:.2}",
-            seen.part(3, 8),
-            seen.part(8, 12),
-            seen.part(12, 18),
-            seen.part(18, 27),
-            seen.rejections.iter().sum::<u32>(),
-            seen.most_bad(),
-            seen.mean_bad(9),
-            seen.swing(2),
+            observed.part(3, 8),
+            observed.part(8, 12),
+            observed.part(12, 18),
+            observed.part(18, 27),
+            observed.rejections.iter().sum::<u32>(),
+            observed.most_bad(),
+            observed.mean_bad(9),
+            observed.swing(2),
         );
-        assert_eq!(seen.fault, None);
-        check(&seen);
+        assert_eq!(observed.fault, None);
+        check(&observed);
     }
 }
 
-fn every(crowd: &Crowd, nth: usize) -> Vec<usize> {
+fn every(crowd: &Fleet, nth: usize) -> Vec<usize> {
     (0..crowd.size).filter(|number| number % nth == 0).collect()
 }
 
 #[test]
-fn a_calm_crowd_is_served_evenly_and_a_release_of_callers_changes_nothing() {
-    let release = |crowd: &mut Crowd| crowd.at(8000.0, Event::Release);
-    plays(WHOLE, 0.7, release, |seen| {
-        seen.is_served(1, 27, 0.99);
-        assert!(seen.swing(2) < 1.25, "{}", seen.swing(2));
-        assert_eq!(seen.most_bad(), 0.0);
+fn a_calm_fleet_is_served_evenly_and_a_release_of_callers_changes_nothing() {
+    let release = |crowd: &mut Fleet| crowd.at(8000.0, Event::Release);
+    plays(WHOLE, 0.7, release, |observed| {
+        observed.is_served(1, 27, 0.99);
+        assert!(observed.swing(2) < 1.25, "{}", observed.swing(2));
+        assert_eq!(observed.most_bad(), 0.0);
     });
 }
 
 /// Found: all stood still for 2 s, were late with what had waited, and went off the list at once, by news that reached
 /// callers when all was well; for 3 s these found nobody, and a tenth of the jobs were served by idle cores.
 #[test]
-fn a_fleet_that_stood_still_does_not_turn_bad_in_a_crowd() {
-    let stall = |crowd: &mut Crowd| crowd.at(8000.0, Event::Stall(every(crowd, 1), 10_000.0));
-    plays(WHOLE, 0.7, stall, |seen| {
-        assert!(seen.most_bad() < 0.1, "{} of them are bad at once", seen.most_bad());
-        seen.is_served(10, 12, 0.9);
-        seen.is_served(12, 27, 0.99);
+fn a_fleet_that_stalled_is_not_unlisted_all_at_once() {
+    let stall = |crowd: &mut Fleet| crowd.at(8000.0, Event::Stall(every(crowd, 1), 10_000.0));
+    plays(WHOLE, 0.7, stall, |observed| {
+        assert!(observed.most_bad() < 0.1, "{} of them are bad at once", observed.most_bad());
+        observed.is_served(10, 12, 0.9);
+        observed.is_served(12, 27, 0.99);
     });
 }
 
 #[test]
-fn a_zone_that_was_cut_off_is_in_use_again_at_once() {
-    let cut = |crowd: &mut Crowd| crowd.at(8000.0, Event::Stall(every(crowd, 3), 12_000.0));
-    plays(WHOLE, 0.7, cut, |seen| {
-        assert!(seen.most_bad() < 0.1, "{} of them are bad at once", seen.most_bad());
-        seen.is_served(12, 18, 0.985);
+fn a_partitioned_zone_is_in_use_again_at_once() {
+    let cut = |crowd: &mut Fleet| crowd.at(8000.0, Event::Stall(every(crowd, 3), 12_000.0));
+    plays(WHOLE, 0.7, cut, |observed| {
+        assert!(observed.most_bad() < 0.1, "{} of them are bad at once", observed.most_bad());
+        observed.is_served(12, 18, 0.985);
     });
 }
 
 #[test]
-fn after_the_loss_of_a_zone_that_returns_cold_all_is_served_within_its_warming() {
-    let loss = |crowd: &mut Crowd| {
+fn after_the_loss_of_a_zone_that_returns_cold_all_is_served_within_its_warm_up() {
+    let loss = |crowd: &mut Fleet| {
         crowd.at(8000.0, Event::Lose(1));
         crowd.at(13_000.0, Event::Return(1));
     };
-    plays(WHOLE, 0.7, loss, |seen| {
+    plays(WHOLE, 0.7, loss, |observed| {
         // Two thirds have 0.95 of what is asked; a cold zone is as good as a third of itself at first.
-        seen.is_served(8, 13, 0.9);
-        seen.is_served(13, 18, 0.9);
-        seen.is_served(21, 27, 0.99);
+        observed.is_served(8, 13, 0.9);
+        observed.is_served(13, 18, 0.9);
+        observed.is_served(21, 27, 0.99);
     });
 }
 
 #[test]
 fn half_the_fleet_replaced_by_cold_ones_is_served_as_it_warms() {
-    let roll = |crowd: &mut Crowd| crowd.at(8000.0, Event::Replace(every(crowd, 2)));
-    plays(WHOLE, 0.7, roll, |seen| {
-        seen.is_served(8, 12, 0.88);
-        seen.is_served(16, 27, 0.99);
+    let roll = |crowd: &mut Fleet| crowd.at(8000.0, Event::Replace(every(crowd, 2)));
+    plays(WHOLE, 0.7, roll, |observed| {
+        observed.is_served(8, 12, 0.88);
+        observed.is_served(16, 27, 0.99);
     });
 }
 
@@ -592,50 +598,55 @@
 fn a_cold_server_stays_up_under_the_sum_of_what_twenty_thirty_and_three_hundred_send() {
     for callers in [20, 30, 300] {
         for (what, nth) in [("one of 21 cold", 21), ("all cold", 1)] {
-            let replace = |crowd: &mut Crowd| crowd.at(8000.0, Event::Replace(every(crowd, nth)));
-            plays((21, callers), 1.5, replace, |seen| {
-                println!("{callers} callers, {what}: {:.2} of what it lives through", seen.cold);
-                assert!(seen.cold > 0.3 && seen.cold <= 1.0, "{callers} callers, {what}: {}", seen.cold);
-                seen.is_served(17, 27, 0.45);
+            let replace = |crowd: &mut Fleet| crowd.at(8000.0, Event::Replace(every(crowd, nth)));
+            plays((21, callers), 1.5, replace, |observed| {
+                println!("{callers} callers, {what}: {:.2} of what it lives through", observed.cold);
+                assert!(
+                    observed.cold > 0.3 && observed.cold <= 1.0,
+                    "{callers} callers, {what}: {}",
+                    observed.cold
+                );
+                observed.is_served(17, 27, 0.45);
             });
         }
     }
 }
 
 #[test]
-fn the_few_that_lag_go_off_the_list_and_come_back_now_and_then() {
-    let slow = |crowd: &mut Crowd| crowd.at(8000.0, Event::Slow(every(crowd, 8), 0.04));
-    plays(WHOLE, 0.7, slow, |seen| {
-        assert!(seen.most_bad() > 0.02, "none is off the list");
+fn the_few_that_lag_are_unlisted_and_listed_again_now_and_then() {
+    let slow = |crowd: &mut Fleet| crowd.at(8000.0, Event::Slow(every(crowd, 8), 0.04));
+    plays(WHOLE, 0.7, slow, |observed| {
+        assert!(observed.most_bad() > 0.02, "none is off the list");
         // An eighth lags, and each of them is off for a third of the time at most.
-        assert!(seen.mean_bad(9) < 0.125 / 3.0, "off for too long: {}", seen.mean_bad(9));
-        seen.is_served(9, 27, 0.93);
+        assert!(observed.mean_bad(9) < 0.125 / 3.0, "off for too long: {}", observed.mean_bad(9));
+        observed.is_served(9, 27, 0.93);
     });
 }
 
 /// All lag together: nobody else has room, and going off the list would only take it away.
 #[test]
-fn a_fleet_that_is_slow_as_a_whole_stays_on_the_list() {
-    let slow = |crowd: &mut Crowd| {
+fn a_fleet_that_is_slow_as_a_whole_stays_listed() {
+    let slow = |crowd: &mut Fleet| {
         crowd.at(8000.0, Event::Slow(every(crowd, 1), 0.08));
         crowd.at(12_000.0, Event::Slow(every(crowd, 1), 1.0));
     };
-    plays(WHOLE, 0.7, slow, |seen| {
-        assert!(seen.most_bad() < 0.1, "{} of them are bad at once", seen.most_bad());
-        seen.is_served(14, 27, 0.97);
+    plays(WHOLE, 0.7, slow, |observed| {
+        assert!(observed.most_bad() < 0.1, "{} of them are bad at once", observed.most_bad());
+        observed.is_served(14, 27, 0.97);
     });
 }
 
 #[test]
-fn past_capacity_bounced_jobs_do_not_drown_the_fleet() {
+fn past_capacity_rejected_jobs_do_not_overwhelm_the_fleet() {
     plays(
         WHOLE,
         1.3,
         |_| {},
-        |seen| {
+        |observed| {
             // At best 1 in 1.3 of them; tries that are rejected cost reading.
-            seen.is_served(8, 27, 0.64);
-            let (rejections, made): (u32, u32) = (seen.rejections.iter().sum(), seen.made.iter().sum());
+            observed.is_served(8, 27, 0.64);
+            let (rejections, made): (u32, u32) =
+                (observed.rejections.iter().sum(), observed.made.iter().sum());
             assert!(
                 f64::from(rejections) < 1.25 * f64::from(made),
                 "{rejections} bounces of {made} requests"
@@ -646,29 +657,29 @@
 
 /// Callers that come often enough go by the value: the slow ones get what they can do.
 #[test]
-fn where_values_are_heard_slow_servers_are_passed_by() {
-    let slow = |crowd: &mut Crowd| crowd.at(8000.0, Event::Slow(every(crowd, 3), 0.25));
-    plays((12, 3), 0.7, slow, |seen| {
-        assert_eq!(seen.most_bad(), 0.0, "the list is left alone");
-        seen.is_served(12, 18, 0.9);
+fn where_load_signals_are_heeded_slow_servers_are_passed_by() {
+    let slow = |crowd: &mut Fleet| crowd.at(8000.0, Event::Slow(every(crowd, 3), 0.25));
+    plays((12, 3), 0.7, slow, |observed| {
+        assert_eq!(observed.most_bad(), 0.0, "the list is left alone");
+        observed.is_served(12, 18, 0.9);
     });
 }
 
 /// The same happens to all at the same moment: what they then ask of their callers must not fall due at one moment.
 #[test]
-fn modules_in_the_same_case_do_not_act_in_step() {
+fn controllers_in_the_same_state_do_not_act_in_step() {
     let mut setup = setup();
     (setup.callers.count, setup.callers.fleet_size) = (150.0, 300.0);
     setup.job_classes[0].calls_dependency = false;
     let (mut off_for, mut retry_after) = (vec![], vec![]);
     for seed in 0..300 {
-        let Setup { job_classes, machine, promises, below, callers } = setup.clone();
+        let Setup { job_classes, machine, limits, dependency, callers } = setup.clone();
         let mut control = Controller::new(
             job_classes,
             vec![],
             machine,
-            promises,
-            below,
+            limits,
+            dependency,
             callers,
             MultiplyWithCarry::new(seed),
         );
@@ -679,7 +690,7 @@
             let count = if step == 100 { 40 } else { u32::from(step % 5 == 0 && step < 100) };
             let ended = runs.iter().take_while(|(_, since)| now.since(*since) >= ms(300.0)).count();
             let ended: Vec<(JobId, Time)> = runs.drain(..ended).collect();
-            let acts = round(&mut control, now, |sink| {
+            let decisions = round(&mut control, now, |sink| {
                 for number in 0..count {
                     let late = if step == 100 { 0.0 } else { 1500.0 };
                     sink.job_arrived(job(&format!("{step}-{number}"), now - ms(late)));
@@ -687,12 +698,12 @@
                 ended.iter().for_each(|(id, _)| sink.run_ended(id, Outcome::Completed, ms(300.0)));
                 sink.timer_fired(u64::MAX, Some(0.5));
             });
-            for act in acts {
+            for act in decisions {
                 match act {
-                    Act::Run(id) => runs.push_back((id, now)),
-                    Act::Health(false) => off = off.or(Some(now)),
-                    Act::Health(true) => off_for.extend(off.take().map(|off| now.since(off).as_ms())),
-                    Act::Reject(_, back, _) => told = told.or(Some(back.as_ms())),
+                    Decision::StartRun(id) => runs.push_back((id, now)),
+                    Decision::Health(false) => off = off.or(Some(now)),
+                    Decision::Health(true) => off_for.extend(off.take().map(|off| now.since(off).as_ms())),
+                    Decision::Reject(_, back, _) => told = told.or(Some(back.as_ms())),
                     _ => {}
                 }
             }
--- a/crates/hazelgrade/tests/rules.rs
+++ b/crates/hazelgrade/tests/rules.rs
@@ -38,7 +38,7 @@
 
 struct World {
     setup: Setup,
-    chance: MultiplyWithCarry,
+    random: MultiplyWithCarry,
     jobs: BTreeMap<JobId, Known>,
     /// Entries: who holds it, and until when it lives.
     entries: BTreeMap<usize, (JobId, Time)>,
@@ -61,90 +61,91 @@
     }
 
     fn pick(&mut self, least: f64, most: f64) -> f64 {
-        least + (most - least) * self.chance.next_f64()
+        least + (most - least) * self.random.next_f64()
     }
 
-    fn apply(&mut self, act: &Act, now: Time) {
-        let (Act::Run(id)
-        | Act::Reject(id, ..)
-        | Act::Fail(id)
-        | Act::Call(id, _)
-        | Act::Skip(id)
-        | Act::Stop(id)
-        | Act::Share(id)
-        | Act::Remember(id, _)
-        | Act::Forget(id)) = act
+    fn apply(&mut self, act: &Decision, now: Time) {
+        let (Decision::StartRun(id)
+        | Decision::Reject(id, ..)
+        | Decision::Fail(id)
+        | Decision::StartCall(id, _)
+        | Decision::SkipCall(id)
+        | Decision::CancelRun(id)
+        | Decision::AwaitOriginal(id)
+        | Decision::StoreRecord(id, _)
+        | Decision::RemoveRecord(id)) = act
         else {
             match act {
-                Act::Wake(at, token) => self.timers.push((*at, *token)),
-                Act::Say(_) => {
+                Decision::SetTimer(at, token) => self.timers.push((*at, *token)),
+                Decision::LoadSignal(_) => {
                     self.flag(self.setup.callers.signal == LoadSignal::Silent, "bad say", &"-".into())
                 }
                 _ => {}
             }
             return;
         };
-        let (work, fate, below) = (self.pick(50.0, 900.0), self.chance.next_f64(), self.pick(20.0, 1500.0));
+        let (work, fate, dependency) =
+            (self.pick(50.0, 900.0), self.random.next_f64(), self.pick(20.0, 1500.0));
         let Some(known) = self.jobs.get(id) else { return self.flag(true, "unknown job", id) };
         let case = self.setup.job_classes[known.job.job_class].clone();
-        let (stage, request, reached, doubt) =
+        let (stage, request, received_at, doubt) =
             (known.at, known.request, known.job.received_at, known.call_doubt);
         let (ran_ever, repeats) = (known.ran_ever, known.job.retry_of.is_some());
         let ran_before = match case.idempotency {
             Idempotency::Keyed => {
-                self.ran.get(&request).is_some_and(|ran| reached.since(*ran) < case.retry_window)
+                self.ran.get(&request).is_some_and(|ran| received_at.since(*ran) < case.retry_window)
             }
             Idempotency::AtMostOnce => ran_ever,
             Idempotency::Idempotent => false,
         };
         match act {
-            Act::Run(_) => {
+            Decision::StartRun(_) => {
                 self.flag(stage != At::Held, "ran what is not held", id);
                 self.flag(ran_before, "ran twice", id);
-                let grace = self.setup.promises.drain_grace;
-                let late = self.notice.is_some_and(|(notice, _)| reached > notice + grace);
+                let grace = self.setup.limits.drain_grace;
+                let late = self.notice.is_some_and(|(notice, _)| received_at > notice + grace);
                 self.flag(late, "ran what came past the grace", id);
-                self.ran.entry(request).or_insert(reached);
+                self.ran.entry(request).or_insert(received_at);
             }
-            Act::Reject(..) | Act::Fail(_) => {
+            Decision::Reject(..) | Decision::Fail(_) => {
                 self.flag(!self.jobs[id].owed, "answered twice", id);
                 let once_ran = ran_before || ran_ever && case.idempotency != Idempotency::Idempotent;
-                self.flag(matches!(act, Act::Reject(..)) && once_ran, "bounced what ran", id);
-                let last = self.jobs[id].due + self.setup.promises.answer_slack;
+                self.flag(matches!(act, Decision::Reject(..)) && once_ran, "bounced what ran", id);
+                let last = self.jobs[id].due + self.setup.limits.answer_slack;
                 self.flag(now > last, "answered late", id);
             }
-            Act::Call(..) => {
+            Decision::StartCall(..) => {
                 self.flag(doubt && case.idempotency != Idempotency::Idempotent, "called again in doubt", id);
                 self.flag(!case.calls_dependency || stage != At::Call, "called when not at a call", id);
             }
-            Act::Skip(_) => self.flag(case.weight_ratio_without_call <= 0.0, "bad skip", id),
-            Act::Stop(_) => {
+            Decision::SkipCall(_) => self.flag(case.weight_ratio_without_call <= 0.0, "bad skip", id),
+            Decision::CancelRun(_) => {
                 self.flag(self.setup.machine.cancellation == Cancellation::Unsupported, "bad stop", id)
             }
-            Act::Share(_) => self.flag(!repeats, "shared without a job to share", id),
+            Decision::AwaitOriginal(_) => self.flag(!repeats, "shared without a job to share", id),
             _ => {}
         }
         let Some(known) = self.jobs.get_mut(id) else { return };
         match act {
-            Act::Run(_) if known.at == At::Held => {
+            Decision::StartRun(_) if known.at == At::Held => {
                 (known.at, known.ran_ever, known.started) = (At::Cores(now + ms(work)), true, now);
             }
-            Act::Reject(..) | Act::Fail(_) => {
+            Decision::Reject(..) | Decision::Fail(_) => {
                 known.owed = false;
                 known.at = if matches!(known.at, At::Held | At::Shared) { At::Over } else { known.at };
             }
-            Act::Call(_, within) if known.at == At::Call => {
+            Decision::StartCall(_, within) if known.at == At::Call => {
                 let given_up = now + *within;
-                let ends = now + ms(if fate < 0.1 { below * 20.0 } else { below });
+                let ends = now + ms(if fate < 0.1 { dependency * 20.0 } else { dependency });
                 known.at = At::Below { since: now, ends, given_up };
             }
-            Act::Skip(_) if known.at == At::Call => known.at = At::Cores(now + ms(work)),
-            Act::Stop(_) if matches!(known.at, At::Cores(_)) => known.at = At::Cores(now),
-            Act::Share(_) => known.at = At::Shared,
-            Act::Remember(_, span) if case.idempotency == Idempotency::Keyed => {
+            Decision::SkipCall(_) if known.at == At::Call => known.at = At::Cores(now + ms(work)),
+            Decision::CancelRun(_) if matches!(known.at, At::Cores(_)) => known.at = At::Cores(now),
+            Decision::AwaitOriginal(_) => known.at = At::Shared,
+            Decision::StoreRecord(_, span) if case.idempotency == Idempotency::Keyed => {
                 self.entries.insert(request, (id.clone(), now + *span));
             }
-            Act::Forget(_) => {
+            Decision::RemoveRecord(_) => {
                 self.entries.remove(&request);
             }
             _ => {}
@@ -179,19 +180,19 @@
         self.jobs.retain(|_, known| known.at != At::Over || now.since(known.job.received_at) < ms(4000.0));
         self.crowd.push((now, on_cores));
         self.calls.push((now, (out + self.lingering.len()) as f64));
-        let promises = &self.setup.promises;
-        let warm = if machine.cold { promises.cold_speed_ratio } else { 1.0 };
-        let speed = (warm + (1.0 - warm) * (now.since(begun) / promises.warm_up)).min(1.0);
-        let cap = machine.cores * (1.0 + (promises.max_jobs_per_core - 1.0) * speed);
+        let limits = &self.setup.limits;
+        let warm = if machine.cold { limits.cold_speed_ratio } else { 1.0 };
+        let speed = (warm + (1.0 - warm) * (now.since(begun) / limits.warm_up)).min(1.0);
+        let cap = machine.cores * (1.0 + (limits.max_jobs_per_core - 1.0) * speed);
         let crowded = Self::mean(&self.crowd, now, ms(2000.0)) > cap + 1e-6;
-        let below = &self.setup.below;
+        let dependency = &self.setup.dependency;
         // Calls end at a tick or after a pause: up to 200 ms in the 5 s are the world's doing.
-        let flooded = below
+        let flooded = dependency
             .max_calls
-            .is_some_and(|share| Self::mean(&self.calls, now, below.max_calls_window) > share + 0.04);
+            .is_some_and(|share| Self::mean(&self.calls, now, dependency.max_calls_window) > share + 0.04);
         let lost = self.jobs.values().find(|known| {
             let due = self.notice.map_or(known.due, |(_, stop)| known.due.min(stop));
-            known.owed && !matches!(known.at, At::Unread) && now > due + promises.answer_slack
+            known.owed && !matches!(known.at, At::Unread) && now > due + limits.answer_slack
         });
         let lost = lost.map(|known| known.job.id.clone());
         let none: JobId = "-".into();
@@ -202,37 +203,37 @@
     }
 }
 
-fn one_of<T: Copy>(chance: &mut MultiplyWithCarry, from: &[T]) -> T {
-    from[(chance.next_f64() * from.len() as f64) as usize]
+fn one_of<T: Copy>(random: &mut MultiplyWithCarry, from: &[T]) -> T {
+    from[(random.next_f64() * from.len() as f64) as usize]
 }
 
 fn world(seed: u64) -> World {
-    let mut chance = MultiplyWithCarry::new(seed);
+    let mut random = MultiplyWithCarry::new(seed);
     let mut setup = setup();
     let base = setup.job_classes[0].clone();
     setup.job_classes = [Idempotency::Idempotent, Idempotency::Keyed, Idempotency::AtMostOnce]
         .map(|repeats| JobClass {
             idempotency: repeats,
-            late_weight_ratio: if chance.next_f64() < 0.5 { 0.0 } else { 0.3 },
-            weight_ratio_without_call: if chance.next_f64() < 0.5 { 0.0 } else { 0.4 },
-            calls_dependency: chance.next_f64() < 0.7,
+            late_weight_ratio: if random.next_f64() < 0.5 { 0.0 } else { 0.3 },
+            weight_ratio_without_call: if random.next_f64() < 0.5 { 0.0 } else { 0.4 },
+            calls_dependency: random.next_f64() < 0.7,
             ..base.clone()
         })
         .to_vec();
-    setup.machine.cores = one_of(&mut chance, &[1.0, 2.0, 4.0]);
+    setup.machine.cores = one_of(&mut random, &[1.0, 2.0, 4.0]);
     (setup.machine.memory_kb, setup.machine.record_kb) =
-        one_of(&mut chance, &[(3_000.0, 10.0), (3_000.0, 300.0), (20_000.0, 10.0)]);
+        one_of(&mut random, &[(3_000.0, 10.0), (3_000.0, 300.0), (20_000.0, 10.0)]);
     setup.machine.cancellation =
-        one_of(&mut chance, &[Cancellation::Unsupported, Cancellation::Discards, Cancellation::Requeues]);
-    setup.below.max_calls = one_of(&mut chance, &[None, Some(0.04), Some(0.4), Some(3.5)]);
+        one_of(&mut random, &[Cancellation::Unsupported, Cancellation::Discards, Cancellation::Requeues]);
+    setup.dependency.max_calls = one_of(&mut random, &[None, Some(0.04), Some(0.4), Some(3.5)]);
     use LoadSignal::*;
-    setup.callers.signal = one_of(&mut chance, &[Silent, Level, Credit, Weight]);
-    (setup.machine.cold, setup.callers.mark_retries) = (chance.next_f64() < 0.5, chance.next_f64() < 0.7);
+    setup.callers.signal = one_of(&mut random, &[Silent, Level, Credit, Weight]);
+    (setup.machine.cold, setup.callers.mark_retries) = (random.next_f64() < 0.5, random.next_f64() < 0.7);
     let sizes = [(1.0, 1.0), (4.0, 5.0), (3_000.0, 400.0)];
-    (setup.callers.count, setup.callers.fleet_size) = one_of(&mut chance, &sizes);
+    (setup.callers.count, setup.callers.fleet_size) = one_of(&mut random, &sizes);
     World {
         setup,
-        chance,
+        random,
         jobs: BTreeMap::new(),
         entries: BTreeMap::new(),
         ran: BTreeMap::new(),
@@ -262,15 +263,15 @@
             break;
         }
         // New jobs, and retries of numbered ones, reach the machine; some wait long unread.
-        while world.chance.next_f64() < rate && now.since(begun) < ms(17_000.0) {
+        while world.random.next_f64() < rate && now.since(begun) < ms(17_000.0) {
             count += 1;
-            let job_class = (world.chance.next_f64() * 3.0) as usize;
+            let job_class = (world.random.next_f64() * 3.0) as usize;
             let old: Vec<(usize, JobId)> =
                 world.jobs.values().map(|k| (k.request, k.job.id.clone())).collect();
-            let again = job_class == 1 && !old.is_empty() && world.chance.next_f64() < 0.4;
+            let again = job_class == 1 && !old.is_empty() && world.random.next_f64() < 0.4;
             let (mut request, mut id_before) = (count, None);
             if again {
-                let (number, id) = old[(world.chance.next_f64() * old.len() as f64) as usize].clone();
+                let (number, id) = old[(world.random.next_f64() * old.len() as f64) as usize].clone();
                 // A caller waits a while for one try before it sends the next.
                 let last =
                     world.jobs.values().filter(|k| k.request == number).map(|k| k.job.received_at).max();
@@ -283,7 +284,7 @@
             let linked =
                 world.entries.get(&request).filter(|(_, until)| *until > now).map(|(id, _)| id.clone());
             let wait =
-                if world.chance.next_f64() < 0.1 { world.pick(0.0, 3000.0) } else { world.pick(0.0, 20.0) };
+                if world.random.next_f64() < 0.1 { world.pick(0.0, 3000.0) } else { world.pick(0.0, 20.0) };
             let mut job = job(&id, now);
             (job.job_class, job.is_retry) =
                 (job_class, id_before.is_some() && world.setup.callers.mark_retries);
@@ -296,7 +297,7 @@
                 at: At::Unread,
                 due,
                 owed: true,
-                calls_left: (world.chance.next_f64() * 3.0) as u32,
+                calls_left: (world.random.next_f64() * 3.0) as u32,
                 call_doubt: false,
                 ran_ever: false,
                 started: now,
@@ -306,7 +307,7 @@
         if now < paused_until {
             continue;
         }
-        if world.chance.next_f64() < 0.001 {
+        if world.random.next_f64() < 0.001 {
             paused_until = now + ms(world.pick(50.0, 150.0));
             // A delay of a frozen process is not counted against it.
             let owed = world.jobs.values_mut().filter(|known| known.owed);
@@ -322,15 +323,15 @@
 }
 
 /// All that happens in the world at a tick, told to the module; its decisions, if anything happened.
-fn events(world: &mut World, control: &mut Controller, now: Time, leaves: Time) -> Option<Vec<Act>> {
+fn events(world: &mut World, control: &mut Controller, now: Time, leaves: Time) -> Option<Vec<Decision>> {
     let (mut arrived, mut ended, mut at_call, mut returned, mut gone) =
         (vec![], vec![], vec![], vec![], vec![]);
     let ids: Vec<JobId> = world.jobs.keys().cloned().collect();
     for id in ids {
         let (luck, leaving, work) =
-            (world.chance.next_f64(), world.chance.next_f64() < 0.0005, world.pick(20.0, 1500.0));
+            (world.random.next_f64(), world.random.next_f64() < 0.0005, world.pick(20.0, 1500.0));
         let calls = world.setup.job_classes[world.jobs[&id].job.job_class].calls_dependency;
-        let linger = world.setup.below.linger;
+        let linger = world.setup.dependency.linger;
         let Some(known) = world.jobs.get_mut(&id) else { continue };
         match known.at {
             At::Unread if known.read <= now => {
@@ -395,7 +396,7 @@
     world.timers.retain(|(at, _)| *at > now);
     let leaving = (now >= leaves && world.notice.is_none()).then(|| now + ms(4000.0));
     world.notice = world.notice.or(leaving.map(|stop| (now, stop)));
-    let busy = world.chance.next_f64();
+    let busy = world.random.next_f64();
     let lists = [arrived.len(), ended.len(), at_call.len(), returned.len(), gone.len(), fired.len()];
     if lists.iter().sum::<usize>() == 0 && leaving.is_none() {
         return None;
@@ -426,7 +427,7 @@
 }
 
 #[test]
-fn module_and_model_agree() {
+fn controller_and_model_agree() {
     fn keeps_the_rules(day: Day) -> Result<(), String> {
         play(day.0).map_or(Ok(()), |fault| Err(format!("{day:?}: {fault}")))
     }
--- a/crates/hazelgrade/tests/revisions.rs
+++ b/crates/hazelgrade/tests/settings_updates.rs
@@ -11,25 +11,25 @@
     SettingsUpdate {
         job_classes: placed.collect(),
         tenants: vec![],
-        limits: setup.promises.clone(),
+        limits: setup.limits.clone(),
         reset_classes: anew,
         reset_tenants: vec![],
     }
 }
 
-fn of_case(id: &str, reached: hazelgrade::time::Time, job_class: usize) -> Job {
-    Job { job_class, ..job(id, reached) }
+fn job_of_class(id: &str, received_at: hazelgrade::time::Time, job_class: usize) -> Job {
+    Job { job_class, ..job(id, received_at) }
 }
 
 #[test]
-fn a_job_in_hand_keeps_its_cut_off_and_one_that_comes_after_has_the_new_one() {
+fn a_job_in_flight_keeps_its_deadline_and_one_that_arrives_later_has_the_new_one() {
     let setup = setup();
     let mut control = setup.control();
     // More than may run: the last ones are held.
     let first = round(&mut control, at(0.0), |sink| {
         (0..12).for_each(|n| sink.job_arrived(job(&format!("a{n}"), at(0.0))));
     });
-    let held = 12 - first.iter().filter(|act| matches!(act, Act::Run(_))).count();
+    let held = 12 - first.iter().filter(|act| matches!(act, Decision::StartRun(_))).count();
     assert!(held > 0);
     let hasty = JobClass { latency_objective: ms(50.0), deadline: ms(100.0), ..setup.job_classes[0].clone() };
     assert!(control.update_settings(at(10.0), revision(&setup, &[(hasty, true)], vec![])));
@@ -37,17 +37,17 @@
     // Long past the new deadline, well within the old latency objective.
     let later = round(&mut control, at(300.0), |sink| sink.timer_fired(0, None));
     let given_up = later.iter().filter_map(|act| match act {
-        Act::Reject(id, ..) | Act::Fail(id) => Some(&**id),
+        Decision::Reject(id, ..) | Decision::Fail(id) => Some(&**id),
         _ => None,
     });
     assert_eq!(given_up.collect::<Vec<_>>(), ["b"], "only what came after has the new goal time");
     let all = round(&mut control, at(2500.0), |sink| sink.timer_fired(1, None));
-    let rejected = all.iter().filter(|act| matches!(act, Act::Reject(..))).count();
+    let rejected = all.iter().filter(|act| matches!(act, Decision::Reject(..))).count();
     assert!(rejected > 0, "at the goal time that they arrived under they are given up");
 }
 
 #[test]
-fn a_use_case_that_went_lets_its_jobs_end_and_places_are_never_taken_away() {
+fn a_class_out_of_use_lets_its_jobs_end_and_indexes_are_never_taken_away() {
     let setup = setup();
     let mut control = setup.control();
     round(&mut control, at(0.0), |sink| sink.job_arrived(job("a", at(0.0))));
@@ -58,15 +58,15 @@
         !control.update_settings(at(11.0), revision(&setup, &gone[..1], vec![])),
         "a job in hand may name it"
     );
-    let acts = round(&mut control, at(20.0), |sink| {
+    let decisions = round(&mut control, at(20.0), |sink| {
         sink.run_ended(&"a".into(), Outcome::Completed, ms(20.0));
-        sink.job_arrived(of_case("b", at(20.0), 1));
+        sink.job_arrived(job_of_class("b", at(20.0), 1));
     });
-    assert!(acts.contains(&Act::Run("b".into())), "{acts:?}");
+    assert!(decisions.contains(&Decision::StartRun("b".into())), "{decisions:?}");
 }
 
 #[test]
-fn what_was_learned_of_calls_stays_with_the_place_unless_it_stands_for_something_else() {
+fn what_was_learned_stays_with_the_index_unless_it_is_reset() {
     // Calls of 400 ms are learned; the wait budget of a later job then allows for them.
     let learned = |anew: Vec<usize>| {
         let setup = setup();
@@ -86,31 +86,32 @@
             (0..60).for_each(|n| sink.job_arrived(job(&format!("b{n}"), now)));
         })
     };
-    let rejected = |acts: &[Act]| acts.iter().filter(|act| matches!(act, Act::Reject(..))).count();
+    let rejected =
+        |decisions: &[Decision]| decisions.iter().filter(|act| matches!(act, Decision::Reject(..))).count();
     let (kept, anew) = (rejected(&learned(vec![])), rejected(&learned(vec![0])));
     assert!(kept > 20, "{kept} of 60: it knows how long runs take");
     assert!(anew > 0 && anew <= kept, "{anew} of 60");
 }
 
 #[test]
-fn a_module_without_use_cases_serves_by_a_first_revision() {
+fn a_controller_without_classes_serves_by_a_first_update() {
     let setup = Setup { job_classes: vec![], ..setup() };
     let mut control = setup.control();
-    assert!(round(&mut control, at(0.0), |_| {}).iter().all(|act| !matches!(act, Act::Run(_))));
+    assert!(round(&mut control, at(0.0), |_| {}).iter().all(|act| !matches!(act, Decision::StartRun(_))));
     let case = common::setup().job_classes[0].clone();
     assert!(control.update_settings(at(10.0), revision(&setup, &[(case, true)], vec![])));
-    let acts = round(&mut control, at(20.0), |sink| sink.job_arrived(job("a", at(20.0))));
-    assert!(acts.contains(&Act::Run("a".into())), "{acts:?}");
+    let decisions = round(&mut control, at(20.0), |sink| sink.job_arrived(job("a", at(20.0))));
+    assert!(decisions.contains(&Decision::StartRun("a".into())), "{decisions:?}");
 }
 
 #[test]
-fn a_job_beyond_its_callers_ceiling_waits_behind_one_that_is_not() {
+fn a_job_over_its_callers_limit_waits_behind_one_that_is_not() {
     let setup = setup();
     let mut control = setup.control();
     let first = round(&mut control, at(0.0), |sink| {
         (0..8).for_each(|n| sink.job_arrived(job(&format!("a{n}"), at(0.0))));
     });
-    let running = first.iter().filter(|act| matches!(act, Act::Run(_))).count();
+    let running = first.iter().filter(|act| matches!(act, Decision::StartRun(_))).count();
     round(&mut control, at(10.0), |sink| {
         sink.job_arrived(Job { over_caller_limit: true, ..job("beyond", at(10.0)) });
         sink.job_arrived(job("within", at(10.0)));
@@ -118,11 +119,11 @@
     let mut order = Vec::new();
     for n in 0..running {
         let id = format!("a{n}");
-        let acts = round(&mut control, at(20.0 + n as f64), |sink| {
+        let decisions = round(&mut control, at(20.0 + n as f64), |sink| {
             sink.run_ended(&id.as_str().into(), Outcome::Completed, ms(20.0));
         });
-        order.extend(acts.into_iter().filter_map(|act| match act {
-            Act::Run(id) => Some(id),
+        order.extend(decisions.into_iter().filter_map(|act| match act {
+            Decision::StartRun(id) => Some(id),
             _ => None,
         }));
     }
