--- a/crates/hazelgrade/tests/common/mod.rs
+++ b/crates/hazelgrade/tests/common/mod.rs
@@ -26,8 +26,8 @@
 pub struct Record(pub Vec<Decision>);
 
 macro_rules! record {
-    ($($name:ident => $act:ident,)*) => {
-        $(fn $name(&mut self, id: &JobId) { self.0.push(Decision::$act(id.clone())); })*
+    ($($name:ident => $decision:ident,)*) => {
+        $(fn $name(&mut self, id: &JobId) { self.0.push(Decision::$decision(id.clone())); })*
     };
 }
 
@@ -122,7 +122,7 @@
 
 impl Setup {
     #[allow(dead_code)] // not every test that includes this file makes one by it
-    pub fn control(&self) -> Controller {
+    pub fn controller(&self) -> Controller {
         let Setup { job_classes, machine, limits, dependency, callers } = self.clone();
         Controller::new(job_classes, vec![], machine, limits, dependency, callers, MultiplyWithCarry::new(7))
     }
@@ -148,8 +148,8 @@
 }
 
 /// One round; what was decided in it.
-pub fn round(control: &mut Controller, now: Time, feed: impl FnOnce(&mut EventSink)) -> Vec<Decision> {
+pub fn round(controller: &mut Controller, now: Time, feed: impl FnOnce(&mut EventSink)) -> Vec<Decision> {
     let mut record = Record::default();
-    control.round(now, feed, &mut record);
+    controller.round(now, feed, &mut record);
     record.0
 }
--- a/crates/hazelgrade/tests/decisions.rs
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -130,7 +130,7 @@
             id: format!("j{}", self.made).into(),
             job_class: (self.random.next_f64() * classes) as usize,
             tenant: (skew * skew * tenants) as usize,
-            received_at: received_at,
+            received_at,
             caller_deadline: self.happens(0.3).then(|| received_at + ms(self.history.lasts_ms.min(2500.0))),
             expected_work: self.happens(0.4).then(|| ms(80.0)),
             queued_kb: self.history.job_kb * (0.5 + self.random.next_f64()),
@@ -143,7 +143,7 @@
         }
     }
 
-    /// The same request again; its caller may say so, and the host may find the job that it repeats.
+    /// The same request again; its caller may say so, and the host may find the job of which it is a retry.
     fn retry_of(&mut self, job: &Job, now: Time) -> Job {
         self.made += 1;
         let linked = self.happens(0.6);
@@ -324,12 +324,12 @@
         }
     }
 
-    fn apply(&mut self, act: &Decision, now: Time) {
+    fn apply(&mut self, decision: &Decision, now: Time) {
         self.decisions += 1;
-        let line = written(act);
+        let line = written(decision);
         self.digest.update(line.as_bytes());
         let left_ms = self.between(10.0, 140.0);
-        match act {
+        match decision {
             Decision::StartRun(id) => {
                 let Some(tracked) = self.jobs.get_mut(id) else { return };
                 (tracked.at, tracked.began) = (Stage::Running { left_ms }, now);
@@ -364,8 +364,8 @@
 }
 
 /// A decision as one line, in words of this file alone.
-fn written(act: &Decision) -> String {
-    match act {
+fn written(decision: &Decision) -> String {
+    match decision {
         Decision::StartRun(id) => format!("run {id}\n"),
         Decision::Reject(id, retry_after, not_elsewhere) => {
             format!("reject {id} {} {not_elsewhere}\n", retry_after.as_ms())
@@ -412,24 +412,24 @@
     let Setup { job_classes, machine, limits, dependency, callers } = history.setup.clone();
     let tenants = history.tenants.clone();
     let random = MultiplyWithCarry::new(history.seed + 1);
-    let mut control = Controller::new(job_classes, tenants, machine, limits, dependency, callers, random);
+    let mut controller = Controller::new(job_classes, tenants, machine, limits, dependency, callers, random);
     let mut world = World::new(history);
     let (mut now_ms, mut updates) = (0.0, 0);
     while now_ms < history.lasts_ms {
         let now = at(now_ms);
-        let decided = round(&mut control, now, |sink| world.feed(now, sink));
-        for act in &decided {
-            world.apply(act, now);
+        let decided = round(&mut controller, now, |sink| world.feed(now, sink));
+        for decision in &decided {
+            world.apply(decision, now);
         }
-        let need = control.call_demand(now);
+        let need = controller.call_demand(now);
         world.digest.update(format!("need {} {}\n", need.in_flight, need.wanted).as_bytes());
         if history.updates_ms.get(updates).is_some_and(|due| *due <= now_ms) {
             // No place may go: a job in flight may name it.
             let mut fewer = update(history, updates);
             fewer.job_classes.truncate(1);
-            let taken = control.update_settings(now, fewer);
+            let taken = controller.update_settings(now, fewer);
             world.digest.update(format!("fewer {taken}\n").as_bytes());
-            let taken = control.update_settings(now, update(history, updates));
+            let taken = controller.update_settings(now, update(history, updates));
             world.digest.update(format!("update {taken}\n").as_bytes());
             updates += 1;
         }
--- a/crates/hazelgrade/tests/failures.rs
+++ b/crates/hazelgrade/tests/failures.rs
@@ -8,44 +8,46 @@
 use hazelgrade::time::{Span, Time};
 
 fn runs(decisions: &[Decision]) -> usize {
-    decisions.iter().filter(|act| matches!(act, Decision::StartRun(_))).count()
+    decisions.iter().filter(|decision| matches!(decision, Decision::StartRun(_))).count()
 }
 
 fn rejected(decisions: &[Decision], id: &str) -> bool {
-    decisions.iter().any(|act| matches!(act, Decision::Reject(job, ..) if **job == *id))
+    decisions.iter().any(|decision| matches!(decision, Decision::Reject(job, ..) if **job == *id))
 }
 
 /// Brings `count` jobs to their call at `now`, each after a run of 10 ms.
-fn at_calls(control: &mut Controller, now: f64, from: usize, count: usize) -> Vec<Decision> {
+fn at_calls(controller: &mut Controller, now: f64, from: usize, count: usize) -> Vec<Decision> {
     let mut decisions = vec![];
     for number in from..from + count {
         let id = format!("c{number}");
-        decisions.extend(round(control, at(now), |sink| sink.job_arrived(job(&id, at(now)))));
-        decisions.extend(round(control, at(now), |sink| sink.call_requested(&id.as_str().into())));
+        decisions.extend(round(controller, at(now), |sink| sink.job_arrived(job(&id, at(now)))));
+        decisions.extend(round(controller, at(now), |sink| sink.call_requested(&id.as_str().into())));
     }
     decisions
 }
 
 /// The call of job `id`, made at 0, comes back at `now`.
-fn call_done(control: &mut Controller, id: &str, now: f64) -> Vec<Decision> {
-    round(control, at(now), |sink| sink.call_ended(&id.into(), Outcome::Completed, ms(now)))
+fn call_done(controller: &mut Controller, id: &str, now: f64) -> Vec<Decision> {
+    round(controller, at(now), |sink| sink.call_ended(&id.into(), Outcome::Completed, ms(now)))
 }
 
 fn made(decisions: &[Decision]) -> Vec<JobId> {
     decisions
         .iter()
-        .filter_map(|act| if let Decision::StartCall(id, _) = act { Some(id.clone()) } else { None })
+        .filter_map(
+            |decision| if let Decision::StartCall(id, _) = decision { Some(id.clone()) } else { None },
+        )
         .collect()
 }
 
 #[test]
 fn past_the_permits_calls_wait_and_past_the_queue_capacity_new_jobs_are_rejected() {
-    let mut control = setup().control();
-    let decisions = at_calls(&mut control, 0.0, 0, 16);
+    let mut controller = setup().controller();
+    let decisions = at_calls(&mut controller, 0.0, 0, 16);
     assert_eq!(made(&decisions).len(), 8, "eight permits at the start");
-    let decisions = round(&mut control, at(1.0), |sink| sink.job_arrived(job("late", at(1.0))));
-    let retry_after = decisions.iter().find_map(|act| {
-        if let Decision::Reject(_, retry_after, _) = act { Some(*retry_after) } else { None }
+    let decisions = round(&mut controller, at(1.0), |sink| sink.job_arrived(job("late", at(1.0))));
+    let retry_after = decisions.iter().find_map(|decision| {
+        if let Decision::Reject(_, retry_after, _) = decision { Some(*retry_after) } else { None }
     });
     assert!(
         retry_after.is_some_and(|retry_after| retry_after > Span::ZERO),
@@ -53,38 +55,38 @@
     );
 }
 
-/// Foreseen: retries that the depth counts as fresh arrivals. Depth goes by time in calls alone.
+/// Foreseen: retries that the queue capacity counts as fresh arrivals. Queue capacity goes by time in calls alone.
 #[test]
 fn retries_do_not_change_the_queue_capacity() {
-    let mut control = setup().control();
-    at_calls(&mut control, 0.0, 0, 16);
+    let mut controller = setup().controller();
+    at_calls(&mut controller, 0.0, 0, 16);
     for number in 0..50 {
-        let mut again = job(&format!("r{number}"), at(5.0));
-        again.is_retry = true;
-        let decisions = round(&mut control, at(5.0), |sink| sink.job_arrived(again));
+        let mut retry = job(&format!("r{number}"), at(5.0));
+        retry.is_retry = true;
+        let decisions = round(&mut controller, at(5.0), |sink| sink.job_arrived(retry));
         assert!(rejected(&decisions, &format!("r{number}")), "the queue is as full as before");
     }
-    let decisions = call_done(&mut control, "c0", 100.0);
+    let decisions = call_done(&mut controller, "c0", 100.0);
     assert_eq!(made(&decisions).len(), 1, "one permit came back");
-    let decisions = round(&mut control, at(101.0), |sink| sink.job_arrived(job("new", at(101.0))));
+    let decisions = round(&mut controller, at(101.0), |sink| sink.job_arrived(job("new", at(101.0))));
     assert!(!rejected(&decisions, "new"), "the learned depth takes it");
 }
 
-/// Foreseen: a process pause, after which a drain counted over the clock would have shrunk the depth.
+/// Foreseen: a process pause, after which a throughput counted over the clock would have shrunk the queue.
 #[test]
 fn a_pause_does_not_shrink_the_queue_capacity() {
-    let mut control = setup().control();
-    at_calls(&mut control, 0.0, 0, 8);
+    let mut controller = setup().controller();
+    at_calls(&mut controller, 0.0, 0, 8);
     for number in 0..8 {
         let id = format!("c{number}");
-        call_done(&mut control, &id, 100.0);
-        round(&mut control, at(110.0), |sink| {
+        call_done(&mut controller, &id, 100.0);
+        round(&mut controller, at(110.0), |sink| {
             sink.run_ended(&id.as_str().into(), Outcome::Completed, ms(110.0))
         });
     }
-    let decisions = at_calls(&mut control, 60_000.0, 100, 20);
+    let decisions = at_calls(&mut controller, 60_000.0, 100, 20);
     assert!(
-        !decisions.iter().any(|act| matches!(act, Decision::Reject(..) | Decision::Fail(_))),
+        !decisions.iter().any(|decision| matches!(decision, Decision::Reject(..) | Decision::Fail(_))),
         "{decisions:?}"
     );
 }
@@ -92,16 +94,16 @@
 /// Foreseen: long calls hold the permits, so that what queues behind them can't clear within its budget.
 #[test]
 fn a_call_queued_past_its_budget_or_whose_caller_left_is_never_made() {
-    let mut control = setup().control();
-    at_calls(&mut control, 0.0, 0, 9);
-    let decisions = round(&mut control, at(2100.0), |sink| sink.timer_fired(1, None));
+    let mut controller = setup().controller();
+    at_calls(&mut controller, 0.0, 0, 9);
+    let decisions = round(&mut controller, at(2100.0), |sink| sink.timer_fired(1, None));
     assert!(rejected(&decisions, "c8"), "{decisions:?}");
-    let decisions = call_done(&mut control, "c0", 2200.0);
+    let decisions = call_done(&mut controller, "c0", 2200.0);
     assert!(made(&decisions).is_empty(), "{decisions:?}");
     // Nor one whose caller left.
-    let mut control = setup().control();
-    at_calls(&mut control, 0.0, 0, 10);
-    let decisions = round(&mut control, at(50.0), |sink| {
+    let mut controller = setup().controller();
+    at_calls(&mut controller, 0.0, 0, 10);
+    let decisions = round(&mut controller, at(50.0), |sink| {
         sink.caller_disconnected(&"c8".into());
         sink.call_ended(&"c0".into(), Outcome::Completed, ms(50.0));
     });
@@ -113,25 +115,25 @@
 fn an_unlinked_retry_of_a_keyed_job_that_ran_fails() {
     let mut setup = setup();
     setup.job_classes[0].idempotency = Idempotency::Keyed;
-    let mut control = setup.control();
-    assert_eq!(runs(&round(&mut control, at(500.0), |sink| sink.job_arrived(job("first", at(0.0))))), 1);
-    let mut again = job("again", at(400.0));
-    again.is_retry = true;
-    let decisions = round(&mut control, at(600.0), |sink| sink.job_arrived(again));
+    let mut controller = setup.controller();
+    assert_eq!(runs(&round(&mut controller, at(500.0), |sink| sink.job_arrived(job("first", at(0.0))))), 1);
+    let mut retry = job("again", at(400.0));
+    retry.is_retry = true;
+    let decisions = round(&mut controller, at(600.0), |sink| sink.job_arrived(retry));
     assert!(decisions.contains(&Decision::Fail("again".into())) && runs(&decisions) == 0, "{decisions:?}");
 }
 
-/// Found: fast servers queued dozens of calls behind eight permits while the tier below was idle.
+/// Found: fast servers queued dozens of calls behind eight permits while the dependency was idle.
 #[test]
 fn permits_grow_while_calls_wait_and_are_fast() {
-    let mut control = setup().control();
-    let mut out = made(&at_calls(&mut control, 0.0, 0, 8));
+    let mut controller = setup().controller();
+    let mut out = made(&at_calls(&mut controller, 0.0, 0, 8));
     let mut most = 0;
     for step in 1..60 {
         let now = 100.0 * f64::from(step);
-        let mut decisions = at_calls(&mut control, now, 100 * step as usize, 12);
+        let mut decisions = at_calls(&mut controller, now, 100 * step as usize, 12);
         for id in std::mem::take(&mut out) {
-            decisions.extend(round(&mut control, at(now), |sink| {
+            decisions.extend(round(&mut controller, at(now), |sink| {
                 sink.call_ended(&id, Outcome::Completed, ms(100.0));
                 sink.run_ended(&id, Outcome::Completed, ms(120.0));
             }));
@@ -149,22 +151,22 @@
 fn permits_double_in_a_round_trip_at_the_start() {
     let mut setup = setup();
     setup.limits.max_jobs_per_core = 20.0;
-    let mut control = setup.control();
-    at_calls(&mut control, 0.0, 0, 16);
+    let mut controller = setup.controller();
+    at_calls(&mut controller, 0.0, 0, 16);
     for number in 0..8 {
         let id = format!("c{number}");
-        call_done(&mut control, &id, 100.0);
-        round(&mut control, at(100.0), |sink| {
+        call_done(&mut controller, &id, 100.0);
+        round(&mut controller, at(100.0), |sink| {
             sink.run_ended(&id.as_str().into(), Outcome::Completed, ms(110.0));
         });
     }
     // The first eight calls only show how long calls take; from then on each that comes back adds a permit.
-    at_calls(&mut control, 100.0, 50, 40);
+    at_calls(&mut controller, 100.0, 50, 40);
     let mut calls = 0;
     for number in 8..16 {
         let id: JobId = format!("c{number}").as_str().into();
         let ended = |sink: &mut EventSink| sink.call_ended(&id, Outcome::Completed, ms(100.0));
-        calls += made(&round(&mut control, at(200.0), ended)).len();
+        calls += made(&round(&mut controller, at(200.0), ended)).len();
     }
     assert!(calls >= 12, "{calls} calls, 8 of them for those that came back");
 }
@@ -175,23 +177,23 @@
 fn a_job_whose_call_is_slow_keeps_one_mean_core_time_to_finish() {
     let mut setup = setup();
     setup.job_classes[0].weight_ratio_without_call = 0.5;
-    let mut control = setup.control();
+    let mut controller = setup.controller();
     for step in 0..40 {
         let (id, start) = (format!("t{step}"), 400.0 * f64::from(step));
         let took = if step < 20 { 60.0 } else { 180.0 };
-        round(&mut control, at(start), |sink| sink.job_arrived(job(&id, at(start))));
-        round(&mut control, at(start + 100.0), |sink| sink.call_requested(&id.as_str().into()));
-        round(&mut control, at(start + 100.0 + took), |sink| {
+        round(&mut controller, at(start), |sink| sink.job_arrived(job(&id, at(start))));
+        round(&mut controller, at(start + 100.0), |sink| sink.call_requested(&id.as_str().into()));
+        round(&mut controller, at(start + 100.0 + took), |sink| {
             sink.call_ended(&id.as_str().into(), Outcome::Completed, ms(took));
         });
-        round(&mut control, at(start + 200.0 + took), |sink| {
+        round(&mut controller, at(start + 200.0 + took), |sink| {
             sink.run_ended(&id.as_str().into(), Outcome::Completed, ms(200.0 + took));
         });
     }
-    let decisions = at_calls(&mut control, 20_000.0, 500, 1);
-    let within = decisions
-        .iter()
-        .find_map(|act| if let Decision::StartCall(_, within) = act { Some(*within) } else { None });
+    let decisions = at_calls(&mut controller, 20_000.0, 500, 1);
+    let within = decisions.iter().find_map(|decision| {
+        if let Decision::StartCall(_, within) = decision { Some(*within) } else { None }
+    });
     // The latency objective is 2000 ms, the core time 200 ms.
     assert!(within.is_some_and(|within| within > ms(1780.0) && within < ms(1820.0)), "{within:?}");
 }
@@ -201,31 +203,31 @@
 fn a_call_that_may_be_left_out_is_not_tried_when_it_would_be_in_vain() {
     let mut setup = setup();
     setup.job_classes[0].weight_ratio_without_call = 0.5;
-    let mut control = setup.control();
-    at_calls(&mut control, 0.0, 0, 4);
-    (0..4).for_each(|number| drop(call_done(&mut control, &format!("c{number}"), 400.0)));
-    let late = |control: &mut Controller, id: &str, start: f64, age: f64| {
-        round(control, at(start), |sink| sink.job_arrived(job(id, at(start))));
-        round(control, at(start + age), |sink| sink.call_requested(&id.into()))
+    let mut controller = setup.controller();
+    at_calls(&mut controller, 0.0, 0, 4);
+    (0..4).for_each(|number| drop(call_done(&mut controller, &format!("c{number}"), 400.0)));
+    let late = |controller: &mut Controller, id: &str, start: f64, age: f64| {
+        round(controller, at(start), |sink| sink.job_arrived(job(id, at(start))));
+        round(controller, at(start + age), |sink| sink.call_requested(&id.into()))
     };
-    assert_eq!(made(&late(&mut control, "some", 2000.0, 1750.0)), vec!["some".into()]);
-    let decisions = late(&mut control, "none", 6000.0, 1850.0);
+    assert_eq!(made(&late(&mut controller, "some", 2000.0, 1750.0)), vec!["some".into()]);
+    let decisions = late(&mut controller, "none", 6000.0, 1850.0);
     assert!(
         decisions.contains(&Decision::SkipCall("none".into())) && made(&decisions).is_empty(),
         "{decisions:?}"
     );
 }
 
-/// Found by a group of processes: one that had stood still for two latency objectives with calls in hand learned that calls take so long, and
+/// Found by a group of processes: one that had stood still for two latency objectives with calls in flight learned that calls take so long, and
 /// made none ever again, as each would have been in vain by what was learned.
 #[test]
 fn after_calls_that_took_longer_than_objectives_one_at_a_time_is_tried() {
     let mut setup = setup();
     setup.job_classes[0].weight_ratio_without_call = 0.5;
-    let mut control = setup.control();
-    at_calls(&mut control, 0.0, 0, 1);
-    call_done(&mut control, "c0", 5000.0);
-    let decisions = at_calls(&mut control, 60_000.0, 1, 3);
+    let mut controller = setup.controller();
+    at_calls(&mut controller, 0.0, 0, 1);
+    call_done(&mut controller, "c0", 5000.0);
+    let decisions = at_calls(&mut controller, 60_000.0, 1, 3);
     assert_eq!(made(&decisions), ["c1".into()], "{decisions:?}");
     assert!(
         decisions.contains(&Decision::SkipCall("c2".into()))
@@ -233,10 +235,10 @@
         "{decisions:?}"
     );
     // It was quick, and so is what is learned once the slow one has faded.
-    round(&mut control, at(60_050.0), |sink| {
+    round(&mut controller, at(60_050.0), |sink| {
         sink.call_ended(&"c1".into(), Outcome::Completed, ms(50.0));
     });
-    assert_eq!(made(&at_calls(&mut control, 60_100.0, 4, 3)).len(), 3);
+    assert_eq!(made(&at_calls(&mut controller, 60_100.0, 4, 3)).len(), 3);
 }
 
 /// Found by a group of processes past what calls carry: the queue went by the deadline, three latency objectives, so that each job came to its call
@@ -245,44 +247,46 @@
 fn the_call_queue_holds_no_more_than_gets_through_within_the_objective() {
     let mut setup = setup();
     setup.machine.memory_kb = 1e6;
-    let mut control = setup.control();
-    at_calls(&mut control, 0.0, 0, 1);
-    call_done(&mut control, "c0", 100.0);
+    let mut controller = setup.controller();
+    at_calls(&mut controller, 0.0, 0, 1);
+    call_done(&mut controller, "c0", 100.0);
     // Eight permits and 100 ms a call: 80 in a second, for the 1900 ms that the latency objective leaves.
-    let decisions = at_calls(&mut control, 200.0, 1, 300);
+    let decisions = at_calls(&mut controller, 200.0, 1, 300);
     assert_eq!((made(&decisions).len(), runs(&decisions)), (8, 8 + 152));
 }
 
 /// Found on sockets: calls that were never answered held their permits until the deadline, and after 25 of them calls
-/// queued by the hundred while what lies below was idle.
+/// queued by the hundred while the dependency was idle.
 #[test]
 fn a_call_takes_no_longer_than_some_times_the_mean() {
-    let mut control = setup().control();
+    let mut controller = setup().controller();
     let within = |decisions: &[Decision]| {
-        decisions.iter().find_map(|act| if let Decision::StartCall(_, w) = act { Some(*w) } else { None })
+        decisions
+            .iter()
+            .find_map(|decision| if let Decision::StartCall(_, w) = decision { Some(*w) } else { None })
     };
-    assert!(within(&at_calls(&mut control, 0.0, 0, 1)).is_some_and(|within| within > ms(1900.0)));
-    call_done(&mut control, "c0", 50.0);
-    assert_eq!(within(&at_calls(&mut control, 100.0, 1, 1)), Some(ms(800.0)));
+    assert!(within(&at_calls(&mut controller, 0.0, 0, 1)).is_some_and(|within| within > ms(1900.0)));
+    call_done(&mut controller, "c0", 50.0);
+    assert_eq!(within(&at_calls(&mut controller, 100.0, 1, 1)), Some(ms(800.0)));
     // However fast calls are, they get a part of the latency objective.
-    call_done(&mut control, "c1", 101.0);
+    call_done(&mut controller, "c1", 101.0);
     (2..40).for_each(|number| {
-        at_calls(&mut control, 200.0, number, 1);
+        at_calls(&mut controller, 200.0, number, 1);
         let id: JobId = format!("c{number}").as_str().into();
-        round(&mut control, at(201.0), |sink| sink.call_ended(&id, Outcome::Completed, ms(1.0)));
-        round(&mut control, at(201.0), |sink| sink.run_ended(&id, Outcome::Completed, ms(2.0)));
+        round(&mut controller, at(201.0), |sink| sink.call_ended(&id, Outcome::Completed, ms(1.0)));
+        round(&mut controller, at(201.0), |sink| sink.run_ended(&id, Outcome::Completed, ms(2.0)));
     });
-    assert_eq!(within(&at_calls(&mut control, 300.0, 90, 1)), Some(ms(300.0)));
+    assert_eq!(within(&at_calls(&mut controller, 300.0, 90, 1)), Some(ms(300.0)));
 }
 
 /// Found by reading: a call on a connection that the other side had forgotten ends at once, and was learned as fast.
 #[test]
 fn a_lost_connection_tells_nothing_of_the_latency() {
-    let mut control = setup().control();
-    at_calls(&mut control, 0.0, 0, 2);
-    call_done(&mut control, "c0", 100.0);
-    round(&mut control, at(100.0), |sink| sink.call_ended(&"c1".into(), Outcome::ConnectionLost, ms(1.0)));
-    let decisions = at_calls(&mut control, 100.0, 5, 1);
+    let mut controller = setup().controller();
+    at_calls(&mut controller, 0.0, 0, 2);
+    call_done(&mut controller, "c0", 100.0);
+    round(&mut controller, at(100.0), |sink| sink.call_ended(&"c1".into(), Outcome::ConnectionLost, ms(1.0)));
+    let decisions = at_calls(&mut controller, 100.0, 5, 1);
     assert!(decisions.contains(&Decision::StartCall("c5".into(), ms(1600.0))), "{decisions:?}");
 }
 
@@ -290,8 +294,8 @@
 #[test]
 fn fewer_run_while_jobs_wait_unread() {
     let fresh = |unread: f64, known: bool| {
-        let mut control = setup().control();
-        round(&mut control, at(5000.0), |sink| {
+        let mut controller = setup().controller();
+        round(&mut controller, at(5000.0), |sink| {
             for number in 0..12 {
                 let job = job(&format!("j{number}"), at(5000.0 - unread));
                 sink.job_arrived(Job { from_known_caller: known, ..job });
@@ -310,10 +314,10 @@
     let run_at_last = |used: f64| {
         let mut setup = setup();
         setup.job_classes[0].calls_dependency = false;
-        let (mut control, mut last) = (setup.control(), vec![]);
+        let (mut controller, mut last) = (setup.controller(), vec![]);
         for step in 1..60 {
             let now = at(100.0 * f64::from(step));
-            let decisions = round(&mut control, now, |sink| {
+            let decisions = round(&mut controller, now, |sink| {
                 sink.timer_fired(0, Some(used));
                 last.iter().for_each(|id| sink.run_ended(id, Outcome::Completed, ms(100.0)));
                 (0..12).for_each(|number| sink.job_arrived(job(&format!("j{step}-{number}"), now)));
@@ -332,7 +336,7 @@
 fn health_when_lagging(callers: f64, last: u32) -> Vec<bool> {
     let mut setup = setup();
     (setup.callers.count, setup.job_classes[0].calls_dependency) = (callers, false);
-    let (mut control, mut said, mut wakes, mut ran) = (setup.control(), vec![], vec![], vec![]);
+    let (mut controller, mut said, mut wakes, mut ran) = (setup.controller(), vec![], vec![], vec![]);
     for step in 0..2000 {
         let now = at(5000.0 + 10.0 * f64::from(step));
         let due: Vec<(Time, u64)> = wakes.iter().copied().filter(|(at, _)| *at <= now).collect();
@@ -341,13 +345,13 @@
         if due.is_empty() && !comes && ran.is_empty() {
             continue;
         }
-        let decisions = round(&mut control, now, |sink| {
+        let decisions = round(&mut controller, now, |sink| {
             due.iter().for_each(|(_, token)| sink.timer_fired(*token, None));
             ran.drain(..).for_each(|id| sink.run_ended(&id, Outcome::Completed, ms(10.0)));
             (0..u32::from(comes)).for_each(|_| sink.job_arrived(job(&format!("j{step}"), now - ms(1900.0))));
         });
-        for act in decisions {
-            match act {
+        for decision in decisions {
+            match decision {
                 Decision::Health(good) => said.push(good),
                 Decision::SetTimer(at, token) => wakes.push((at, token)),
                 Decision::StartRun(id) => ran.push(id),
@@ -373,33 +377,33 @@
     let mut setup = setup();
     (setup.machine.cores, setup.job_classes[0].calls_dependency, setup.callers.mark_retries) =
         (cores, false, mark_retries);
-    let mut control = setup.control();
+    let mut controller = setup.controller();
     for step in 0..6 {
         let (id, now) = (format!("t{step}"), 350.0 * f64::from(step));
-        round(&mut control, at(now), |sink| sink.job_arrived(job(&id, at(now))));
-        round(&mut control, at(now + 350.0), |sink| {
+        round(&mut controller, at(now), |sink| sink.job_arrived(job(&id, at(now))));
+        round(&mut controller, at(now + 350.0), |sink| {
             sink.run_ended(&id.as_str().into(), Outcome::Completed, ms(350.0));
         });
     }
-    control
+    controller
 }
 
 /// Found: with few runs allowed, the best earner at the head of an empty hold was rejected for its own run.
 #[test]
 fn a_job_is_not_rejected_for_the_time_of_its_own_run() {
-    let mut control = taught(1.0, true);
-    let decisions = round(&mut control, at(2200.0), |sink| {
+    let mut controller = taught(1.0, true);
+    let decisions = round(&mut controller, at(2200.0), |sink| {
         ["runs", "head"].iter().for_each(|id| sink.job_arrived(job(id, at(1500.0))));
     });
     assert!(runs(&decisions) == 1 && !rejected(&decisions, "head"), "{decisions:?}");
 }
 
-/// Found: one long run among a few on two cores made every held job look too late.
+/// Found: one long run among a few on two cores made every queued job look too late.
 #[test]
 fn one_long_run_does_not_reject_the_run_queue() {
-    let mut control = taught(2.0, true);
-    round(&mut control, at(2200.0), |sink| sink.job_arrived(job("long", at(2200.0))));
-    let decisions = round(&mut control, at(4100.0), |sink| {
+    let mut controller = taught(2.0, true);
+    round(&mut controller, at(2200.0), |sink| sink.job_arrived(job("long", at(2200.0))));
+    let decisions = round(&mut controller, at(4100.0), |sink| {
         ["a", "b", "c", "d"].iter().for_each(|id| sink.job_arrived(job(id, at(4100.0))));
     });
     assert!(["a", "b", "c", "d"].iter().all(|id| !rejected(&decisions, id)), "{decisions:?}");
--- a/crates/hazelgrade/tests/fleet.rs
+++ b/crates/hazelgrade/tests/fleet.rs
@@ -1,6 +1,6 @@
-//! Hundreds of modules side by side, and one crowd of callers: what is harmless in one and harmful in all. Each module
-//! is real; machines, news and callers are plain and pure, by seed. The rules are checked of each, and of all together
-//! that load doesn't swing, that they don't turn bad in a crowd, and that service is back in its time after a fault.
+//! Hundreds of controllers side by side, and one set of callers: what is harmless in one and harmful in all. Each controller
+//! is real; machines, endpoint lists and callers are plain and pure, by seed. The rules are checked of each, and of all together
+//! that load doesn't swing, that they don't turn bad in a fleet, and that service is back in its time after a fault.
 
 mod common;
 
@@ -42,7 +42,7 @@
 }
 
 struct Server {
-    control: Controller,
+    controller: Controller,
     zone: usize,
     started_at_ms: f64,
     speed: f64,
@@ -119,7 +119,7 @@
     let Setup { job_classes, machine, limits, dependency, callers } = setup;
     let random = MultiplyWithCarry::new(seed);
     Server {
-        control: Controller::new(job_classes, vec![], machine, limits, dependency, callers, random),
+        controller: Controller::new(job_classes, vec![], machine, limits, dependency, callers, random),
         zone: number % ZONES,
         started_at_ms: if cold { now } else { now - WARM_UP_MS },
         speed: 1.0,
@@ -218,7 +218,7 @@
                     let seed = (self.random.next_f64() * 1e9) as u64;
                     self.servers[number] = server(&self.setup, number, seed, self.now, true);
                     self.callers.iter_mut().for_each(|caller| caller.connected[number] = false);
-                    left.into_iter().for_each(|request| self.again(request, UNREACHABLE_AFTER_MS));
+                    left.into_iter().for_each(|request| self.retry(request, UNREACHABLE_AFTER_MS));
                 }
             }
             Event::Lose(zone) => self.lost_zones[zone] = true,
@@ -268,10 +268,10 @@
                 break;
             }
         }
-        let Some(number) = chosen else { return self.again(request, 100.0) };
+        let Some(number) = chosen else { return self.retry(request, 100.0) };
         if self.lost_zones[self.servers[number].zone] {
             caller.away_until.insert(number, now + 2000.0);
-            return self.again(request, UNREACHABLE_AFTER_MS);
+            return self.retry(request, UNREACHABLE_AFTER_MS);
         }
         let connecting_ms =
             if std::mem::replace(&mut caller.connected[number], true) { 0.0 } else { CONNECT_MS };
@@ -286,7 +286,7 @@
     }
 
     /// One more try after a while, if its caller has any left.
-    fn again(&mut self, request: Request, after: f64) {
+    fn retry(&mut self, request: Request, after: f64) {
         let most = if self.callers[request.caller].heeds == Heed::Nothing { 6 } else { 3 };
         let (at, tries) = (self.now + after, request.tries + 1);
         let once_ran = request.ran && request.job_class == 1;
@@ -301,7 +301,7 @@
                 .min(1.0)
     }
 
-    /// What happened on one machine in a tick, told to its module; then its decisions are carried out.
+    /// What happened on one machine in a tick, told to its controller; then its decisions are carried out.
     fn turn(&mut self, number: usize) {
         let now = self.now;
         if now < self.servers[number].stalled_until_ms {
@@ -333,7 +333,7 @@
             return;
         }
         let busy = (sharing / CORES).min(1.0);
-        let decisions = round(&mut server.control, at(now), |sink| {
+        let decisions = round(&mut server.controller, at(now), |sink| {
             arrived.into_iter().for_each(|(job, _)| sink.job_arrived(job));
             for (id, _, since) in over {
                 sink.run_ended(&id, Outcome::Completed, at(now).since(since));
@@ -344,8 +344,8 @@
         for id in done {
             self.answered(number, &id, true, None);
         }
-        for act in decisions {
-            self.apply(number, act);
+        for decision in decisions {
+            self.apply(number, decision);
         }
         let server = &self.servers[number];
         // What it lives through: less while it is cold.
@@ -366,11 +366,11 @@
         }
     }
 
-    fn apply(&mut self, number: usize, act: Decision) {
+    fn apply(&mut self, number: usize, decision: Decision) {
         let now = at(self.now);
         let work = WORK_MS * (0.2 + 1.6 * self.random.next_f64());
         let server = &mut self.servers[number];
-        match act {
+        match decision {
             Decision::StartRun(id) => {
                 if let Some(request) = server.unanswered.get_mut(&id) {
                     request.ran = true;
@@ -385,10 +385,10 @@
                 let since =
                     server.running.iter().find(|(run, ..)| *run == id).map_or(now, |(.., since)| *since);
                 server.running.retain(|(run, ..)| *run != id);
-                let decisions = round(&mut server.control, now, |sink| {
+                let decisions = round(&mut server.controller, now, |sink| {
                     sink.run_ended(&id, Outcome::Cancelled, now.since(since));
                 });
-                decisions.into_iter().for_each(|act| self.apply(number, act));
+                decisions.into_iter().for_each(|decision| self.apply(number, decision));
             }
             Decision::SetTimer(due, token) => server.timers.push((due, token)),
             Decision::Health(good) => server.good = good,
@@ -422,9 +422,9 @@
             Self::count(&mut self.observed.rejections, now);
             caller.away_until.insert(number, now + retry_after.as_ms());
             if !(heeds && not_elsewhere) {
-                self.again(Request { ran: false, ..request }, if heeds { 20.0 + 80.0 * random } else { 5.0 });
+                self.retry(Request { ran: false, ..request }, if heeds { 20.0 + 80.0 * random } else { 5.0 });
             } else if retry_after > Span::ZERO {
-                self.again(Request { ran: false, ..request }, retry_after.as_ms());
+                self.retry(Request { ran: false, ..request }, retry_after.as_ms());
             }
         }
     }
@@ -436,7 +436,7 @@
         while self.now < self.over {
             self.now += TICK_MS;
             if self.lists.is_empty() || (self.now / 100.0) as usize > self.lists.len() {
-                // Newest first; a zone that is gone is taken off the list as late as any news.
+                // Newest first; a zone that is gone is taken off the endpoint list as late as any server.
                 let good =
                     self.servers.iter().map(|server| server.good && !self.lost_zones[server.zone]).collect();
                 self.lists.insert(0, good);
@@ -548,7 +548,7 @@
     });
 }
 
-/// Found: all stood still for 2 s, were late with what had waited, and went off the list at once, by news that reached
+/// Found: all stood still for 2 s, were late with what had waited, and went unlisted at once, by endpoint lists that reached
 /// callers when all was well; for 3 s these found nobody, and a tenth of the jobs were served by idle cores.
 #[test]
 fn a_fleet_that_stalled_is_not_unlisted_all_at_once() {
@@ -623,7 +623,7 @@
     });
 }
 
-/// All lag together: nobody else has room, and going off the list would only take it away.
+/// All lag together: nobody else has room, and going unlisted would only take it away.
 #[test]
 fn a_fleet_that_is_slow_as_a_whole_stays_listed() {
     let slow = |crowd: &mut Fleet| {
@@ -674,7 +674,7 @@
     let (mut off_for, mut retry_after) = (vec![], vec![]);
     for seed in 0..300 {
         let Setup { job_classes, machine, limits, dependency, callers } = setup.clone();
-        let mut control = Controller::new(
+        let mut controller = Controller::new(
             job_classes,
             vec![],
             machine,
@@ -690,7 +690,7 @@
             let count = if step == 100 { 40 } else { u32::from(step % 5 == 0 && step < 100) };
             let ended = runs.iter().take_while(|(_, since)| now.since(*since) >= ms(300.0)).count();
             let ended: Vec<(JobId, Time)> = runs.drain(..ended).collect();
-            let decisions = round(&mut control, now, |sink| {
+            let decisions = round(&mut controller, now, |sink| {
                 for number in 0..count {
                     let late = if step == 100 { 0.0 } else { 1500.0 };
                     sink.job_arrived(job(&format!("{step}-{number}"), now - ms(late)));
@@ -698,8 +698,8 @@
                 ended.iter().for_each(|(id, _)| sink.run_ended(id, Outcome::Completed, ms(300.0)));
                 sink.timer_fired(u64::MAX, Some(0.5));
             });
-            for act in decisions {
-                match act {
+            for decision in decisions {
+                match decision {
                     Decision::StartRun(id) => runs.push_back((id, now)),
                     Decision::Health(false) => off = off.or(Some(now)),
                     Decision::Health(true) => off_for.extend(off.take().map(|off| now.since(off).as_ms())),
--- a/crates/hazelgrade/tests/rules.rs
+++ b/crates/hazelgrade/tests/rules.rs
@@ -1,4 +1,4 @@
-//! A slow, plain model of the four rules plays the world beside the module on generated inputs. Every decision is
+//! A slow, plain model of the four rules plays the world beside the controller on generated inputs. Every decision is
 //! checked against what the rules allow, and every job against the one final answer it is owed.
 
 mod common;
@@ -40,7 +40,7 @@
     setup: Setup,
     random: MultiplyWithCarry,
     jobs: BTreeMap<JobId, Known>,
-    /// Entries: who holds it, and until when it lives.
+    /// Records: who holds it, and until when it lives.
     entries: BTreeMap<usize, (JobId, Time)>,
     /// When the first try that ran of a numbered request reached the machine.
     ran: BTreeMap<usize, Time>,
@@ -64,7 +64,7 @@
         least + (most - least) * self.random.next_f64()
     }
 
-    fn apply(&mut self, act: &Decision, now: Time) {
+    fn apply(&mut self, decision: &Decision, now: Time) {
         let (Decision::StartRun(id)
         | Decision::Reject(id, ..)
         | Decision::Fail(id)
@@ -73,9 +73,9 @@
         | Decision::CancelRun(id)
         | Decision::AwaitOriginal(id)
         | Decision::StoreRecord(id, _)
-        | Decision::RemoveRecord(id)) = act
+        | Decision::RemoveRecord(id)) = decision
         else {
-            match act {
+            match decision {
                 Decision::SetTimer(at, token) => self.timers.push((*at, *token)),
                 Decision::LoadSignal(_) => {
                     self.flag(self.setup.callers.signal == LoadSignal::Silent, "bad say", &"-".into())
@@ -98,7 +98,7 @@
             Idempotency::AtMostOnce => ran_ever,
             Idempotency::Idempotent => false,
         };
-        match act {
+        match decision {
             Decision::StartRun(_) => {
                 self.flag(stage != At::Held, "ran what is not held", id);
                 self.flag(ran_before, "ran twice", id);
@@ -110,7 +110,7 @@
             Decision::Reject(..) | Decision::Fail(_) => {
                 self.flag(!self.jobs[id].owed, "answered twice", id);
                 let once_ran = ran_before || ran_ever && case.idempotency != Idempotency::Idempotent;
-                self.flag(matches!(act, Decision::Reject(..)) && once_ran, "bounced what ran", id);
+                self.flag(matches!(decision, Decision::Reject(..)) && once_ran, "bounced what ran", id);
                 let last = self.jobs[id].due + self.setup.limits.answer_slack;
                 self.flag(now > last, "answered late", id);
             }
@@ -126,7 +126,7 @@
             _ => {}
         }
         let Some(known) = self.jobs.get_mut(id) else { return };
-        match act {
+        match decision {
             Decision::StartRun(_) if known.at == At::Held => {
                 (known.at, known.ran_ever, known.started) = (At::Cores(now + ms(work)), true, now);
             }
@@ -250,7 +250,7 @@
 /// Plays one generated day and returns the first rule broken.
 fn play(seed: u64) -> Option<String> {
     let mut world = world(seed);
-    let mut control = world.setup.control();
+    let mut controller = world.setup.controller();
     let begun = at(world.pick(-5000.0, 5000.0));
     let leaves = begun + ms(world.pick(1000.0, 25_000.0));
     let rate = world.pick(0.02, 0.6);
@@ -314,16 +314,16 @@
             owed.for_each(|known| known.due = known.due.max(paused_until));
         }
         world.now = now;
-        for act in &events(&mut world, &mut control, now, leaves).unwrap_or_default() {
-            world.apply(act, now);
+        for decision in &events(&mut world, &mut controller, now, leaves).unwrap_or_default() {
+            world.apply(decision, now);
         }
         world.check(now, begun);
     }
     world.fault
 }
 
-/// All that happens in the world at a tick, told to the module; its decisions, if anything happened.
-fn events(world: &mut World, control: &mut Controller, now: Time, leaves: Time) -> Option<Vec<Decision>> {
+/// All that happens in the world at a tick, told to the controller; its decisions, if anything happened.
+fn events(world: &mut World, controller: &mut Controller, now: Time, leaves: Time) -> Option<Vec<Decision>> {
     let (mut arrived, mut ended, mut at_call, mut returned, mut gone) =
         (vec![], vec![], vec![], vec![], vec![]);
     let ids: Vec<JobId> = world.jobs.keys().cloned().collect();
@@ -401,7 +401,7 @@
     if lists.iter().sum::<usize>() == 0 && leaving.is_none() {
         return None;
     }
-    Some(round(control, now, |sink| {
+    Some(round(controller, now, |sink| {
         sink.run_ended(&"stranger".into(), Outcome::Superseded, Span::ZERO); // odd but legal, as is the next
         sink.timer_fired(u64::MAX, None);
         arrived.into_iter().for_each(|job| sink.job_arrived(job));
--- a/crates/hazelgrade/tests/settings_updates.rs
+++ b/crates/hazelgrade/tests/settings_updates.rs
@@ -1,4 +1,4 @@
-//! Other figures between rounds: what is in hand keeps its own, what was learned stays with its place.
+//! Settings that take effect between rounds: jobs in flight keep their class, what was learned stays with its index.
 
 mod common;
 
@@ -24,41 +24,41 @@
 #[test]
 fn a_job_in_flight_keeps_its_deadline_and_one_that_arrives_later_has_the_new_one() {
     let setup = setup();
-    let mut control = setup.control();
-    // More than may run: the last ones are held.
-    let first = round(&mut control, at(0.0), |sink| {
+    let mut controller = setup.controller();
+    // More than may run: the last ones are queued.
+    let first = round(&mut controller, at(0.0), |sink| {
         (0..12).for_each(|n| sink.job_arrived(job(&format!("a{n}"), at(0.0))));
     });
-    let held = 12 - first.iter().filter(|act| matches!(act, Decision::StartRun(_))).count();
+    let held = 12 - first.iter().filter(|decision| matches!(decision, Decision::StartRun(_))).count();
     assert!(held > 0);
     let hasty = JobClass { latency_objective: ms(50.0), deadline: ms(100.0), ..setup.job_classes[0].clone() };
-    assert!(control.update_settings(at(10.0), revision(&setup, &[(hasty, true)], vec![])));
-    round(&mut control, at(20.0), |sink| sink.job_arrived(job("b", at(20.0))));
+    assert!(controller.update_settings(at(10.0), revision(&setup, &[(hasty, true)], vec![])));
+    round(&mut controller, at(20.0), |sink| sink.job_arrived(job("b", at(20.0))));
     // Long past the new deadline, well within the old latency objective.
-    let later = round(&mut control, at(300.0), |sink| sink.timer_fired(0, None));
-    let given_up = later.iter().filter_map(|act| match act {
+    let later = round(&mut controller, at(300.0), |sink| sink.timer_fired(0, None));
+    let given_up = later.iter().filter_map(|decision| match decision {
         Decision::Reject(id, ..) | Decision::Fail(id) => Some(&**id),
         _ => None,
     });
     assert_eq!(given_up.collect::<Vec<_>>(), ["b"], "only what came after has the new goal time");
-    let all = round(&mut control, at(2500.0), |sink| sink.timer_fired(1, None));
-    let rejected = all.iter().filter(|act| matches!(act, Decision::Reject(..))).count();
+    let all = round(&mut controller, at(2500.0), |sink| sink.timer_fired(1, None));
+    let rejected = all.iter().filter(|decision| matches!(decision, Decision::Reject(..))).count();
     assert!(rejected > 0, "at the goal time that they arrived under they are given up");
 }
 
 #[test]
 fn a_class_out_of_use_lets_its_jobs_end_and_indexes_are_never_taken_away() {
     let setup = setup();
-    let mut control = setup.control();
-    round(&mut control, at(0.0), |sink| sink.job_arrived(job("a", at(0.0))));
+    let mut controller = setup.controller();
+    round(&mut controller, at(0.0), |sink| sink.job_arrived(job("a", at(0.0))));
     let other = JobClass { priority_weight: 2.0, ..setup.job_classes[0].clone() };
     let gone = [(setup.job_classes[0].clone(), false), (other, true)];
-    assert!(control.update_settings(at(10.0), revision(&setup, &gone, vec![])));
+    assert!(controller.update_settings(at(10.0), revision(&setup, &gone, vec![])));
     assert!(
-        !control.update_settings(at(11.0), revision(&setup, &gone[..1], vec![])),
+        !controller.update_settings(at(11.0), revision(&setup, &gone[..1], vec![])),
         "a job in hand may name it"
     );
-    let decisions = round(&mut control, at(20.0), |sink| {
+    let decisions = round(&mut controller, at(20.0), |sink| {
         sink.run_ended(&"a".into(), Outcome::Completed, ms(20.0));
         sink.job_arrived(job_of_class("b", at(20.0), 1));
     });
@@ -70,24 +70,25 @@
     // Calls of 400 ms are learned; the wait budget of a later job then allows for them.
     let learned = |anew: Vec<usize>| {
         let setup = setup();
-        let mut control = setup.control();
+        let mut controller = setup.controller();
         for n in 0..20 {
             let (id, now) = (format!("a{n}"), f64::from(n) * 500.0);
-            round(&mut control, at(now), |sink| sink.job_arrived(job(&id, at(now))));
+            round(&mut controller, at(now), |sink| sink.job_arrived(job(&id, at(now))));
             let done = at(now + 400.0);
-            round(&mut control, done, |sink| {
+            round(&mut controller, done, |sink| {
                 sink.run_ended(&id.as_str().into(), Outcome::Completed, ms(400.0))
             });
         }
         let now = at(10_000.0);
         let same = [(setup.job_classes[0].clone(), true)];
-        assert!(control.update_settings(now, revision(&setup, &same, anew)));
-        round(&mut control, now, |sink| {
+        assert!(controller.update_settings(now, revision(&setup, &same, anew)));
+        round(&mut controller, now, |sink| {
             (0..60).for_each(|n| sink.job_arrived(job(&format!("b{n}"), now)));
         })
     };
-    let rejected =
-        |decisions: &[Decision]| decisions.iter().filter(|act| matches!(act, Decision::Reject(..))).count();
+    let rejected = |decisions: &[Decision]| {
+        decisions.iter().filter(|decision| matches!(decision, Decision::Reject(..))).count()
+    };
     let (kept, anew) = (rejected(&learned(vec![])), rejected(&learned(vec![0])));
     assert!(kept > 20, "{kept} of 60: it knows how long runs take");
     assert!(anew > 0 && anew <= kept, "{anew} of 60");
@@ -96,33 +97,37 @@
 #[test]
 fn a_controller_without_classes_serves_by_a_first_update() {
     let setup = Setup { job_classes: vec![], ..setup() };
-    let mut control = setup.control();
-    assert!(round(&mut control, at(0.0), |_| {}).iter().all(|act| !matches!(act, Decision::StartRun(_))));
+    let mut controller = setup.controller();
+    assert!(
+        round(&mut controller, at(0.0), |_| {})
+            .iter()
+            .all(|decision| !matches!(decision, Decision::StartRun(_)))
+    );
     let case = common::setup().job_classes[0].clone();
-    assert!(control.update_settings(at(10.0), revision(&setup, &[(case, true)], vec![])));
-    let decisions = round(&mut control, at(20.0), |sink| sink.job_arrived(job("a", at(20.0))));
+    assert!(controller.update_settings(at(10.0), revision(&setup, &[(case, true)], vec![])));
+    let decisions = round(&mut controller, at(20.0), |sink| sink.job_arrived(job("a", at(20.0))));
     assert!(decisions.contains(&Decision::StartRun("a".into())), "{decisions:?}");
 }
 
 #[test]
 fn a_job_over_its_callers_limit_waits_behind_one_that_is_not() {
     let setup = setup();
-    let mut control = setup.control();
-    let first = round(&mut control, at(0.0), |sink| {
+    let mut controller = setup.controller();
+    let first = round(&mut controller, at(0.0), |sink| {
         (0..8).for_each(|n| sink.job_arrived(job(&format!("a{n}"), at(0.0))));
     });
-    let running = first.iter().filter(|act| matches!(act, Decision::StartRun(_))).count();
-    round(&mut control, at(10.0), |sink| {
+    let running = first.iter().filter(|decision| matches!(decision, Decision::StartRun(_))).count();
+    round(&mut controller, at(10.0), |sink| {
         sink.job_arrived(Job { over_caller_limit: true, ..job("beyond", at(10.0)) });
         sink.job_arrived(job("within", at(10.0)));
     });
     let mut order = Vec::new();
     for n in 0..running {
         let id = format!("a{n}");
-        let decisions = round(&mut control, at(20.0 + n as f64), |sink| {
+        let decisions = round(&mut controller, at(20.0 + n as f64), |sink| {
             sink.run_ended(&id.as_str().into(), Outcome::Completed, ms(20.0));
         });
-        order.extend(decisions.into_iter().filter_map(|act| match act {
+        order.extend(decisions.into_iter().filter_map(|decision| match decision {
             Decision::StartRun(id) => Some(id),
             _ => None,
         }));
