--- a/crates/hazelgrade-demo/src/measure/budgets.rs
+++ b/crates/hazelgrade-demo/src/measure/budgets.rs
@@ -8,7 +8,7 @@
 use hazelgrade_fakes::fleet::{By, Fault, Fleet, Setting};
 use hazelgrade_fault_injection::group::Group;
 use hazelgrade_fault_injection::plan::{Disk, Fault as Trouble};
-use hazelgrade_fault_injection::shared::Setting as Shared;
+use hazelgrade_fault_injection::shared_budget::Setting as Shared;
 use std::time::{Duration, Instant};
 
 const SEEDS: u64 = 9;
@@ -181,9 +181,9 @@
     let all = |group: &mut Group| number(group, "granted") == 12;
     let (mut deaths, mut starts) = (Vec::new(), Vec::new());
     for turn in 0..5 {
-        group.comes(SOON, all);
+        group.wait_until(SOON, all);
         let began = Instant::now();
-        group.cause(Trouble::Kill { node: turn }).map_err(failed)?;
+        group.inject(Trouble::Kill { node: turn }).map_err(failed)?;
         let moved = |group: &mut Group| {
             let calls = group.service.budgets()["budgets"]["calls"].clone();
             let holders = calls["holders"].as_array().into_iter().flatten();
@@ -194,14 +194,14 @@
                 .sum::<u64>()
                 == 12
         };
-        group.comes(SOON, moved);
+        group.wait_until(SOON, moved);
         deaths.push(began.elapsed().as_secs_f64() * 1000.0);
-        group.cause(Trouble::Start { node: turn, disk: Disk::Own }).map_err(failed)?;
-        group.comes(SOON, all);
-        group.cause(Trouble::KillControl).map_err(failed)?;
+        group.inject(Trouble::Start { node: turn, disk: Disk::Own }).map_err(failed)?;
+        group.wait_until(SOON, all);
+        group.inject(Trouble::KillControl).map_err(failed)?;
         let began = Instant::now();
-        group.cause(Trouble::StartControl { disk: Disk::Own }).map_err(failed)?;
-        group.comes(SOON, all);
+        group.inject(Trouble::StartControl { disk: Disk::Own }).map_err(failed)?;
+        group.wait_until(SOON, all);
         starts.push(began.elapsed().as_secs_f64() * 1000.0);
     }
     let account = group.finish();
@@ -213,12 +213,12 @@
             vec!["the keeper is started anew: all is granted".into(), spread(starts, 0)],
         ],
     );
-    println!("the whole was passed {:?} times; rules broken: {}", account.passed, account.breaks().len());
+    println!("the whole was passed {:?} times; rules broken: {}", account.passed, account.violations().len());
 
     let served = |setting: Option<Shared>| -> Result<(String, String), String> {
         let mut group = Group::start_with(&program, &[SELF], 3, 40.0, setting)?;
         let from: usize = group.members.iter().map(|member| member.jobs()).sum();
-        group.comes(SOON, |group| {
+        group.wait_until(SOON, |group| {
             group.members.iter().map(|member| member.jobs()).sum::<usize>() >= from + 1500
         });
         let account = group.finish();
--- a/crates/hazelgrade-demo/src/measure/trouble.rs
+++ b/crates/hazelgrade-demo/src/measure/trouble.rs
@@ -3,9 +3,9 @@
 use crate::SELF;
 use crate::parts::{failed, program};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
-use hazelgrade_fault_injection::edge::Edge;
 use hazelgrade_fault_injection::plan::Plan;
-use hazelgrade_fault_injection::play::play;
+use hazelgrade_fault_injection::plan_run::play;
+use hazelgrade_fault_injection::proxy::FaultProxy;
 use hdrhistogram::Histogram;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -91,13 +91,13 @@
     format!("{:.digits$} ({:.digits$} to {:.digits$})", of[of.len() / 2], of[0], of[of.len() - 1])
 }
 
-fn edges() -> Result<Table, String> {
+fn proxies() -> Result<Table, String> {
     let plain = echo().map_err(failed)?;
-    let edge = Edge::tcp(plain).map_err(failed)?;
+    let proxy = FaultProxy::tcp(plain).map_err(failed)?;
     let mut rounds: [Vec<[f64; 3]>; 2] = Default::default();
     for _ in 0..ROUNDS {
         rounds[0].push(round(plain)?);
-        rounds[1].push(round(edge.address)?);
+        rounds[1].push(round(proxy.address)?);
     }
     let mut table = Table::new();
     table.load_style(ASCII_MARKDOWN);
@@ -115,8 +115,8 @@
         let began = Instant::now();
         let played = play(&Plan::draw(seed, 5, 14), &program()?, &[SELF])?;
         took.push(began.elapsed().as_secs_f64());
-        jobs.push(played.account.jobs.len() as f64);
-        broken += usize::from(!played.breaks.is_empty());
+        jobs.push(played.history.jobs.len() as f64);
+        broken += usize::from(!played.violations.is_empty());
     }
     let a_minute = 60.0 * took.len() as f64 / took.iter().sum::<f64>();
     let mut table = Table::new();
@@ -128,6 +128,6 @@
 }
 
 pub fn all() -> Result<bool, String> {
-    println!("{}\n\n{}", edges()?, plans()?);
+    println!("{}\n\n{}", proxies()?, plans()?);
     Ok(true)
 }
--- a/crates/hazelgrade-demo/src/scenes/budgets.rs
+++ b/crates/hazelgrade-demo/src/scenes/budgets.rs
@@ -6,7 +6,7 @@
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use hazelgrade_fault_injection::group::Group;
 use hazelgrade_fault_injection::plan::{Disk, Fault};
-use hazelgrade_fault_injection::shared::Setting;
+use hazelgrade_fault_injection::shared_budget::Setting;
 use std::time::{Duration, Instant};
 
 const WITHIN: Duration = Duration::from_secs(20);
@@ -31,7 +31,7 @@
     let mut good = true;
     let mut act = |group: &mut Group, name: &str, whole: u32, so: &dyn Fn(&[u64]) -> bool| {
         let began = Instant::now();
-        let came = group.comes(WITHIN, |group| so(&parts(group)));
+        let came = group.wait_until(WITHIN, |group| so(&parts(group)));
         good &= came;
         let (after, shown) = (began.elapsed().as_secs_f64(), parts(group));
         let in_hand = group.shared.as_ref().map_or(0, |shared| shared.dependency.in_hand());
@@ -48,20 +48,20 @@
     act(&mut group, "three nodes have the whole", WHOLE, &|parts| {
         sum(parts) == 12 && parts.iter().all(|part| *part >= 3)
     });
-    group.cause(Fault::Kill { node: 0 }).map_err(failed)?;
+    group.inject(Fault::Kill { node: 0 }).map_err(failed)?;
     act(&mut group, "n0 is killed: its part moves", WHOLE, &|parts| parts[1] + parts[2] == 12);
-    group.cause(Fault::Start { node: 0, disk: Disk::Own }).map_err(failed)?;
+    group.inject(Fault::Start { node: 0, disk: Disk::Own }).map_err(failed)?;
     act(&mut group, "n0 is back: it gets a share", WHOLE, &|parts| parts[0] >= 3);
-    group.cause(Fault::Whole { units: WHOLE / 2 }).map_err(failed)?;
+    group.inject(Fault::Whole { units: WHOLE / 2 }).map_err(failed)?;
     act(&mut group, "the whole is halved in use", WHOLE / 2, &|parts| sum(parts) == 6);
-    group.cause(Fault::KillControl).map_err(failed)?;
-    group.cause(Fault::StartControl { disk: Disk::Own }).map_err(failed)?;
+    group.inject(Fault::KillControl).map_err(failed)?;
+    group.inject(Fault::StartControl { disk: Disk::Own }).map_err(failed)?;
     act(&mut group, "the keeper died and is back", WHOLE / 2, &|parts| sum(parts) == 6);
     let peak = group.shared.as_ref().map_or(0, |shared| shared.dependency.peak());
     let account = group.finish();
     println!("\n{table}\n");
     println!("calls at the dependency at once: {peak} at most; past the whole: {:?}", account.passed);
-    let breaks = account.breaks();
+    let breaks = account.violations();
     breaks.iter().for_each(|broken| println!("BROKEN {broken}"));
     println!("rules: {}", if breaks.is_empty() { "all kept" } else { "BROKEN" });
     Ok(good && breaks.is_empty())
--- a/crates/hazelgrade-demo/src/trouble.rs
+++ b/crates/hazelgrade-demo/src/trouble.rs
@@ -6,7 +6,7 @@
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use hazelgrade_fakes::callers::Fate;
 use hazelgrade_fault_injection::plan::Plan;
-use hazelgrade_fault_injection::play::{Played, play as play_plan};
+use hazelgrade_fault_injection::plan_run::{PlanResult, play as play_plan};
 use hazelgrade_fault_injection::shrink::shrink;
 use pico_args::Arguments;
 use std::collections::BTreeMap;
@@ -61,20 +61,20 @@
 }
 
 impl Sum {
-    fn add(&mut self, plan: &Plan, played: &Played) {
+    fn add(&mut self, plan: &Plan, played: &PlanResult) {
         self.plans += 1;
         self.faults += plan.step.len();
         self.unmet += played.unmet;
-        for job in &played.account.jobs {
+        for job in &played.history.jobs {
             *self.jobs.entry(job.fate).or_default() += 1;
         }
-        if !played.breaks.is_empty() {
-            self.failed.push((plan.seed, played.breaks.iter().map(ToString::to_string).collect()));
+        if !played.violations.is_empty() {
+            self.failed.push((plan.seed, played.violations.iter().map(ToString::to_string).collect()));
         }
     }
 }
 
-fn once(plan: &Plan) -> Result<Played, String> {
+fn once(plan: &Plan) -> Result<PlanResult, String> {
     play_plan(plan, &program()?, &[SELF])
 }
 
@@ -106,12 +106,12 @@
             began.elapsed().as_secs_f64(),
             plan.seed,
             plan.step.len(),
-            played.account.jobs.len(),
+            played.history.jobs.len(),
             at.elapsed().as_secs_f64(),
-            if played.breaks.is_empty() { "kept" } else { "BROKEN" }
+            if played.violations.is_empty() { "kept" } else { "BROKEN" }
         );
-        if !played.breaks.is_empty() {
-            played.breaks.iter().take(5).for_each(|broken| println!("         {broken}"));
+        if !played.violations.is_empty() {
+            played.violations.iter().take(5).for_each(|broken| println!("         {broken}"));
             tell_least(&plan);
         }
         seed += 1;
@@ -145,8 +145,8 @@
     ]);
     println!("\n{table}\n");
     println!("{:.1} plans a minute", sum.plans as f64 * 60.0 / began.elapsed().as_secs_f64());
-    for (seed, breaks) in &sum.failed {
-        println!("seed {seed}: {}", breaks.join("; "));
+    for (seed, violations) in &sum.failed {
+        println!("seed {seed}: {}", violations.join("; "));
     }
     println!("rules: {}", if sum.failed.is_empty() { "all kept" } else { "BROKEN" });
     Ok(sum.failed.is_empty())
@@ -155,8 +155,8 @@
 /// Plays a plan that failed again, with fewer and fewer steps.
 fn tell_least(plan: &Plan) {
     println!("         shrinking, at most {TRIES} plans");
-    let least = shrink(plan, TRIES, |plan| once(plan).is_ok_and(|played| !played.breaks.is_empty()));
-    if least.step.len() < plan.step.len() || once(plan).is_ok_and(|played| !played.breaks.is_empty()) {
+    let least = shrink(plan, TRIES, |plan| once(plan).is_ok_and(|played| !played.violations.is_empty()));
+    if least.step.len() < plan.step.len() || once(plan).is_ok_and(|played| !played.violations.is_empty()) {
         println!("the least plan that failed, for --plan:\n\n{}", least.to_toml());
     } else {
         println!("played again, it kept the rules; the whole plan, for --plan:\n\n{}", plan.to_toml());
--- a/crates/hazelgrade-fault-injection/src/lane.rs
+++ b/crates/hazelgrade-fault-injection/src/direction.rs
@@ -16,7 +16,7 @@
 
 /// What a way does to what is sent on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Rules {
+pub struct LinkConditions {
     pub delay: Span,
     /// Bytes a second; as fast as may be without it.
     pub rate: Option<f64>,
@@ -32,7 +32,7 @@
 
 /// What is to be done now.
 #[derive(Debug, PartialEq)]
-pub enum Next {
+pub enum Delivery {
     Pass(Vec<u8>),
     Reset,
     /// Nothing before then, or before something comes or changes.
@@ -57,23 +57,23 @@
         self.waiting.is_empty()
     }
 
-    pub fn put(&mut self, now: Time, rules: &Rules, bytes: &[u8]) {
+    pub fn put(&mut self, now: Time, rules: &LinkConditions, bytes: &[u8]) {
         if !bytes.is_empty() {
             self.bytes += bytes.len();
             self.waiting.push_back((now + rules.delay, bytes.to_vec()));
         }
     }
 
-    pub fn next(&mut self, now: Time, rules: &Rules) -> Next {
+    pub fn next(&mut self, now: Time, rules: &LinkConditions) -> Delivery {
         if rules.reset_after.is_some_and(|after| self.passed >= after) {
-            return Next::Reset;
+            return Delivery::Reset;
         }
         let Some((due, bytes)) = self.waiting.front_mut().filter(|_| !rules.held) else {
-            return Next::Wait(None);
+            return Delivery::Wait(None);
         };
         let due = (*due).max(self.free_at.unwrap_or(*due));
         if due > now {
-            return Next::Wait(Some(due));
+            return Delivery::Wait(Some(due));
         }
         let left = rules.reset_after.map_or(usize::MAX, |after| (after - self.passed) as usize);
         // At a rate, in pieces of what passes in ten milliseconds.
@@ -87,7 +87,7 @@
         self.bytes -= out.len();
         self.passed += out.len() as u64;
         self.free_at = rules.rate.map(|rate| now + Span::from_ms(out.len() as f64 * 1000.0 / rate.max(1.0)));
-        Next::Pass(out)
+        Delivery::Pass(out)
     }
 }
 
@@ -104,7 +104,7 @@
         Datagrams { waiting: Vec::new(), count: 0, chance: MultiplyWithCarry::new(seed) }
     }
 
-    pub fn put(&mut self, now: Time, rules: &Rules, datagram: &[u8]) {
+    pub fn put(&mut self, now: Time, rules: &LinkConditions, datagram: &[u8]) {
         let draws = [self.chance.next_f64(), self.chance.next_f64(), self.chance.next_f64()];
         if rules.held || draws[0] < rules.lost || self.waiting.len() >= DATAGRAMS {
             return;
@@ -116,16 +116,16 @@
         }
     }
 
-    pub fn next(&mut self, now: Time) -> Next {
+    pub fn next(&mut self, now: Time) -> Delivery {
         let Some(first) =
             (0..self.waiting.len()).min_by_key(|place| (self.waiting[*place].0, self.waiting[*place].1))
         else {
-            return Next::Wait(None);
+            return Delivery::Wait(None);
         };
         if self.waiting[first].0 > now {
-            Next::Wait(Some(self.waiting[first].0))
+            Delivery::Wait(Some(self.waiting[first].0))
         } else {
-            Next::Pass(self.waiting.swap_remove(first).2)
+            Delivery::Pass(self.waiting.swap_remove(first).2)
         }
     }
 }
--- a/crates/hazelgrade-fault-injection/src/group.rs
+++ b/crates/hazelgrade-fault-injection/src/group.rs
@@ -1,10 +1,10 @@
 //! A group: nodes as processes, each with an executor and a database of its own, one registry, one control service, and
 //! callers; with an edge on every way between two of them.
 
-use crate::account::{Account, Job, Seen, Trouble};
-use crate::edge::{Edge, Way, at, ms, now};
-use crate::plan::{Disk, Fault, Link, Ways};
-use crate::shared::{Setting, Shared};
+use crate::history::{FaultKind, History, Job, NodeObservation};
+use crate::plan::{Directions, Disk, Fault, Link};
+use crate::proxy::{Direction, FaultProxy, at, ms, now};
+use crate::shared_budget::{Setting, Shared};
 use hazelgrade_config::{Document, Version};
 use hazelgrade_fakes::callers::{Callers, Fate};
 use hazelgrade_fakes::documents::{BOOK, Case, READ, document};
@@ -33,7 +33,7 @@
 pub struct Member {
     pub node: Node,
     pub executor: Executor,
-    pub edges: [Edge; 5],
+    pub proxies: [FaultProxy; 5],
     /// A copy of its store, as it was when the version before the last one was published.
     old: Option<Vec<u8>>,
     disk: u32,
@@ -54,7 +54,7 @@
     pub members: Vec<Member>,
     pub service: Service,
     pub registry: Registry,
-    pub account: Account,
+    pub history: History,
     /// What all nodes share, where they share something.
     pub shared: Option<Shared>,
     service_stopped: bool,
@@ -82,8 +82,8 @@
 }
 
 impl Member {
-    pub fn edge(&self, link: Link) -> &Edge {
-        &self.edges[link as usize]
+    pub fn proxy(&self, link: Link) -> &FaultProxy {
+        &self.proxies[link as usize]
     }
 
     pub fn is_ready(&self) -> bool {
@@ -157,15 +157,15 @@
         for number in 0..nodes {
             let executor = Executor::start(WORK)?;
             let listen = free_address();
-            let edges = [
-                Edge::tcp(listen)?,
-                Edge::tcp(executor.address)?,
-                Edge::tcp(match &shared {
+            let proxies = [
+                FaultProxy::tcp(listen)?,
+                FaultProxy::tcp(executor.address)?,
+                FaultProxy::tcp(match &shared {
                     Some(shared) => shared.dependency.address,
                     None => database::start(CALL)?,
                 })?,
-                Edge::udp(registry.address, number as u64)?,
-                Edge::tcp(controls[number % controls.len()])?,
+                FaultProxy::udp(registry.address, number as u64)?,
+                FaultProxy::tcp(controls[number % controls.len()])?,
             ];
             let plan = Plan {
                 program: program.into(),
@@ -173,19 +173,19 @@
                 folder: folder.path().into(),
                 name: format!("n{number}"),
                 listen,
-                executor: edges[Link::Executor as usize].address,
-                registry: edges[Link::Registry as usize].address,
-                database: Some(edges[Link::Database as usize].address),
-                control: vec![edges[Link::Control as usize].address],
+                executor: proxies[Link::Executor as usize].address,
+                registry: proxies[Link::Registry as usize].address,
+                database: Some(proxies[Link::Database as usize].address),
+                control: vec![proxies[Link::Control as usize].address],
                 stream: trial.clone(),
                 stop_ms: 5000,
                 log: std::env::var("RIG_LOG").unwrap_or_else(|_| "off".into()),
             };
-            let callers = Some(world::callers(edges[Link::Callers as usize].address, rate, &["read"]));
+            let callers = Some(world::callers(proxies[Link::Callers as usize].address, rate, &["read"]));
             members.push(Member {
                 node: plan.start()?,
                 executor,
-                edges,
+                proxies,
                 old: None,
                 disk: 0,
                 stopped: false,
@@ -198,16 +198,16 @@
             });
         }
         let numbers_anew = controls.len() > 1;
-        let mut account =
-            Account { numbers_anew, deadline: ms(CUT_OFF_MS), grace: ms(GRACE_MS), ..Account::default() };
+        let mut history =
+            History { numbers_anew, deadline: ms(CUT_OFF_MS), grace: ms(GRACE_MS), ..History::default() };
         // Until it listens, what callers send is refused.
-        (0..nodes).for_each(|node| account.begins(node, Trouble::Gone, now()));
+        (0..nodes).for_each(|node| history.begins(node, FaultKind::Gone, now()));
         Ok(Group {
             folder,
             members,
             service,
             registry,
-            account,
+            history,
             shared,
             service_stopped: false,
             old_counter: None,
@@ -228,29 +228,29 @@
     /// Waits until each node is ready, has the latest version as its good one, and goes on answering its callers.
     fn all_well(&mut self) -> bool {
         let digest = self.digest.clone();
-        let good = self.comes(AT_LAST, |group| {
+        let good = self.wait_until(AT_LAST, |group| {
             group.standings.iter().all(|(of, standing)| of.ends_with(&digest) && standing == "good")
                 && group.members.iter().all(Member::is_ready)
         });
         if good {
-            (0..self.members.len()).for_each(|node| self.account.ends(node, Trouble::Gone, now()));
+            (0..self.members.len()).for_each(|node| self.history.ends(node, FaultKind::Gone, now()));
         }
         let before: Vec<usize> = self.members.iter().map(Member::jobs).collect();
-        good && self.comes(AT_LAST, |group| {
+        good && self.wait_until(AT_LAST, |group| {
             group.members.iter().zip(&before).all(|(member, before)| member.jobs() >= before + 10)
         })
     }
 
     /// Waits for something, and keeps the account meanwhile; `false` if it doesn't come in time.
-    pub fn comes(&mut self, within: Duration, mut so: impl FnMut(&mut Group) -> bool) -> bool {
+    pub fn wait_until(&mut self, within: Duration, mut so: impl FnMut(&mut Group) -> bool) -> bool {
         comes_true(within, || {
-            self.look();
+            self.observe();
             so(self)
         })
     }
 
     /// Notes which processes run and who serves by what.
-    pub fn look(&mut self) {
+    pub fn observe(&mut self) {
         for (number, member) in self.members.iter_mut().enumerate() {
             if !member.running {
                 continue;
@@ -260,14 +260,14 @@
                 continue;
             };
             member.running = false;
-            self.account.begins(number, Trouble::Gone, at(member.ran));
+            self.history.begins(number, FaultKind::Gone, at(member.ran));
             if member.may_die {
                 continue;
             }
             if !member.leaving {
-                self.account.ends.push((number, format!("ended by itself: {status}")));
+                self.history.ends.push((number, format!("ended by itself: {status}")));
             } else if !status.success() {
-                self.account.ends.push((number, format!("left, but {status}")));
+                self.history.ends.push((number, format!("left, but {status}")));
             }
         }
         if self.looked.elapsed() < LOOK_EVERY || !self.service.is_running() || self.service_stopped {
@@ -305,7 +305,7 @@
             {
                 let standing = if word("of") == has { word("standing") } else { String::new() };
                 let (digest, at) = (digest.to_owned(), now());
-                self.account.saw(Seen {
+                self.history.record_observation(NodeObservation {
                     node: number,
                     at,
                     since: at,
@@ -318,89 +318,89 @@
         }
     }
 
-    fn held(&mut self, node: usize, link: Link, trouble: Trouble) {
+    fn held(&mut self, node: usize, link: Link, fault_kind: FaultKind) {
         match link {
-            Link::Callers => self.account.begins(node, trouble, now()),
-            Link::Executor | Link::Database => self.account.begins(node, Trouble::Hampered, now()),
+            Link::Callers => self.history.begins(node, fault_kind, now()),
+            Link::Executor | Link::Database => self.history.begins(node, FaultKind::Hampered, now()),
             Link::Registry | Link::Control => {}
         }
     }
 
     /// Brings a fault about. What can't be, as its process is not there, is left out.
-    pub fn cause(&mut self, fault: Fault) -> io::Result<()> {
+    pub fn inject(&mut self, fault: Fault) -> io::Result<()> {
         match fault {
-            Fault::Cut { node, link, ways } => {
-                self.held(node, link, Trouble::CallersHeld);
-                let edge = self.members[node].edge(link);
-                let ways: &[Way] = match ways {
-                    Ways::Both => &[Way::To, Way::Back],
-                    Ways::To => &[Way::To],
-                    Ways::Back => &[Way::Back],
+            Fault::Cut { node, link, directions } => {
+                self.held(node, link, FaultKind::CallersHeld);
+                let proxy = self.members[node].proxy(link);
+                let directions: &[Direction] = match directions {
+                    Directions::Both => &[Direction::To, Direction::Back],
+                    Directions::To => &[Direction::To],
+                    Directions::Back => &[Direction::Back],
                 };
-                ways.iter().for_each(|way| edge.set(*way, |rules| rules.held = true));
+                directions.iter().for_each(|way| proxy.set(*way, |rules| rules.held = true));
             }
             Fault::Delay { node, link, ms: late } => {
-                self.held(node, link, Trouble::CallersHeld);
-                let edge = self.members[node].edge(link);
-                edge.set_both(|rules| rules.delay = ms(f64::from(late)));
+                self.held(node, link, FaultKind::CallersHeld);
+                let proxy = self.members[node].proxy(link);
+                proxy.set_both(|rules| rules.delay = ms(f64::from(late)));
             }
             Fault::Rate { node, link, bytes_per_s } => {
-                self.held(node, link, Trouble::CallersHeld);
-                let edge = self.members[node].edge(link);
-                edge.set_both(|rules| rules.rate = Some(f64::from(bytes_per_s)));
+                self.held(node, link, FaultKind::CallersHeld);
+                let proxy = self.members[node].proxy(link);
+                proxy.set_both(|rules| rules.rate = Some(f64::from(bytes_per_s)));
             }
             Fault::Reset { node, link } => {
-                self.held(node, link, Trouble::CallersReset);
-                self.members[node].edge(link).reset();
+                self.held(node, link, FaultKind::CallersReset);
+                self.members[node].proxy(link).reset();
                 // A fault that lasts beside it goes on to excuse what it does.
-                let lasts = self.members[node].edge(link).is_faulty();
+                let lasts = self.members[node].proxy(link).is_faulty();
                 match link {
                     _ if lasts => {}
-                    Link::Callers => self.account.ends(node, Trouble::CallersReset, now()),
-                    _ => self.account.ends(node, Trouble::Hampered, now()),
+                    Link::Callers => self.history.ends(node, FaultKind::CallersReset, now()),
+                    _ => self.history.ends(node, FaultKind::Hampered, now()),
                 }
             }
             Fault::ResetAfter { node, link, bytes } => {
-                self.held(node, link, Trouble::CallersReset);
-                let edge = self.members[node].edge(link);
-                edge.set(Way::Back, |rules| rules.reset_after = Some(u64::from(bytes)));
+                self.held(node, link, FaultKind::CallersReset);
+                let proxy = self.members[node].proxy(link);
+                proxy.set(Direction::Back, |rules| rules.reset_after = Some(u64::from(bytes)));
             }
             Fault::Refuse { node, link } => {
-                self.held(node, link, Trouble::CallersReset);
-                self.members[node].edge(link).refuse(true);
+                self.held(node, link, FaultKind::CallersReset);
+                self.members[node].proxy(link).refuse(true);
             }
             Fault::Garble { node, lost, doubled, overtaken } => {
                 let part = |of: u32| f64::from(of) / 100.0;
-                self.members[node].edge(Link::Registry).set(Way::To, |rules| {
+                self.members[node].proxy(Link::Registry).set(Direction::To, |rules| {
                     (rules.lost, rules.doubled, rules.overtaken) =
                         (part(lost), part(doubled), part(overtaken));
                 });
             }
             Fault::Heal { node, link } => {
-                self.members[node].edge(link).heal();
+                self.members[node].proxy(link).heal();
                 if link == Link::Callers {
-                    self.account.ends(node, Trouble::CallersHeld, now());
-                    self.account.ends(node, Trouble::CallersReset, now());
+                    self.history.ends(node, FaultKind::CallersHeld, now());
+                    self.history.ends(node, FaultKind::CallersReset, now());
                 }
                 let below = [Link::Executor, Link::Database];
-                if !below.iter().any(|link| self.members[node].edge(*link).is_faulty()) {
-                    self.account.ends(node, Trouble::Hampered, now());
+                if !below.iter().any(|link| self.members[node].proxy(*link).is_faulty()) {
+                    self.history.ends(node, FaultKind::Hampered, now());
                 }
             }
             Fault::Stop { node } => {
-                self.account.begins(node, Trouble::Stopped, now());
+                self.history.begins(node, FaultKind::Stopped, now());
                 self.members[node].stopped(true);
             }
             Fault::Wake { node } => {
                 self.members[node].stopped(false);
-                self.account.ends(node, Trouble::Stopped, now());
+                self.history.ends(node, FaultKind::Stopped, now());
             }
             Fault::Kill { node } => {
-                self.account.begins(node, Trouble::Killed, now());
+                self.history.begins(node, FaultKind::Killed, now());
                 let member = &mut self.members[node];
                 member.node.kill();
                 (member.running, member.stopped) = (false, false);
-                self.account.ends(node, Trouble::Stopped, now());
+                self.history.ends(node, FaultKind::Stopped, now());
             }
             Fault::Term { node } => {
                 let member = &mut self.members[node];
@@ -418,9 +418,9 @@
             }
             Fault::StartControl { disk } => self.start_control(disk)?,
             Fault::KillOther | Fault::StopOther | Fault::WakeOther | Fault::StartOther { .. } => {
-                self.cause_other(fault)?;
+                self.inject_other(fault)?;
             }
-            Fault::CutKeepers { ways } => self.shared.iter().for_each(|shared| shared.cut(ways)),
+            Fault::CutKeepers { directions } => self.shared.iter().for_each(|shared| shared.cut(directions)),
             Fault::HealKeepers => self.shared.iter().for_each(Shared::heal),
             Fault::Whole { units } => {
                 if let Some(shared) = &mut self.shared {
@@ -433,7 +433,7 @@
         Ok(())
     }
 
-    fn cause_other(&mut self, fault: Fault) -> io::Result<()> {
+    fn inject_other(&mut self, fault: Fault) -> io::Result<()> {
         let Some(shared) = &mut self.shared else { return Ok(()) };
         let Some(mut other) = shared.other.take() else { return Ok(()) };
         match fault {
@@ -456,7 +456,7 @@
     }
 
     fn start_node(&mut self, node: usize, disk: Disk) -> io::Result<()> {
-        self.look();
+        self.observe();
         let member = &mut self.members[node];
         if member.running {
             if !member.leaving {
@@ -464,7 +464,7 @@
             }
             // It is to take its own place once it has left.
             let _ = comes_true(AT_LAST, || member.node.has_ended().is_some());
-            self.look();
+            self.observe();
         }
         let member = &mut self.members[node];
         let store = member.node.plan.store();
@@ -484,24 +484,24 @@
         // Runs of the one before are gone with it.
         member.executor.restart();
         // Until it is seen to be ready what callers send it is refused.
-        self.account.begins(node, Trouble::Gone, now());
+        self.history.begins(node, FaultKind::Gone, now());
         member.node.start_again()?;
         (member.running, member.leaving, member.stopped, member.ran) = (true, false, false, Instant::now());
         member.may_die = false;
-        self.account.ends(node, Trouble::Killed, now());
+        self.history.ends(node, FaultKind::Killed, now());
         let began = Instant::now();
         let member = &self.members[node];
         if comes_true(AT_LAST, || member.node.check().is_some()) {
-            self.account.ends(node, Trouble::Gone, now());
+            self.history.ends(node, FaultKind::Gone, now());
         } else {
-            self.account.missing.push(format!("node {node} does not listen after {:?}", began.elapsed()));
+            self.history.missing.push(format!("node {node} does not listen after {:?}", began.elapsed()));
         }
         Ok(())
     }
 
     /// Starts a node that may die by its own store at any moment from now on.
     pub fn starts_and_may_die(&mut self, node: usize) -> io::Result<()> {
-        self.account.begins(node, Trouble::Killed, now());
+        self.history.begins(node, FaultKind::Killed, now());
         let member = &mut self.members[node];
         member.executor.restart();
         member.node.start_again()?;
@@ -512,14 +512,14 @@
     /// It did not die: from now on it may not.
     pub fn survived(&mut self, node: usize) {
         self.members[node].may_die = false;
-        self.account.ends(node, Trouble::Killed, now());
-        self.account.ends(node, Trouble::Gone, now());
+        self.history.ends(node, FaultKind::Killed, now());
+        self.history.ends(node, FaultKind::Gone, now());
     }
 
     /// Whether callers of this node are served by the latest document, seen by a job class of its own.
     pub fn serves_latest(&self, node: usize, within: Duration) -> bool {
         let latest = format!("v{}", self.published);
-        let callers = world::callers(self.members[node].edge(Link::Callers).address, 50.0, &[&latest]);
+        let callers = world::callers(self.members[node].proxy(Link::Callers).address, 50.0, &[&latest]);
         let served = comes_true(within, || callers.told().iter().any(|told| told.fate == Fate::Succeeded));
         callers.stop();
         served
@@ -533,13 +533,13 @@
             Disk::Old => {
                 if let Some(old) = &self.old_counter {
                     std::fs::write(&counter, old)?;
-                    self.account.numbers_anew = true;
+                    self.history.numbers_anew = true;
                 }
             }
             Disk::Empty => {
                 std::fs::remove_file(&counter)
                     .or_else(|error| if counter.exists() { Err(error) } else { Ok(()) })?;
-                self.account.numbers_anew = true;
+                self.history.numbers_anew = true;
             }
         }
         if let Some(shared) = &self.shared {
@@ -573,7 +573,7 @@
         let document = numbered(self.published, harmful).map_err(io::Error::other)?;
         self.digest = shown(&document);
         if harmful {
-            self.account.harmful.push(self.digest.clone());
+            self.history.harmful.push(self.digest.clone());
         }
         if let Some(other) = self.shared.as_ref().and_then(|shared| shared.other.as_ref()) {
             other.publish(&document.to_toml())?;
@@ -587,7 +587,7 @@
             .filter(|node| self.members[*node].running && !self.members[*node].stopped)
             .collect();
         for node in &running {
-            self.account.begins(*node, Trouble::Stopped, now());
+            self.history.begins(*node, FaultKind::Stopped, now());
             self.members[*node].stopped(true);
         }
         let service = !self.service_stopped && self.service.signal(Signal::STOP);
@@ -602,34 +602,34 @@
         }
         for node in &running {
             self.members[*node].stopped(false);
-            self.account.ends(*node, Trouble::Stopped, now());
+            self.history.ends(*node, FaultKind::Stopped, now());
         }
     }
 
     /// Ends every fault, sees that all is well again, and has all leave; gives the account.
-    pub fn finish(mut self) -> Account {
+    pub fn finish(mut self) -> History {
         let failed = |error: io::Error| error.to_string();
         for node in 0..self.members.len() {
             for link in [Link::Callers, Link::Executor, Link::Database, Link::Registry, Link::Control] {
-                let _ = self.cause(Fault::Heal { node, link });
+                let _ = self.inject(Fault::Heal { node, link });
             }
             if self.members[node].stopped {
-                let _ = self.cause(Fault::Wake { node });
+                let _ = self.inject(Fault::Wake { node });
             }
-            self.look();
+            self.observe();
             if (!self.members[node].running || self.members[node].leaving)
-                && let Err(why) = self.cause(Fault::Start { node, disk: Disk::Own }).map_err(failed)
+                && let Err(why) = self.inject(Fault::Start { node, disk: Disk::Own }).map_err(failed)
             {
-                self.account.missing.push(format!("node {node} can't be started: {why}"));
+                self.history.missing.push(format!("node {node} can't be started: {why}"));
             }
         }
         if self.service_stopped {
-            let _ = self.cause(Fault::WakeControl);
+            let _ = self.inject(Fault::WakeControl);
         }
         if !self.service.is_running()
             && let Err(why) = self.start_control(Disk::Own).map_err(failed)
         {
-            self.account.missing.push(format!("the control service can't be started: {why}"));
+            self.history.missing.push(format!("the control service can't be started: {why}"));
         }
         if let Some(shared) = &self.shared {
             shared.heal();
@@ -637,13 +637,13 @@
                 (shared.other_stopped, shared.other.as_ref().is_none_or(Service::is_running));
             let again = if stopped { Some(Fault::WakeOther) } else { None };
             let again = if running { again } else { Some(Fault::StartOther { disk: Disk::Own }) };
-            if let Some(Err(why)) = again.map(|fault| self.cause(fault).map_err(failed)) {
-                self.account.missing.push(format!("the other control service can't be started: {why}"));
+            if let Some(Err(why)) = again.map(|fault| self.inject(fault).map_err(failed)) {
+                self.history.missing.push(format!("the other control service can't be started: {why}"));
             }
         }
         // Of what was published while things failed a node may have gone back; a fresh one is taken by all.
         if let Err(why) = self.publish(false).map_err(failed) {
-            self.account.missing.push(format!("nothing can be published: {why}"));
+            self.history.missing.push(format!("nothing can be published: {why}"));
         }
         if !self.all_well() {
             let stand: Vec<String> = (0..self.members.len())
@@ -659,14 +659,14 @@
                     )
                 })
                 .collect();
-            self.account.missing.push(format!("{} expected: {}", self.digest, stand.join("; ")));
+            self.history.missing.push(format!("{} expected: {}", self.digest, stand.join("; ")));
         }
         self.probe();
         for (number, member) in self.members.iter_mut().enumerate() {
             let Some(callers) = member.callers.take() else { continue };
             let (told, twice) = callers.stop();
-            self.account.answered_twice += twice;
-            self.account.jobs.extend(told.into_iter().map(|told| Job {
+            self.history.answered_twice += twice;
+            self.history.jobs.extend(told.into_iter().map(|told| Job {
                 node: number,
                 id: told.id,
                 sent: at(told.sent),
@@ -677,19 +677,19 @@
         for member in &mut self.members {
             member.leaving = member.node.signal("TERM");
         }
-        if !self.comes(AT_LAST, |group| group.members.iter().all(|member| !member.running)) {
-            self.account.missing.push("a node does not leave".into());
+        if !self.wait_until(AT_LAST, |group| group.members.iter().all(|member| !member.running)) {
+            self.history.missing.push("a node does not leave".into());
         }
-        self.account.passed = self.shared.as_ref().map(|shared| shared.dependency.passed());
-        self.account.runs = self.members.iter().map(|member| member.executor.runs()).collect();
-        self.account
+        self.history.passed = self.shared.as_ref().map(|shared| shared.dependency.passed());
+        self.history.runs = self.members.iter().map(|member| member.executor.runs()).collect();
+        self.history
     }
 
     /// What a node serves by is seen where it takes effect: jobs of the latest document's own job class are served.
     fn probe(&mut self) {
         for node in 0..self.members.len() {
             if self.members[node].running && !self.serves_latest(node, AT_LAST) {
-                self.account.missing.push(format!("node {node} does not serve by the latest document"));
+                self.history.missing.push(format!("node {node} does not serve by the latest document"));
             }
         }
     }
--- a/crates/hazelgrade-fault-injection/src/account.rs
+++ b/crates/hazelgrade-fault-injection/src/history.rs
@@ -17,7 +17,7 @@
 
 /// What was done to a node that excuses something.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum FaultKind {
     /// Killed: what it had in hand is lost.
     Killed,
     /// Not running after an orderly end: what reaches it then is refused, and never ran.
@@ -33,9 +33,9 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Spell {
+pub struct FaultInterval {
     pub node: usize,
-    pub trouble: Trouble,
+    pub fault_kind: FaultKind,
     pub from: Time,
     /// None while it lasts.
     pub to: Option<Time>,
@@ -52,7 +52,7 @@
 
 /// What a node was seen to serve by, by the control service that it follows.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct NodeObservation {
     pub node: usize,
     pub at: Time,
     /// When it was looked at before: it has been so since some moment in between.
@@ -65,16 +65,16 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Account {
+pub struct History {
     pub deadline: Span,
     pub grace: Span,
-    pub spells: Vec<Spell>,
+    pub fault_intervals: Vec<FaultInterval>,
     pub jobs: Vec<Job>,
     /// How often each job was started, by node.
     pub runs: Vec<BTreeMap<String, u32>>,
     /// Answers for no open call.
     pub answered_twice: u64,
-    pub seen: Vec<Seen>,
+    pub seen: Vec<NodeObservation>,
     /// When each node was last looked at.
     pub looks: BTreeMap<usize, Time>,
     /// What was published: digests of documents that do harm.
@@ -91,53 +91,59 @@
 
 /// A rule that was broken, and by what.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Break {
+pub struct Violation {
     pub rule: &'static str,
     pub what: String,
 }
 
-impl Display for Break {
+impl Display for Violation {
     fn fmt(&self, to: &mut Formatter<'_>) -> std::fmt::Result {
         write!(to, "{}: {}", self.rule, self.what)
     }
 }
 
-impl Account {
-    pub fn begins(&mut self, node: usize, trouble: Trouble, from: Time) {
-        if !self.lasts(node, trouble) {
-            self.spells.push(Spell { node, trouble, from, to: None });
+impl History {
+    pub fn begins(&mut self, node: usize, fault_kind: FaultKind, from: Time) {
+        if !self.lasts(node, fault_kind) {
+            self.fault_intervals.push(FaultInterval { node, fault_kind, from, to: None });
         }
     }
 
-    pub fn ends(&mut self, node: usize, trouble: Trouble, to: Time) {
-        let open = |spell: &&mut Spell| spell.node == node && spell.trouble == trouble && spell.to.is_none();
-        self.spells.iter_mut().filter(open).for_each(|spell| spell.to = Some(to));
+    pub fn ends(&mut self, node: usize, fault_kind: FaultKind, to: Time) {
+        let open = |interval: &&mut FaultInterval| {
+            interval.node == node && interval.fault_kind == fault_kind && interval.to.is_none()
+        };
+        self.fault_intervals.iter_mut().filter(open).for_each(|interval| interval.to = Some(to));
     }
 
-    pub fn lasts(&self, node: usize, trouble: Trouble) -> bool {
-        self.spells.iter().any(|spell| spell.node == node && spell.trouble == trouble && spell.to.is_none())
+    pub fn lasts(&self, node: usize, fault_kind: FaultKind) -> bool {
+        self.fault_intervals.iter().any(|interval| {
+            interval.node == node && interval.fault_kind == fault_kind && interval.to.is_none()
+        })
     }
 
     /// What was seen of a node: noted only when it differs from before.
-    pub fn saw(&mut self, mut seen: Seen) {
+    pub fn record_observation(&mut self, mut seen: NodeObservation) {
         seen.since = self.looks.insert(seen.node, seen.at).unwrap_or(seen.at);
         let before = self.seen.iter().rev().find(|before| before.node == seen.node);
-        if before.is_none_or(|before| Seen { at: before.at, since: before.since, ..seen.clone() } != *before)
-        {
+        if before.is_none_or(|before| {
+            NodeObservation { at: before.at, since: before.since, ..seen.clone() } != *before
+        }) {
             self.seen.push(seen);
         }
     }
 
     /// Whether one of these troubles of the node touches the time from the job's sending to its end.
-    fn excused(&self, job: &Job, by: &[Trouble]) -> bool {
+    fn excused(&self, job: &Job, by: &[FaultKind]) -> bool {
         let (unsure, crossing) = (Span::from_ms(UNSURE_MS), Span::from_ms(CROSSING_MS));
         let (from, to) = (job.sent - unsure, job.sent + job.after + unsure);
-        self.spells.iter().filter(|spell| spell.node == job.node && by.contains(&spell.trouble)).any(
-            |spell| {
-                let early = if spell.trouble == Trouble::Gone { crossing } else { Span::ZERO };
-                spell.from - early <= to && spell.to.is_none_or(|end| end >= from)
-            },
-        )
+        self.fault_intervals
+            .iter()
+            .filter(|interval| interval.node == job.node && by.contains(&interval.fault_kind))
+            .any(|interval| {
+                let early = if interval.fault_kind == FaultKind::Gone { crossing } else { Span::ZERO };
+                interval.from - early <= to && interval.to.is_none_or(|end| end >= from)
+            })
     }
 
     fn ran(&self, job: &Job) -> bool {
@@ -145,10 +151,10 @@
     }
 
     /// Every rule that was broken.
-    pub fn breaks(&self) -> Vec<Break> {
-        let mut breaks = Vec::new();
-        let mut say = |rule, what: String| breaks.push(Break { rule, what });
-        use Trouble::*;
+    pub fn violations(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        let mut say = |rule, what: String| violations.push(Violation { rule, what });
+        use FaultKind::*;
         for job in &self.jobs {
             let shown = || {
                 format!("job {} of node {}, {:?} after {} ms", job.id, job.node, job.fate, job.after.as_ms())
@@ -196,13 +202,13 @@
         self.check_versions(&mut say);
         self.ends.iter().for_each(|(node, how)| say("safe drain", format!("node {node} {how}")));
         self.missing.iter().for_each(|what| say("all is well again", what.clone()));
-        breaks
+        violations
     }
 
     /// No two nodes by different documents of one number; no node ever by a second one; none back but after a trial; none good by what does harm.
     fn check_versions(&self, say: &mut impl FnMut(&'static str, String)) {
-        let mut documents: BTreeMap<u64, &Seen> = BTreeMap::new();
-        let mut last: BTreeMap<usize, &Seen> = BTreeMap::new();
+        let mut documents: BTreeMap<u64, &NodeObservation> = BTreeMap::new();
+        let mut last: BTreeMap<usize, &NodeObservation> = BTreeMap::new();
         let mut own: BTreeMap<(usize, u32, u64), &str> = BTreeMap::new();
         for seen in &self.seen {
             let first = *own.entry((seen.node, seen.disk, seen.number)).or_insert(&seen.digest);
@@ -237,19 +243,22 @@
 
     /// Whether anything was done to the node while the version was on trial: with few jobs, or none that fare well
     /// before, service proves nothing.
-    fn unjudged(&self, seen: &Seen) -> bool {
+    fn unjudged(&self, seen: &NodeObservation) -> bool {
         let from = seen.since - Span::from_ms(TRIAL_MS);
-        let of_node = self.spells.iter().filter(|spell| spell.node == seen.node && spell.from <= seen.at);
-        of_node.into_iter().any(|spell| spell.to.is_none_or(|to| to >= from))
+        let of_node = self
+            .fault_intervals
+            .iter()
+            .filter(|interval| interval.node == seen.node && interval.from <= seen.at);
+        of_node.into_iter().any(|interval| interval.to.is_none_or(|to| to >= from))
     }
 
     /// The part of a node's jobs, sent in this time, that were succeeded within `goal`; none if it had none.
-    pub fn part_served(&self, node: usize, from: Time, to: Time, goal: Span) -> Option<f64> {
+    pub fn served_ratio(&self, node: usize, from: Time, to: Time, goal: Span) -> Option<f64> {
         self.part(node, from, to, |job| job.fate == Fate::Succeeded && job.after <= goal)
     }
 
     /// What was answered by then, whatever the answer, in parts of all.
-    pub fn part_answered(&self, node: usize, from: Time, to: Time, within: Span) -> Option<f64> {
+    pub fn answered_ratio(&self, node: usize, from: Time, to: Time, within: Span) -> Option<f64> {
         self.part(node, from, to, |job| job.fate != Fate::Lost && job.after <= within)
     }
 
--- a/crates/hazelgrade-fault-injection/src/lib.rs
+++ b/crates/hazelgrade-fault-injection/src/lib.rs
@@ -2,15 +2,15 @@
 //! checkers judge. For tests and campaigns; nothing here is part of the program. Everything stays on loopback.
 //!
 //! What decides is pure and apart from the processes: `lane` (what becomes of bytes on one way of an edge), `plan`
-//! (which fault when, by what has happened), `account` (whether the rules were kept), `shrink` (the least plan that
+//! (which fault when, by what has happened), `history` (whether the rules were kept), `shrink` (the least plan that
 //! still breaks them).
 
-pub mod account;
-pub mod edge;
+pub mod direction;
 pub mod group;
-pub mod lane;
-pub mod light;
+pub mod history;
 pub mod plan;
-pub mod play;
-pub mod shared;
+pub mod plan_run;
+pub mod proxy;
+pub mod shared_budget;
 pub mod shrink;
+pub mod subscriber_fleet;
--- a/crates/hazelgrade-fault-injection/src/plan.rs
+++ b/crates/hazelgrade-fault-injection/src/plan.rs
@@ -7,7 +7,7 @@
 /// What has to have happened, since the step before, for a step to be taken.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cue {
+pub enum Trigger {
     Now,
     /// So many more answers reached callers, over the whole group.
     Answers(u64),
@@ -36,7 +36,7 @@
 /// `To` the process that listens, as seen from the edge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ways {
+pub enum Directions {
     Both,
     To,
     Back,
@@ -58,7 +58,8 @@
     Cut {
         node: usize,
         link: Link,
-        ways: Ways,
+        #[serde(rename = "ways")]
+        directions: Directions,
     },
     Delay {
         node: usize,
@@ -131,7 +132,8 @@
     },
     /// The keepers of the two sites, from each other.
     CutKeepers {
-        ways: Ways,
+        #[serde(rename = "ways")]
+        directions: Directions,
     },
     HealKeepers,
     /// Publishes budgets with another whole.
@@ -146,7 +148,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    pub cue: Cue,
+    #[serde(rename = "cue")]
+    pub trigger: Trigger,
     pub fault: Fault,
 }
 
@@ -179,8 +182,11 @@
     pub fn read(text: &str) -> Result<Plan, String> {
         let plan: Plan = toml::from_str(text).map_err(|error| error.to_string())?;
         let named = plan.step.iter().filter_map(|step| step.fault.node()).chain(plan.step.iter().filter_map(
-            |step| match step.cue {
-                Cue::OnTrial(node) | Cue::Draining(node) | Cue::Ended(node) | Cue::Ready(node) => Some(node),
+            |step| match step.trigger {
+                Trigger::OnTrial(node)
+                | Trigger::Draining(node)
+                | Trigger::Ended(node)
+                | Trigger::Ready(node) => Some(node),
                 _ => None,
             },
         ));
@@ -214,11 +220,11 @@
                 other => other,
             };
             step.push(Step { fault, ..one });
-            let cue = Cue::Answers(5 + pick(60) as u64);
+            let trigger = Trigger::Answers(5 + pick(60) as u64);
             let more = match pick(8) {
-                0 if sites > 1 && !keepers_cut => {
-                    Some(Fault::CutKeepers { ways: [Ways::Both, Ways::To, Ways::Back][pick(3)] })
-                }
+                0 if sites > 1 && !keepers_cut => Some(Fault::CutKeepers {
+                    directions: [Directions::Both, Directions::To, Directions::Back][pick(3)],
+                }),
                 1 if keepers_cut => Some(Fault::HealKeepers),
                 2 if sites > 1 && other_out.is_none() => Some([Fault::KillOther, Fault::StopOther][pick(2)]),
                 3 | 4 if other_out.is_some() => match other_out {
@@ -239,7 +245,7 @@
                 Some(Fault::Whole { units }) => lowered = units < whole,
                 _ => {}
             }
-            step.extend(more.map(|fault| Step { cue, fault }));
+            step.extend(more.map(|fault| Step { trigger, fault }));
         }
         plan.step = step;
         plan.shared = Some(SharedSeed { sites, whole });
@@ -262,16 +268,16 @@
                     !(matches!(end, Fault::Wake { .. } | Fault::Start { .. }) && end.node() == Some(*node))
                 });
                 control_out &= !matches!(end, Fault::WakeControl | Fault::StartControl { .. });
-                step.push(Step { cue: Cue::Answers(10 + pick(60) as u64), fault: end });
+                step.push(Step { trigger: Trigger::Answers(10 + pick(60) as u64), fault: end });
             }
             let node = pick(nodes);
             let link =
                 [Link::Callers, Link::Executor, Link::Database, Link::Registry, Link::Control][pick(5)];
-            let ways = [Ways::Both, Ways::To, Ways::Back][pick(3)];
+            let directions = [Directions::Both, Directions::To, Directions::Back][pick(3)];
             let disk = [Disk::Own, Disk::Own, Disk::Old, Disk::Empty][pick(4)];
             let heal = Fault::Heal { node, link };
             let (fault, end) = match pick(16) {
-                0 | 1 => (Fault::Cut { node, link, ways }, Some(heal)),
+                0 | 1 => (Fault::Cut { node, link, directions }, Some(heal)),
                 2 => (Fault::Delay { node, link, ms: 1 + pick(80) as u32 }, Some(heal)),
                 3 => (Fault::Rate { node, link, bytes_per_s: 20_000 + 1000 * pick(100) as u32 }, Some(heal)),
                 4 => (Fault::Reset { node, link }, None),
@@ -301,12 +307,12 @@
                 Fault::KillControl | Fault::StopControl => control_out = true,
                 _ => {}
             }
-            let cue = match pick(6) {
-                0 => Cue::Now,
-                1 if !control_out => Cue::Acknowledged(1 + pick(nodes)),
-                _ => Cue::Answers(5 + pick(80) as u64),
+            let trigger = match pick(6) {
+                0 => Trigger::Now,
+                1 if !control_out => Trigger::Acknowledged(1 + pick(nodes)),
+                _ => Trigger::Answers(5 + pick(80) as u64),
             };
-            step.push(Step { cue, fault });
+            step.push(Step { trigger, fault });
             open.extend(end);
         }
         Plan { seed, nodes, rate: 40.0, shared: None, step }
--- a/crates/hazelgrade-fault-injection/src/edge.rs
+++ b/crates/hazelgrade-fault-injection/src/proxy.rs
@@ -1,6 +1,6 @@
 //! Edges: every connection or datagram between two processes of a test goes through one, at an address of its own.
 
-use crate::lane::{Datagrams, Next, Rules, Stream};
+use crate::direction::{Datagrams, Delivery, LinkConditions, Stream};
 use async_executor::Executor;
 use async_io::{Async, Timer};
 use event_listener::Event;
@@ -19,11 +19,11 @@
 
 /// All edges of a process are served here, by two threads.
 static EDGES: LazyLock<&'static Executor<'static>> = LazyLock::new(|| {
-    let edges: &'static Executor<'static> = Box::leak(Box::new(Executor::new()));
+    let proxies: &'static Executor<'static> = Box::leak(Box::new(Executor::new()));
     for _ in 0..2 {
-        std::thread::spawn(|| async_io::block_on(edges.run(pending::<()>())));
+        std::thread::spawn(|| async_io::block_on(proxies.run(pending::<()>())));
     }
-    edges
+    proxies
 });
 static BEGAN: LazyLock<Instant> = LazyLock::new(Instant::now);
 
@@ -47,14 +47,14 @@
 
 /// Towards the process that listens behind the edge, or back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     To,
     Back,
 }
 
 struct Shared {
     target: Mutex<SocketAddr>,
-    rules: Mutex<[Rules; 2]>,
+    rules: Mutex<[LinkConditions; 2]>,
     refuses: AtomicBool,
     /// Grows with each order to reset what stands.
     resets: AtomicU64,
@@ -65,7 +65,7 @@
 
 /// A handle; clones are the same edge. It is there until the process ends.
 #[derive(Clone)]
-pub struct Edge {
+pub struct FaultProxy {
     shared: Arc<Shared>,
     pub address: SocketAddr,
 }
@@ -74,8 +74,8 @@
     of.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Edge {
-    fn new(target: SocketAddr, address: SocketAddr) -> Edge {
+impl FaultProxy {
+    fn new(target: SocketAddr, address: SocketAddr) -> FaultProxy {
         let shared = Shared {
             target: Mutex::new(target),
             rules: Mutex::default(),
@@ -85,26 +85,26 @@
             connections: AtomicU64::new(0),
             passed: Default::default(),
         };
-        Edge { shared: Arc::new(shared), address }
+        FaultProxy { shared: Arc::new(shared), address }
     }
 
     /// An edge for connections.
-    pub fn tcp(target: SocketAddr) -> io::Result<Edge> {
+    pub fn tcp(target: SocketAddr) -> io::Result<FaultProxy> {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
         rustix::net::listen(&listener, 4096)?;
-        let edge = Edge::new(target, listener.get_ref().local_addr()?);
-        let shared = edge.shared.clone();
+        let proxy = FaultProxy::new(target, listener.get_ref().local_addr()?);
+        let shared = proxy.shared.clone();
         EDGES.spawn(accept(listener, shared)).detach();
-        Ok(edge)
+        Ok(proxy)
     }
 
     /// An edge for datagrams that nobody answers; `seed` draws which are lost, doubled or overtaken.
-    pub fn udp(target: SocketAddr, seed: u64) -> io::Result<Edge> {
+    pub fn udp(target: SocketAddr, seed: u64) -> io::Result<FaultProxy> {
         let socket = Async::<UdpSocket>::bind(([127, 0, 0, 1], 0))?;
-        let edge = Edge::new(target, socket.get_ref().local_addr()?);
-        let shared = edge.shared.clone();
+        let proxy = FaultProxy::new(target, socket.get_ref().local_addr()?);
+        let shared = proxy.shared.clone();
         EDGES.spawn(forward(socket, shared, seed)).detach();
-        Ok(edge)
+        Ok(proxy)
     }
 
     /// The process behind it is elsewhere from now on.
@@ -113,13 +113,13 @@
     }
 
     /// Changes the rules of a way; what waits on it goes by the new ones.
-    pub fn set(&self, way: Way, change: impl FnOnce(&mut Rules)) {
+    pub fn set(&self, way: Direction, change: impl FnOnce(&mut LinkConditions)) {
         change(&mut lock(&self.shared.rules)[way as usize]);
         self.shared.changed.notify(usize::MAX);
     }
 
-    pub fn set_both(&self, change: impl Fn(&mut Rules)) {
-        [Way::To, Way::Back].into_iter().for_each(|way| self.set(way, &change));
+    pub fn set_both(&self, change: impl Fn(&mut LinkConditions)) {
+        [Direction::To, Direction::Back].into_iter().for_each(|way| self.set(way, &change));
     }
 
     /// Cut both ways: connections stand and nothing comes through.
@@ -130,12 +130,13 @@
     /// As if nothing had been; what was held goes on.
     pub fn heal(&self) {
         self.shared.refuses.store(false, Ordering::SeqCst);
-        self.set_both(|rules| *rules = Rules::default());
+        self.set_both(|rules| *rules = LinkConditions::default());
     }
 
     /// Anything but a plain way.
     pub fn is_faulty(&self) -> bool {
-        self.shared.refuses.load(Ordering::SeqCst) || *lock(&self.shared.rules) != [Rules::default(); 2]
+        self.shared.refuses.load(Ordering::SeqCst)
+            || *lock(&self.shared.rules) != [LinkConditions::default(); 2]
     }
 
     /// New connections are reset at once.
@@ -155,7 +156,7 @@
     }
 
     /// Bytes that came through so far.
-    pub fn passed(&self, way: Way) -> u64 {
+    pub fn passed(&self, way: Direction) -> u64 {
         self.shared.passed[way as usize].load(Ordering::SeqCst)
     }
 }
@@ -173,7 +174,7 @@
         self.broken.load(Ordering::SeqCst) || shared.resets.load(Ordering::SeqCst) != self.resets
     }
 
-    fn breaks(&self, shared: &Shared) {
+    fn violations(&self, shared: &Shared) {
         self.broken.store(true, Ordering::SeqCst);
         shared.changed.notify(usize::MAX);
     }
@@ -207,7 +208,7 @@
         if shared.resets.load(Ordering::SeqCst) != resets {
             return reset(&near);
         }
-        if !lock(&shared.rules)[Way::To as usize].held {
+        if !lock(&shared.rules)[Direction::To as usize].held {
             break;
         }
         changed.await;
@@ -217,8 +218,8 @@
     let _ = near.get_ref().set_nodelay(true);
     let _ = far.get_ref().set_nodelay(true);
     let ends = Arc::new(Ends { near, far, resets, broken: AtomicBool::new(false) });
-    let to = EDGES.spawn(pump(ends.clone(), shared.clone(), Way::To));
-    let back = EDGES.spawn(pump(ends.clone(), shared.clone(), Way::Back));
+    let to = EDGES.spawn(pump(ends.clone(), shared.clone(), Direction::To));
+    let back = EDGES.spawn(pump(ends.clone(), shared.clone(), Direction::Back));
     // An orderly end of one way leaves the other open.
     to.await;
     back.await;
@@ -229,10 +230,10 @@
 }
 
 /// Carries one way of a connection until it ends there, or is to be reset.
-async fn pump(ends: Arc<Ends>, shared: Arc<Shared>, way: Way) {
+async fn pump(ends: Arc<Ends>, shared: Arc<Shared>, way: Direction) {
     let (from, to) = match way {
-        Way::To => (&ends.near, &ends.far),
-        Way::Back => (&ends.far, &ends.near),
+        Direction::To => (&ends.near, &ends.far),
+        Direction::Back => (&ends.far, &ends.near),
     };
     let (mut lane, mut over, mut piece) = (Stream::default(), false, vec![0; PIECE]);
     let broken = async || loop {
@@ -249,8 +250,8 @@
         }
         let rules = lock(&shared.rules)[way as usize];
         match lane.next(now(), &rules) {
-            Next::Reset => return ends.breaks(&shared),
-            Next::Pass(bytes) => {
+            Delivery::Reset => return ends.violations(&shared),
+            Delivery::Pass(bytes) => {
                 let mut sink = to;
                 let written = async { sink.write_all(&bytes).await.is_ok() };
                 let stopped = async {
@@ -258,15 +259,15 @@
                     false
                 };
                 if !or(written, stopped).await {
-                    return ends.breaks(&shared);
+                    return ends.violations(&shared);
                 }
                 shared.passed[way as usize].fetch_add(bytes.len() as u64, Ordering::SeqCst);
             }
-            Next::Wait(_) if over && lane.is_empty() => {
+            Delivery::Wait(_) if over && lane.is_empty() => {
                 let _ = to.get_ref().shutdown(Shutdown::Write);
                 return;
             }
-            Next::Wait(at) => {
+            Delivery::Wait(at) => {
                 let (reads, mut source) = (!over && lane.has_room(), from);
                 let read =
                     async { if reads { Some(source.read(&mut piece).await) } else { pending().await } };
@@ -277,7 +278,7 @@
                 match or(read, woken).await {
                     Some(Ok(0)) => over = true,
                     Some(Ok(count)) => lane.put(now(), &rules, &piece[..count]),
-                    Some(Err(_)) => return ends.breaks(&shared),
+                    Some(Err(_)) => return ends.violations(&shared),
                     None => {}
                 }
             }
@@ -289,21 +290,21 @@
     let (mut lane, mut datagram) = (Datagrams::new(seed), [0; 2048]);
     loop {
         let next = lane.next(now());
-        if let Next::Pass(bytes) = next {
+        if let Delivery::Pass(bytes) = next {
             let target = *lock(&shared.target);
             // What can't be sent is lost, as datagrams are.
             let _ = socket.send_to(&bytes, target).await;
-            shared.passed[Way::To as usize].fetch_add(bytes.len() as u64, Ordering::SeqCst);
+            shared.passed[Direction::To as usize].fetch_add(bytes.len() as u64, Ordering::SeqCst);
             continue;
         }
-        let Next::Wait(at) = next else { continue };
+        let Delivery::Wait(at) = next else { continue };
         let read = async { socket.recv_from(&mut datagram).await.ok().map(|(count, _)| count) };
         let woken = async {
             until(at).await;
             None
         };
         if let Some(count) = or(read, woken).await {
-            let rules = lock(&shared.rules)[Way::To as usize];
+            let rules = lock(&shared.rules)[Direction::To as usize];
             lane.put(now(), &rules, &datagram[..count]);
             shared.connections.fetch_add(1, Ordering::SeqCst);
         }
--- a/crates/hazelgrade-fault-injection/src/shared.rs
+++ b/crates/hazelgrade-fault-injection/src/shared_budget.rs
@@ -1,7 +1,7 @@
 //! What a group's nodes share: one dependency that all of them call, budgets of it, and a keeper at each of one or two sites.
 
-use crate::edge::{Edge, Way};
-use crate::plan::{Disk, Ways};
+use crate::plan::{Directions, Disk};
+use crate::proxy::{Direction, FaultProxy};
 use hazelgrade_config::Document;
 use hazelgrade_fakes::dependency::Dependency;
 use hazelgrade_fakes::service::{Service, publish_as};
@@ -72,7 +72,7 @@
     pub other: Option<Service>,
     pub other_stopped: bool,
     /// From each keeper to the other.
-    pub between: Vec<Edge>,
+    pub between: Vec<FaultProxy>,
     pub whole: u32,
     /// The whole was made smaller: what the dependency lives through follows once that is in effect.
     lowered: Option<u32>,
@@ -96,7 +96,7 @@
         let mut between = Vec::new();
         first.extra = vec!["--keeper".into(), "a".into()];
         if let Some(other) = &mut other {
-            between = vec![Edge::tcp(other.address)?, Edge::tcp(first.address)?];
+            between = vec![FaultProxy::tcp(other.address)?, FaultProxy::tcp(first.address)?];
             first.extra.extend(["--peer".into(), format!("b={}", between[0].address)]);
             other.extra =
                 vec!["--keeper".into(), "b".into(), "--peer".into(), format!("a={}", between[1].address)];
@@ -184,16 +184,19 @@
         }
     }
 
-    pub fn cut(&self, ways: Ways) {
-        let (to, back) = (matches!(ways, Ways::Both | Ways::To), matches!(ways, Ways::Both | Ways::Back));
+    pub fn cut(&self, directions: Directions) {
+        let (to, back) = (
+            matches!(directions, Directions::Both | Directions::To),
+            matches!(directions, Directions::Both | Directions::Back),
+        );
         // What the first says to the second goes over both links, each in one of its ways.
-        for (edge, first) in self.between.iter().zip([true, false]) {
-            edge.set(Way::To, |rules| rules.held |= if first { to } else { back });
-            edge.set(Way::Back, |rules| rules.held |= if first { back } else { to });
+        for (proxy, first) in self.between.iter().zip([true, false]) {
+            proxy.set(Direction::To, |rules| rules.held |= if first { to } else { back });
+            proxy.set(Direction::Back, |rules| rules.held |= if first { back } else { to });
         }
     }
 
     pub fn heal(&self) {
-        self.between.iter().for_each(Edge::heal);
+        self.between.iter().for_each(FaultProxy::heal);
     }
 }
--- a/crates/hazelgrade-fault-injection/src/light.rs
+++ b/crates/hazelgrade-fault-injection/src/subscriber_fleet.rs
@@ -52,12 +52,12 @@
 }
 
 /// They follow until the process ends.
-pub struct Lights {
+pub struct SubscriberFleet {
     took: Took,
 }
 
-impl Lights {
-    pub fn start(count: usize, control: SocketAddr) -> Lights {
+impl SubscriberFleet {
+    pub fn start(count: usize, control: SocketAddr) -> SubscriberFleet {
         let took: Took = Arc::new(Mutex::new(vec![Vec::new(); count]));
         for thread in 0..THREADS {
             let took = took.clone();
@@ -86,7 +86,7 @@
                 async_io::block_on(tasks.run(pending::<()>()));
             });
         }
-        Lights { took }
+        SubscriberFleet { took }
     }
 
     /// How many serve by this document, and how many ever took it up more than once.
--- a/crates/hazelgrade-fault-injection/tests/edges.rs
+++ b/crates/hazelgrade-fault-injection/tests/edges.rs
@@ -1,7 +1,7 @@
 //! Edges on real sockets: each fault, and that without any the bytes are those that were sent.
 
 use hazelgrade_fakes::comes_true;
-use hazelgrade_fault_injection::edge::{Edge, Way, ms};
+use hazelgrade_fault_injection::proxy::{Direction, FaultProxy, ms};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream, UdpSocket};
 use std::time::{Duration, Instant};
@@ -11,21 +11,21 @@
 const A_WHILE: Duration = Duration::from_millis(150);
 
 struct Pair {
-    edge: Edge,
+    proxy: FaultProxy,
     near: TcpStream,
     far: TcpStream,
 }
 
 fn pair() -> Pair {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let edge = Edge::tcp(listener.local_addr().expect("bound")).expect("a port");
-    let near = TcpStream::connect(edge.address).expect("it listens");
+    let proxy = FaultProxy::tcp(listener.local_addr().expect("bound")).expect("a port");
+    let near = TcpStream::connect(proxy.address).expect("it listens");
     let (far, _) = listener.accept().expect("a connection");
     [&near, &far].into_iter().for_each(|stream| {
         stream.set_read_timeout(Some(SOON)).expect("a time-out");
         stream.set_nodelay(true).expect("a socket");
     });
-    Pair { edge, near, far }
+    Pair { proxy, near, far }
 }
 
 fn hears(stream: &mut TcpStream, what: &[u8]) {
@@ -43,7 +43,7 @@
 
 #[test]
 fn without_faults_bytes_and_an_orderly_end_come_through_both_ways() {
-    let Pair { mut near, mut far, edge } = pair();
+    let Pair { mut near, mut far, proxy } = pair();
     let sent: Vec<u8> = (0..3_000_000u32).map(|n| (n % 251) as u8).collect();
     std::thread::scope(|threads| {
         threads.spawn(|| {
@@ -58,36 +58,38 @@
     drop(far);
     hears(&mut near, b"and back");
     assert_eq!(near.read(&mut [0]).expect("an end"), 0);
-    assert!(comes_true(SOON, || edge.passed(Way::To) == 3_000_000 && edge.passed(Way::Back) == 8));
+    assert!(
+        comes_true(SOON, || proxy.passed(Direction::To) == 3_000_000 && proxy.passed(Direction::Back) == 8)
+    );
 }
 
 #[test]
 fn held_one_way_nothing_comes_through_there_and_all_of_it_once_it_is_let_go() {
-    let Pair { edge, mut near, mut far } = pair();
-    edge.set(Way::To, |rules| rules.held = true);
+    let Pair { proxy, mut near, mut far } = pair();
+    proxy.set(Direction::To, |rules| rules.held = true);
     near.write_all(b"held").expect("it takes them");
     far.write_all(b"free").expect("it takes them");
     hears(&mut near, b"free");
     assert!(is_silent(&mut far));
-    edge.heal();
+    proxy.heal();
     hears(&mut far, b"held");
     // A connection that is opened while it is held stands for who opens it, and goes on when it is let go.
-    edge.cut();
-    let mut later = TcpStream::connect(edge.address).expect("it listens");
+    proxy.cut();
+    let mut later = TcpStream::connect(proxy.address).expect("it listens");
     later.write_all(b"later").expect("it takes them");
-    assert!(comes_true(SOON, || edge.connections() == 2));
+    assert!(comes_true(SOON, || proxy.connections() == 2));
 }
 
 #[test]
 fn delay_and_rate_hold_at_least_what_they_say() {
-    let Pair { edge, mut near, mut far } = pair();
-    edge.set(Way::To, |rules| rules.delay = ms(80.0));
+    let Pair { proxy, mut near, mut far } = pair();
+    proxy.set(Direction::To, |rules| rules.delay = ms(80.0));
     let began = Instant::now();
     near.write_all(b"late").expect("it takes them");
     hears(&mut far, b"late");
     assert!(began.elapsed() >= Duration::from_millis(80), "{:?}", began.elapsed());
-    edge.heal();
-    edge.set(Way::Back, |rules| rules.rate = Some(100_000.0));
+    proxy.heal();
+    proxy.set(Direction::Back, |rules| rules.rate = Some(100_000.0));
     let began = Instant::now();
     far.write_all(&[7; 20_000]).expect("it takes them");
     hears(&mut near, &[7; 20_000]);
@@ -96,32 +98,32 @@
 
 #[test]
 fn a_reset_is_seen_as_one_by_both_ends_and_new_connections_stand_again() {
-    let Pair { edge, mut near, mut far } = pair();
+    let Pair { proxy, mut near, mut far } = pair();
     near.write_all(b"x").expect("it takes them");
     hears(&mut far, b"x");
-    edge.reset();
+    proxy.reset();
     for stream in [&mut near, &mut far] {
         let end = stream.read(&mut [0]).expect_err("a reset");
         assert_eq!(end.kind(), ErrorKind::ConnectionReset);
     }
-    edge.refuse(true);
-    let mut refused = TcpStream::connect(edge.address).expect("it listens");
+    proxy.refuse(true);
+    let mut refused = TcpStream::connect(proxy.address).expect("it listens");
     assert!(!matches!(refused.read(&mut [0]), Ok(1..)), "nothing to read there");
-    edge.heal();
-    assert!(TcpStream::connect(edge.address).is_ok());
+    proxy.heal();
+    assert!(TcpStream::connect(proxy.address).is_ok());
 }
 
 #[test]
 fn after_exactly_so_many_bytes_a_connection_is_cut() {
     for after in [1, 2, 7, 100] {
-        let Pair { edge, mut near, mut far } = pair();
-        edge.set(Way::To, |rules| rules.reset_after = Some(after));
+        let Pair { proxy, mut near, mut far } = pair();
+        proxy.set(Direction::To, |rules| rules.reset_after = Some(after));
         near.write_all(&[1; 200]).expect("it takes them");
         let mut got = Vec::new();
         let end = far.read_to_end(&mut got);
         // The system may drop what a reset overtakes; more than allowed is never there.
         assert!(got.len() as u64 <= after && end.is_err(), "{} {end:?}", got.len());
-        assert_eq!(edge.passed(Way::To), after);
+        assert_eq!(proxy.passed(Direction::To), after);
     }
 }
 
@@ -129,9 +131,9 @@
 fn datagrams_are_held_lost_and_doubled() {
     let registry = UdpSocket::bind("127.0.0.1:0").expect("a port");
     registry.set_read_timeout(Some(SOON)).expect("a time-out");
-    let edge = Edge::udp(registry.local_addr().expect("bound"), 1).expect("a port");
+    let proxy = FaultProxy::udp(registry.local_addr().expect("bound"), 1).expect("a port");
     let node = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let say = |text: &str| node.send_to(text.as_bytes(), edge.address).expect("it goes out");
+    let say = |text: &str| node.send_to(text.as_bytes(), proxy.address).expect("it goes out");
     let hear = || {
         let mut got = [0; 64];
         let count = registry.recv(&mut got).expect("one in time");
@@ -139,14 +141,14 @@
     };
     say("one");
     assert_eq!(hear(), "one");
-    edge.set(Way::To, |rules| rules.doubled = 1.0);
+    proxy.set(Direction::To, |rules| rules.doubled = 1.0);
     say("two");
     assert_eq!((hear(), hear()), ("two".to_owned(), "two".to_owned()));
-    edge.heal();
-    edge.set(Way::To, |rules| rules.lost = 1.0);
+    proxy.heal();
+    proxy.set(Direction::To, |rules| rules.lost = 1.0);
     say("three");
-    assert!(comes_true(SOON, || edge.connections() == 3));
-    edge.heal();
+    assert!(comes_true(SOON, || proxy.connections() == 3));
+    proxy.heal();
     say("four");
     assert_eq!(hear(), "four");
 }
--- a/crates/hazelgrade-fault-injection/tests/pure.rs
+++ b/crates/hazelgrade-fault-injection/tests/pure.rs
@@ -4,9 +4,9 @@
 use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_fakes::callers::Fate;
-use hazelgrade_fault_injection::account::{Account, Job, Seen, Trouble};
-use hazelgrade_fault_injection::lane::{Datagrams, Next, Rules, Stream};
-use hazelgrade_fault_injection::plan::{Cue, Fault, Plan, Step};
+use hazelgrade_fault_injection::direction::{Datagrams, Delivery, LinkConditions, Stream};
+use hazelgrade_fault_injection::history::{FaultKind, History, Job, NodeObservation};
+use hazelgrade_fault_injection::plan::{Fault, Plan, Step, Trigger};
 use hazelgrade_fault_injection::shrink::shrink;
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
 fn a_stream_keeps_every_byte_in_order_under_any_rules() {
     fn keeps(seed: u64) -> Result<(), String> {
         let mut chance = MultiplyWithCarry::new(seed);
-        let (mut lane, mut rules, mut now) = (Stream::default(), Rules::default(), 0.0);
+        let (mut lane, mut rules, mut now) = (Stream::default(), LinkConditions::default(), 0.0);
         let (mut sent, mut got, mut paced) = (Vec::new(), Vec::new(), (0.0, 0usize));
         let resets_at = (chance.next_f64() < 0.3).then(|| (chance.next_f64() * 3000.0) as u64);
         for _ in 0..400 {
@@ -45,14 +45,14 @@
             }
             loop {
                 match lane.next(at(now), &rules) {
-                    Next::Pass(bytes) => {
+                    Delivery::Pass(bytes) => {
                         if rules.held {
                             return Err("passed while held".into());
                         }
                         paced.1 += bytes.len();
                         got.extend(bytes);
                     }
-                    Next::Reset => {
+                    Delivery::Reset => {
                         let after = resets_at.ok_or("reset without an order")?;
                         return if got.len() as u64 >= after {
                             Ok(())
@@ -60,8 +60,10 @@
                             Err("reset too early".into())
                         };
                     }
-                    Next::Wait(Some(due)) if due <= at(now) => return Err("waits for what is over".into()),
-                    Next::Wait(_) => break,
+                    Delivery::Wait(Some(due)) if due <= at(now) => {
+                        return Err("waits for what is over".into());
+                    }
+                    Delivery::Wait(_) => break,
                 }
             }
             // A piece of ten milliseconds may have passed just before.
@@ -70,8 +72,8 @@
                 return Err(format!("{} bytes in {} ms, {most} at most", paced.1, now - paced.0));
             }
         }
-        (rules, now) = (Rules::default(), now + 10_000.0);
-        while let Next::Pass(bytes) = lane.next(at(now), &rules) {
+        (rules, now) = (LinkConditions::default(), now + 10_000.0);
+        while let Delivery::Pass(bytes) = lane.next(at(now), &rules) {
             got.extend(bytes);
         }
         if got == sent { Ok(()) } else { Err(format!("{} of {} bytes", got.len(), sent.len())) }
@@ -82,21 +84,21 @@
 
 #[test]
 fn a_stream_passes_exactly_as_many_bytes_as_its_reset_allows() {
-    let rules = Rules { reset_after: Some(5), ..Rules::default() };
+    let rules = LinkConditions { reset_after: Some(5), ..LinkConditions::default() };
     let mut lane = Stream::default();
     lane.put(at(0.0), &rules, b"0123456789");
-    assert_eq!(lane.next(at(0.0), &rules), Next::Pass(b"01234".to_vec()));
-    assert_eq!(lane.next(at(0.0), &rules), Next::Reset);
+    assert_eq!(lane.next(at(0.0), &rules), Delivery::Pass(b"01234".to_vec()));
+    assert_eq!(lane.next(at(0.0), &rules), Delivery::Reset);
 }
 
 #[test]
 fn datagrams_are_lost_doubled_and_overtaken_as_often_as_is_asked() {
-    let rules = Rules { lost: 0.3, doubled: 0.2, overtaken: 0.1, ..Rules::default() };
+    let rules = LinkConditions { lost: 0.3, doubled: 0.2, overtaken: 0.1, ..LinkConditions::default() };
     let mut lane = Datagrams::new(1);
     let mut got = Vec::new();
     for number in 0..1000u32 {
         lane.put(at(f64::from(number)), &rules, &number.to_be_bytes());
-        while let Next::Pass(bytes) = lane.next(at(f64::from(number))) {
+        while let Delivery::Pass(bytes) = lane.next(at(f64::from(number))) {
             got.push(u32::from_be_bytes(bytes.try_into().expect("four")));
         }
     }
@@ -138,7 +140,7 @@
     assert_eq!(least.step, vec![one, other]);
     // With few plays it says what it has, which still fails.
     assert!(needs(&shrink(&plan, 3, needs)));
-    let step = Step { cue: Cue::Now, fault: Fault::KillControl };
+    let step = Step { trigger: Trigger::Now, fault: Fault::KillControl };
     assert_eq!(shrink(&Plan { step: vec![step], ..plan }, 9, |_| false).step.len(), 1);
 }
 
@@ -146,70 +148,70 @@
     Job { node, id: id.into(), sent: at(sent), after: ms(after), fate }
 }
 
-fn account(jobs: Vec<Job>) -> Account {
-    Account {
+fn history(jobs: Vec<Job>) -> History {
+    History {
         deadline: ms(3000.0),
         grace: ms(100.0),
         jobs,
         runs: vec![BTreeMap::new(); 2],
-        ..Account::default()
+        ..History::default()
     }
 }
 
-fn rules(account: &Account) -> Vec<&'static str> {
-    account.breaks().into_iter().map(|broken| broken.rule).collect()
+fn rules(history: &History) -> Vec<&'static str> {
+    history.violations().into_iter().map(|broken| broken.rule).collect()
 }
 
 #[test]
 fn lost_and_late_jobs_are_breaks_unless_something_done_to_that_node_then_excuses_them() {
-    let lost = || account(vec![job(0, "a", 10_000.0, 800.0, Fate::Lost)]);
+    let lost = || history(vec![job(0, "a", 10_000.0, 800.0, Fate::Lost)]);
     assert_eq!(rules(&lost()), ["no job lost"]);
-    for (trouble, node, from, to, excused) in [
-        (Trouble::Killed, 0, 10_200.0, Some(10_500.0), true),
-        (Trouble::Killed, 1, 10_200.0, Some(10_500.0), false),
-        (Trouble::Killed, 0, 2000.0, Some(9000.0), false),
-        (Trouble::Killed, 0, 12_000.0, None, false),
-        (Trouble::CallersReset, 0, 9000.0, None, true),
-        (Trouble::CallersHeld, 0, 9000.0, Some(11_000.0), true),
-        (Trouble::Stopped, 0, 9000.0, Some(11_000.0), false),
-        (Trouble::Gone, 0, 9000.0, None, true),
+    for (fault_kind, node, from, to, excused) in [
+        (FaultKind::Killed, 0, 10_200.0, Some(10_500.0), true),
+        (FaultKind::Killed, 1, 10_200.0, Some(10_500.0), false),
+        (FaultKind::Killed, 0, 2000.0, Some(9000.0), false),
+        (FaultKind::Killed, 0, 12_000.0, None, false),
+        (FaultKind::CallersReset, 0, 9000.0, None, true),
+        (FaultKind::CallersHeld, 0, 9000.0, Some(11_000.0), true),
+        (FaultKind::Stopped, 0, 9000.0, Some(11_000.0), false),
+        (FaultKind::Gone, 0, 9000.0, None, true),
     ] {
-        let mut account = lost();
-        account.begins(node, trouble, at(from));
-        to.into_iter().for_each(|to| account.ends(node, trouble, at(to)));
-        assert_eq!(rules(&account).is_empty(), excused, "{trouble:?} of {node} from {from} to {to:?}");
+        let mut history = lost();
+        history.begins(node, fault_kind, at(from));
+        to.into_iter().for_each(|to| history.ends(node, fault_kind, at(to)));
+        assert_eq!(rules(&history).is_empty(), excused, "{fault_kind:?} of {node} from {from} to {to:?}");
     }
     // What ran is not refused by a node that has left.
     let mut ran = lost();
-    ran.begins(0, Trouble::Gone, at(9000.0));
+    ran.begins(0, FaultKind::Gone, at(9000.0));
     ran.runs[0].insert("a".into(), 1);
     assert_eq!(rules(&ran), ["no job lost"]);
-    let late = || account(vec![job(0, "a", 10_000.0, 3200.0, Fate::Succeeded)]);
+    let late = || history(vec![job(0, "a", 10_000.0, 3200.0, Fate::Succeeded)]);
     assert_eq!(rules(&late()), ["no job late"]);
     let mut stopped = late();
-    stopped.begins(0, Trouble::Stopped, at(11_000.0));
-    stopped.ends(0, Trouble::Stopped, at(12_000.0));
+    stopped.begins(0, FaultKind::Stopped, at(11_000.0));
+    stopped.ends(0, FaultKind::Stopped, at(12_000.0));
     assert!(rules(&stopped).is_empty());
-    assert!(rules(&account(vec![job(0, "a", 0.0, 3050.0, Fate::Rejected)])).is_empty());
-    assert!(rules(&account(vec![job(0, "a", 0.0, 9000.0, Fate::Crossed)])).is_empty());
+    assert!(rules(&history(vec![job(0, "a", 0.0, 3050.0, Fate::Rejected)])).is_empty());
+    assert!(rules(&history(vec![job(0, "a", 0.0, 9000.0, Fate::Crossed)])).is_empty());
 }
 
 #[test]
 fn effects_and_answers_come_once_over_the_whole_group() {
-    let mut twice = account(vec![]);
+    let mut twice = history(vec![]);
     twice.runs[0].insert("a".into(), 2);
     assert_eq!(rules(&twice), ["no effect twice"]);
-    let mut elsewhere = account(vec![]);
+    let mut elsewhere = history(vec![]);
     elsewhere.runs = vec![BTreeMap::from([("a".to_owned(), 1)]); 2];
     assert_eq!(rules(&elsewhere), ["no effect twice"]);
-    assert_eq!(rules(&Account { answered_twice: 1, ..account(vec![]) }), ["one answer"]);
-    assert_eq!(rules(&Account { ends: vec![(0, "ended".into())], ..account(vec![]) }), ["safe drain"]);
-    assert_eq!(rules(&Account { missing: vec!["x".into()], ..account(vec![]) }), ["all is well again"]);
+    assert_eq!(rules(&History { answered_twice: 1, ..history(vec![]) }), ["one answer"]);
+    assert_eq!(rules(&History { ends: vec![(0, "ended".into())], ..history(vec![]) }), ["safe drain"]);
+    assert_eq!(rules(&History { missing: vec!["x".into()], ..history(vec![]) }), ["all is well again"]);
 }
 
 #[test]
 fn versions_have_one_document_each_go_on_and_do_no_harm_for_good() {
-    let seen = |node, disk, number, digest: &str, standing: &str| Seen {
+    let seen = |node, disk, number, digest: &str, standing: &str| NodeObservation {
         node,
         at: at(0.0),
         since: at(0.0),
@@ -218,20 +220,20 @@
         digest: digest.into(),
         standing: standing.into(),
     };
-    let of = |seen: Vec<Seen>| {
-        let mut account = Account { harmful: vec!["(bad)".into()], ..account(vec![]) };
-        seen.into_iter().for_each(|one| account.saw(one));
-        account
+    let of = |seen: Vec<NodeObservation>| {
+        let mut history = History { harmful: vec!["(bad)".into()], ..history(vec![]) };
+        seen.into_iter().for_each(|one| history.record_observation(one));
+        history
     };
     let conflict = || vec![seen(0, 0, 5, "(a)", "good"), seen(1, 0, 5, "(b)", "on trial")];
     assert_eq!(rules(&of(conflict())), ["one document a number"]);
-    assert!(rules(&Account { numbers_anew: true, ..of(conflict()) }).is_empty());
+    assert!(rules(&History { numbers_anew: true, ..of(conflict()) }).is_empty());
     let second = of(vec![seen(0, 0, 5, "(a)", "good"), seen(0, 0, 6, "(c)", ""), seen(0, 0, 5, "(b)", "")]);
-    assert!(rules(&Account { numbers_anew: true, ..second }).contains(&"one document a number"));
+    assert!(rules(&History { numbers_anew: true, ..second }).contains(&"one document a number"));
     assert_eq!(rules(&of(vec![seen(0, 0, 5, "(bad)", "good")])), ["no harm stays"]);
     assert!(rules(&of(vec![seen(0, 0, 5, "(bad)", "on trial")])).is_empty());
     let mut hampered = of(vec![seen(0, 0, 5, "(bad)", "good")]);
-    hampered.begins(0, Trouble::Hampered, at(0.0));
+    hampered.begins(0, FaultKind::Hampered, at(0.0));
     assert!(rules(&hampered).is_empty(), "there was nothing to judge it by");
     let back = |disk, standing: &str| of(vec![seen(0, 0, 5, "(a)", standing), seen(0, disk, 4, "(b)", "")]);
     assert_eq!(rules(&back(0, "good")), ["versions go on"]);
@@ -249,7 +251,7 @@
         job(0, "e", 2000.0, 10.0, Fate::Rejected),
         job(1, "f", 100.0, 10.0, Fate::Rejected),
     ];
-    let part = account(jobs).part_served(0, at(0.0), at(1000.0), ms(500.0));
+    let part = history(jobs).served_ratio(0, at(0.0), at(1000.0), ms(500.0));
     assert_eq!(part, Some(1.0 / 3.0));
-    assert_eq!(account(vec![]).part_served(0, at(0.0), at(1.0), ms(1.0)), None);
+    assert_eq!(history(vec![]).served_ratio(0, at(0.0), at(1.0), ms(1.0)), None);
 }
--- a/crates/hazelgrade-server/tests/budgets/main.rs
+++ b/crates/hazelgrade-server/tests/budgets/main.rs
@@ -4,12 +4,12 @@
 use hazelgrade_budget::message::Word;
 use hazelgrade_fakes::executor::{Executor, Work};
 use hazelgrade_fakes::{free_address, world};
-use hazelgrade_fault_injection::account::Account;
-use hazelgrade_fault_injection::edge::{ms, now};
 use hazelgrade_fault_injection::group::Group;
-use hazelgrade_fault_injection::plan::{Disk, Fault, Link, Plan, Ways};
-use hazelgrade_fault_injection::play::play;
-use hazelgrade_fault_injection::shared::Setting;
+use hazelgrade_fault_injection::history::History;
+use hazelgrade_fault_injection::plan::{Directions, Disk, Fault, Link, Plan};
+use hazelgrade_fault_injection::plan_run::play;
+use hazelgrade_fault_injection::proxy::{ms, now};
+use hazelgrade_fault_injection::shared_budget::Setting;
 use serde_json::Value;
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -33,12 +33,16 @@
 }
 
 fn cause(group: &mut Group, fault: Fault) {
-    group.cause(fault).expect("it comes about");
+    group.inject(fault).expect("it comes about");
 }
 
-fn kept(account: &Account) {
-    let breaks = account.breaks();
-    assert!(breaks.is_empty(), "{}", breaks.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"));
+fn kept(history: &History) {
+    let violations = history.violations();
+    assert!(
+        violations.is_empty(),
+        "{}",
+        violations.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
+    );
 }
 
 /// What the first site's keeper says of the budget of calls.
@@ -58,7 +62,7 @@
 
 /// All of the whole is granted, and used at times.
 fn divided(group: &mut Group, whole: u64) -> bool {
-    group.comes(SOON, |group| {
+    group.wait_until(SOON, |group| {
         let calls = calls(group);
         number(&calls, "granted") == whole && number(&calls, "whole") == whole
     })
@@ -109,26 +113,34 @@
 
     // Killed with its part in hand: it comes back under its name, as another.
     cause(&mut group, Fault::Kill { node: 0 });
-    assert!(group.comes(SOON, |group| have(group, &[1, 2]) == 9), "{}", group.service.budgets());
+    assert!(group.wait_until(SOON, |group| have(group, &[1, 2]) == 9), "{}", group.service.budgets());
     group.members[0].with_operator("[for_tests_only]\nclock_rate = 0.9998\n").expect("a file");
     cause(&mut group, Fault::Start { node: 0, disk: Disk::Own });
-    assert!(group.comes(SOON, |group| have(group, &[0]) >= 2), "{}", group.service.budgets());
+    assert!(group.wait_until(SOON, |group| have(group, &[0]) >= 2), "{}", group.service.budgets());
 
     // Stopped for longer than its lease, its part is given to others; woken, it uses none of it.
     cause(&mut group, Fault::Stop { node: 1 });
-    assert!(group.comes(SOON, |group| have(group, &[0, 2]) == 9), "{}", group.service.budgets());
+    assert!(group.wait_until(SOON, |group| have(group, &[0, 2]) == 9), "{}", group.service.budgets());
     let full = |group: &mut Group| in_hand(group) >= 8;
-    assert!(group.comes(SOON, full), "the others use it");
+    assert!(group.wait_until(SOON, full), "the others use it");
     cause(&mut group, Fault::Wake { node: 1 });
-    assert!(group.comes(SOON, |group| have(group, &[1]) >= 2), "{}", group.service.budgets());
+    assert!(group.wait_until(SOON, |group| have(group, &[1]) >= 2), "{}", group.service.budgets());
 
     // What it says is lost, then what it is told: past its lease it has nothing, whatever is on its way.
-    for ways in [Ways::To, Ways::Back] {
-        cause(&mut group, Fault::Cut { node: 2, link: Link::Control, ways });
-        assert!(group.comes(SOON, |group| have(group, &[0, 1]) == 9), "{ways:?} {}", group.service.budgets());
-        assert!(group.comes(SOON, full));
+    for directions in [Directions::To, Directions::Back] {
+        cause(&mut group, Fault::Cut { node: 2, link: Link::Control, directions });
+        assert!(
+            group.wait_until(SOON, |group| have(group, &[0, 1]) == 9),
+            "{directions:?} {}",
+            group.service.budgets()
+        );
+        assert!(group.wait_until(SOON, full));
         cause(&mut group, Fault::Heal { node: 2, link: Link::Control });
-        assert!(group.comes(SOON, |group| have(group, &[2]) >= 2), "{ways:?} {}", group.service.budgets());
+        assert!(
+            group.wait_until(SOON, |group| have(group, &[2]) >= 2),
+            "{directions:?} {}",
+            group.service.budgets()
+        );
     }
 
     // Two processes under one name are two holders.
@@ -150,7 +162,7 @@
             .is_some_and(|all| all.iter().filter(|one| one["holder"] == "n0").count() == 2)
             && number(&calls, "granted") == 9
     };
-    assert!(group.comes(SOON, two), "{}", group.service.budgets());
+    assert!(group.wait_until(SOON, two), "{}", group.service.budgets());
     callers.stop();
     drop(twin);
 
@@ -160,18 +172,18 @@
         let past = word(group, Word::History).unwrap_or_default().to_string();
         past.contains("n2 has left and given all back")
     };
-    assert!(group.comes(SOON, left), "{:?}", word(&group, Word::History));
+    assert!(group.wait_until(SOON, left), "{:?}", word(&group, Word::History));
     let over = now();
     let used = (call_seconds(&group) - before) * 1000.0 / over.since(began).as_ms();
-    let account = group.finish();
-    kept(&account);
+    let history = group.finish();
+    kept(&history);
     // All through it most of the whole is in use, though a third of it lies still after each fault until its lease is over.
     assert!(used >= 0.5 * f64::from(setting.whole), "{used} calls in hand in the mean");
-    let part = account.part_served(0, began, over, ms(GOAL_MS)).unwrap_or(0.0);
+    let part = history.served_ratio(0, began, over, ms(GOAL_MS)).unwrap_or(0.0);
     assert!(part >= 0.5, "node 0 served {part}");
     for node in [0, 2] {
         // What it has no call for is given up by its latency objective, also by the one that is cut off from the keeper.
-        let part = account.part_answered(node, began, over, ms(GOAL_MS + 500.0)).unwrap_or(0.0);
+        let part = history.answered_ratio(node, began, over, ms(GOAL_MS + 500.0)).unwrap_or(0.0);
         assert!(part >= 0.98, "node {node} answered {part}");
     }
 }
@@ -192,10 +204,14 @@
     cause(&mut group, Fault::StopControl);
     let jobs = |group: &Group| group.members.iter().map(|member| member.jobs()).sum::<usize>();
     let before = jobs(&group);
-    assert!(group.comes(SOON, |group| jobs(group) > before + 200));
-    assert!(group.comes(SOON, |group| in_hand(group) <= 3));
+    assert!(group.wait_until(SOON, |group| jobs(group) > before + 200));
+    assert!(group.wait_until(SOON, |group| in_hand(group) <= 3));
     cause(&mut group, Fault::WakeControl);
-    assert!(group.comes(SOON, |group| number(&calls(group), "granted") == 7), "{}", group.service.budgets());
+    assert!(
+        group.wait_until(SOON, |group| number(&calls(group), "granted") == 7),
+        "{}",
+        group.service.budgets()
+    );
 
     // Killed: the next start waits for all leases, and holders keep what they have.
     group.shared.as_mut().expect("shared").remember(&group.service);
@@ -203,7 +219,7 @@
         cause(&mut group, Fault::KillControl);
         cause(&mut group, Fault::StartControl { disk });
         assert!(
-            group.comes(SOON, |group| number(&calls(group), "granted") == 7),
+            group.wait_until(SOON, |group| number(&calls(group), "granted") == 7),
             "{}",
             group.service.budgets()
         );
@@ -217,9 +233,13 @@
     let closed = |group: &mut Group| {
         group.service.budgets()["held_up"].as_str().is_some_and(|why| why.contains("an old copy"))
     };
-    assert!(group.comes(SOON, closed), "{}", group.service.budgets());
+    assert!(group.wait_until(SOON, closed), "{}", group.service.budgets());
     assert!(word(&group, Word::Open).is_ok());
-    assert!(group.comes(SOON, |group| number(&calls(group), "granted") == 7), "{}", group.service.budgets());
+    assert!(
+        group.wait_until(SOON, |group| number(&calls(group), "granted") == 7),
+        "{}",
+        group.service.budgets()
+    );
 
     // A copy of the store grants nothing at another address, and nobody starts without a store.
     let program_says = |words: &[&str], folder: &Path| {
@@ -243,7 +263,7 @@
     let waits = |group: &mut Group| {
         group.service.budgets()["held_up"].as_str().is_some_and(|why| why.contains("ms more"))
     };
-    assert!(group.comes(SOON, waits), "{}", group.service.budgets());
+    assert!(group.wait_until(SOON, waits), "{}", group.service.budgets());
     kept(&group.finish());
 }
 
@@ -254,15 +274,19 @@
     let setting = Setting { whole: 12, call: Duration::from_millis(150), ..Setting::default() };
     let mut group = group(3, 80.0, setting);
     assert!(divided(&mut group, 12), "{}", group.service.budgets());
-    assert!(group.comes(SOON, |group| in_hand(group) >= 11));
+    assert!(group.wait_until(SOON, |group| in_hand(group) >= 11));
     for whole in [6, 12, 2] {
         cause(&mut group, Fault::Whole { units: whole });
         assert!(divided(&mut group, u64::from(whole)), "{whole}: {}", group.service.budgets());
-        assert!(group.comes(SOON, |group| in_hand(group) <= whole as usize));
+        assert!(group.wait_until(SOON, |group| in_hand(group) <= whole as usize));
     }
     // Two for three nodes: each has its turn.
     for node in 0..3 {
-        assert!(group.comes(SOON, |group| have(group, &[node]) >= 1), "{node}: {}", group.service.budgets());
+        assert!(
+            group.wait_until(SOON, |group| have(group, &[node]) >= 1),
+            "{node}: {}",
+            group.service.budgets()
+        );
     }
     kept(&group.finish());
 }
@@ -274,19 +298,19 @@
     let setting = Setting { whole: 12, sites: 2, call: Duration::from_millis(150), ..Setting::default() };
     let mut group = group(4, 60.0, setting);
     let both = |group: &Group| owned(group, 0) + owned(group, 1);
-    assert!(group.comes(SOON, |group| both(group) == 12), "{}", group.service.budgets());
+    assert!(group.wait_until(SOON, |group| both(group) == 12), "{}", group.service.budgets());
 
     // Nobody at a: its part goes to b, and comes back when it is wanted.
     cause(&mut group, Fault::Kill { node: 0 });
     cause(&mut group, Fault::Kill { node: 2 });
-    assert!(group.comes(SOON, |group| owned(group, 1) >= 10), "{}", group.service.budgets());
+    assert!(group.wait_until(SOON, |group| owned(group, 1) >= 10), "{}", group.service.budgets());
     // Cut apart with some of it on its way.
-    cause(&mut group, Fault::CutKeepers { ways: Ways::Back });
+    cause(&mut group, Fault::CutKeepers { directions: Directions::Back });
     cause(&mut group, Fault::Start { node: 0, disk: Disk::Own });
     cause(&mut group, Fault::Start { node: 2, disk: Disk::Own });
     cause(&mut group, Fault::HealKeepers);
     assert!(
-        group.comes(SOON, |group| owned(group, 0) >= 5 && both(group) == 12),
+        group.wait_until(SOON, |group| owned(group, 0) >= 5 && both(group) == 12),
         "{}",
         group.service.budgets()
     );
@@ -301,9 +325,9 @@
     cause(&mut group, Fault::KillOther);
     let retire = |id: &str| Word::Retire { id: id.into(), site: "b".into() };
     assert!(word(&group, retire("r0")).is_err_and(|why| why.contains("ms more")));
-    assert!(group.comes(SOON, |group| word(group, retire("r1")).is_ok()));
+    assert!(group.wait_until(SOON, |group| word(group, retire("r1")).is_ok()));
     assert!(word(&group, retire("r1")).is_ok_and(|told| told.to_string().contains("before")));
-    assert!(group.comes(SOON, |group| owned(group, 0) == 12), "{}", group.service.budgets());
+    assert!(group.wait_until(SOON, |group| owned(group, 0) == 12), "{}", group.service.budgets());
 
     // It comes back with its own books, hears of it, owns nothing, and gets what it is short of.
     cause(&mut group, Fault::StartOther { disk: Disk::Own });
@@ -311,7 +335,7 @@
         let other = group.shared.as_ref().and_then(|shared| shared.other.as_ref());
         other.is_some_and(|other| other.budgets()["held_up"].is_null()) && both(group) == 12
     };
-    assert!(group.comes(SOON, told), "{}", group.service.budgets());
+    assert!(group.wait_until(SOON, told), "{}", group.service.budgets());
     kept(&group.finish());
 }
 
@@ -330,7 +354,7 @@
         cause(&mut group, Fault::StartControl { disk: Disk::Own });
         // It dies as it starts, or does all that a start writes.
         let done = |group: &mut Group| !group.service.lives() || number(&calls(group), "granted") == 6;
-        assert!(group.comes(SOON, done), "{at}: {}", group.service.budgets());
+        assert!(group.wait_until(SOON, done), "{at}: {}", group.service.budgets());
         if group.service.lives() {
             break;
         }
@@ -352,7 +376,7 @@
     for (seed, sites) in [(5, 1), (9, 2)] {
         let plan = Plan::draw_shared(seed, 5, 10, sites, 10);
         let played = play(&plan, program(), &[]).expect("it can be played");
-        let breaks: Vec<String> = played.breaks.iter().map(ToString::to_string).collect();
-        assert!(breaks.is_empty(), "{}\n\n{}", breaks.join("\n"), plan.to_toml());
+        let violations: Vec<String> = played.violations.iter().map(ToString::to_string).collect();
+        assert!(violations.is_empty(), "{}\n\n{}", violations.join("\n"), plan.to_toml());
     }
 }
--- a/crates/hazelgrade-server/tests/group/main.rs
+++ b/crates/hazelgrade-server/tests/group/main.rs
@@ -5,10 +5,10 @@
 mod nodes;
 mod store;
 
-use hazelgrade_fault_injection::account::Account;
 use hazelgrade_fault_injection::group::Group;
-use hazelgrade_fault_injection::plan::{Cue, Fault, Plan, Step};
-use hazelgrade_fault_injection::play::play;
+use hazelgrade_fault_injection::history::History;
+use hazelgrade_fault_injection::plan::{Fault, Plan, Step, Trigger};
+use hazelgrade_fault_injection::plan_run::play;
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -33,7 +33,7 @@
 }
 
 fn cause(group: &mut Group, fault: Fault) {
-    group.cause(fault).expect("it comes about");
+    group.inject(fault).expect("it comes about");
 }
 
 /// Node by node, whether it has the latest version and stands so with it.
@@ -46,27 +46,31 @@
     of.iter().filter(|one| **one).count()
 }
 
-fn kept(account: &Account) {
-    let breaks = account.breaks();
-    assert!(breaks.is_empty(), "{}", breaks.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"));
+fn kept(history: &History) {
+    let violations = history.violations();
+    assert!(
+        violations.is_empty(),
+        "{}",
+        violations.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
+    );
 }
 
 /// Plays steps, and on failure shows the plan to play again.
-fn plays(steps: &[(Cue, Fault)]) -> Account {
-    let step = steps.iter().map(|(cue, fault)| Step { cue: *cue, fault: *fault }).collect();
+fn plays(steps: &[(Trigger, Fault)]) -> History {
+    let step = steps.iter().map(|(trigger, fault)| Step { trigger: *trigger, fault: *fault }).collect();
     played(&Plan { seed: 0, nodes: NODES, rate: RATE, shared: None, step })
 }
 
-fn played(plan: &Plan) -> Account {
+fn played(plan: &Plan) -> History {
     let played = play(plan, program(), &[]).expect("it can be played");
-    let breaks: Vec<String> = played.breaks.iter().map(ToString::to_string).collect();
+    let violations: Vec<String> = played.violations.iter().map(ToString::to_string).collect();
     assert!(
-        breaks.is_empty(),
+        violations.is_empty(),
         "{}\n\nthe plan, for `hazelgrade-demo trouble --plan`:\n{}",
-        breaks.join("\n"),
+        violations.join("\n"),
         plan.to_toml()
     );
-    played.account
+    played.history
 }
 
 #[test]
--- a/crates/hazelgrade-server/tests/group/nodes.rs
+++ b/crates/hazelgrade-server/tests/group/nodes.rs
@@ -1,8 +1,8 @@
 //! Nodes in trouble: cut off from what they stand on, stopped, killed and replaced, while the others go on.
 
 use super::*;
-use hazelgrade_fault_injection::edge::{ms, now};
-use hazelgrade_fault_injection::plan::{Disk, Link, Ways};
+use hazelgrade_fault_injection::plan::{Directions, Disk, Link};
+use hazelgrade_fault_injection::proxy::{ms, now};
 use std::time::Instant;
 
 /// By how much the part of jobs served in their latency objective may differ between the nodes that nothing was done to.
@@ -16,7 +16,7 @@
     let _alone = alone();
     let mut group = group();
     let began = now();
-    let cut = |node, link| Fault::Cut { node, link, ways: Ways::Both };
+    let cut = |node, link| Fault::Cut { node, link, directions: Directions::Both };
     for links in [
         vec![Link::Executor],
         vec![Link::Database],
@@ -25,23 +25,23 @@
     ] {
         links.iter().for_each(|link| cause(&mut group, cut(4, *link)));
         cause(&mut group, Fault::Publish { harmful: false });
-        assert!(group.comes(SOON, |group| count(&stand(group, "good")[..4]) == 4), "{}", group.status());
+        assert!(group.wait_until(SOON, |group| count(&stand(group, "good")[..4]) == 4), "{}", group.status());
         let before: Vec<usize> = group.members.iter().map(|member| member.jobs()).collect();
         let others = |group: &mut Group| (0..4).all(|node| group.members[node].jobs() >= before[node] + 40);
-        assert!(group.comes(SOON, others));
+        assert!(group.wait_until(SOON, others));
         links.iter().for_each(|link| cause(&mut group, Fault::Heal { node: 4, link: *link }));
     }
     // In a drain: its executor and its database are out of reach when the notice comes.
     cause(&mut group, cut(4, Link::Database));
     cause(&mut group, cut(4, Link::Executor));
     cause(&mut group, Fault::Term { node: 4 });
-    assert!(group.comes(SOON, |group| !group.members[4].is_running()), "it does not leave");
+    assert!(group.wait_until(SOON, |group| !group.members[4].is_running()), "it does not leave");
     let over = now();
     // Runs that it could not stop are answered for; it leaves with 0.
-    let account = group.finish();
-    kept(&account);
+    let history = group.finish();
+    kept(&history);
     for node in 0..4 {
-        let part = account.part_served(node, began, over, ms(GOAL_MS)).expect("it had jobs");
+        let part = history.served_ratio(node, began, over, ms(GOAL_MS)).expect("it had jobs");
         assert!(part >= 1.0 - WITHIN, "node {node} served {part}");
     }
 }
@@ -54,7 +54,7 @@
         cause(&mut group, Fault::Hup { node });
         cause(&mut group, if node < 2 { Fault::Kill { node } } else { Fault::Term { node } });
     }
-    assert!(group.comes(SOON, |group| group.members.iter().all(|member| !member.is_running())));
+    assert!(group.wait_until(SOON, |group| group.members.iter().all(|member| !member.is_running())));
     for node in 0..NODES {
         cause(&mut group, Fault::Start { node, disk: Disk::Own });
     }
@@ -69,7 +69,7 @@
     let began = now();
     for node in 0..NODES {
         cause(&mut group, Fault::Term { node });
-        assert!(group.comes(SOON, |group| !group.members[node].is_running()));
+        assert!(group.wait_until(SOON, |group| !group.members[node].is_running()));
         if node == 2 {
             let at = group.folder.path().join("n2.json");
             let right = std::fs::read(&at).expect("it was started by it");
@@ -88,15 +88,15 @@
             std::fs::write(&at, &right).expect("a file");
         }
         cause(&mut group, Fault::Start { node, disk: Disk::Own });
-        assert!(group.comes(SOON, |group| group.members[node].is_ready()));
+        assert!(group.wait_until(SOON, |group| group.members[node].is_ready()));
     }
     let over = now();
-    let account = group.finish();
-    kept(&account);
+    let history = group.finish();
+    kept(&history);
     // Each was away for some of the time, and served at all others.
     for node in 0..NODES {
         assert!(
-            account.part_served(node, began, over, ms(GOAL_MS)).is_some_and(|part| part > 0.5),
+            history.served_ratio(node, began, over, ms(GOAL_MS)).is_some_and(|part| part > 0.5),
             "node {node}"
         );
     }
@@ -113,8 +113,8 @@
     let all = |group: &mut Group| {
         group.members.iter().zip(&before).all(|(member, before)| member.jobs() > before + 60)
     };
-    assert!(group.comes(SOON, all), "not all answer again after {:?}", began.elapsed());
-    assert!(group.comes(SOON, |group| group.members.iter().all(|member| member.is_ready())));
+    assert!(group.wait_until(SOON, all), "not all answer again after {:?}", began.elapsed());
+    assert!(group.wait_until(SOON, |group| group.members.iter().all(|member| member.is_ready())));
     kept(&group.finish());
 }
 
@@ -125,13 +125,13 @@
     let mut group = group();
     for (node, clock) in [(1, "clock_off_ms = -3600000"), (2, "clock_rate = 1.5")] {
         cause(&mut group, Fault::Term { node });
-        assert!(group.comes(SOON, |group| !group.members[node].is_running()));
+        assert!(group.wait_until(SOON, |group| !group.members[node].is_running()));
         group.members[node].with_operator(&format!("[for_tests_only]\n{clock}\n")).expect("a file");
         cause(&mut group, Fault::Start { node, disk: Disk::Own });
-        assert!(group.comes(SOON, |group| group.members[node].is_ready()));
+        assert!(group.wait_until(SOON, |group| group.members[node].is_ready()));
     }
     cause(&mut group, Fault::Publish { harmful: false });
-    assert!(group.comes(SOON, |group| count(&stand(group, "good")) == NODES), "{}", group.status());
+    assert!(group.wait_until(SOON, |group| count(&stand(group, "good")) == NODES), "{}", group.status());
     kept(&group.finish());
 }
 
--- a/crates/hazelgrade-server/tests/group/store.rs
+++ b/crates/hazelgrade-server/tests/group/store.rs
@@ -14,14 +14,14 @@
     let mut beyond = 0;
     for write in 0.. {
         cause(&mut group, Fault::Term { node: 0 });
-        assert!(group.comes(SOON, |group| !group.members[0].is_running()));
+        assert!(group.wait_until(SOON, |group| !group.members[0].is_running()));
         let operator = format!("[for_tests_only]\nstore_dies_at = {write}\n");
         group.members[0].with_operator(&operator).expect("a file");
         // It may die as it opens the store, or when a version comes, or not at all.
         group.starts_and_may_die(0).expect("it starts");
         cause(&mut group, Fault::Publish { harmful: false });
         let settled = |group: &mut Group| !group.members[0].is_running() || stand(group, "good")[0];
-        assert!(group.comes(SOON, settled), "at {write}: {}", group.status());
+        assert!(group.wait_until(SOON, settled), "at {write}: {}", group.status());
         let dead = !group.members[0].is_running();
         group.members[0].with_operator("").expect("a file");
         if dead {
@@ -29,7 +29,7 @@
             cause(&mut group, Fault::Start { node: 0, disk: Disk::Own });
             // A version with which it died once is offered again; with twice it would be suspect.
             assert!(
-                group.comes(SOON, |group| group.members[0].is_ready()),
+                group.wait_until(SOON, |group| group.members[0].is_ready()),
                 "after a death at {write}: {}",
                 group.status()
             );
@@ -42,7 +42,7 @@
         }
     }
     cause(&mut group, Fault::Term { node: 0 });
-    assert!(group.comes(SOON, |group| !group.members[0].is_running()));
+    assert!(group.wait_until(SOON, |group| !group.members[0].is_running()));
     cause(&mut group, Fault::Start { node: 0, disk: Disk::Own });
     assert!(died_at.len() >= 10, "it died at {died_at:?} only");
     println!("{} deaths, the last at write {:?}", died_at.len(), died_at.last());
@@ -53,14 +53,14 @@
 fn with_an_old_disk_or_an_empty_one_a_node_takes_the_latest_version_again() {
     let _alone = alone();
     plays(&[
-        (Cue::Now, Fault::Publish { harmful: false }),
-        (Cue::Acknowledged(NODES), Fault::Publish { harmful: false }),
-        (Cue::Acknowledged(NODES), Fault::Kill { node: 0 }),
-        (Cue::Now, Fault::Kill { node: 1 }),
-        (Cue::Answers(20), Fault::Start { node: 0, disk: Disk::Old }),
-        (Cue::Now, Fault::Start { node: 1, disk: Disk::Empty }),
-        (Cue::Ready(1), Fault::Publish { harmful: true }),
-        (Cue::OnTrial(2), Fault::Kill { node: 2 }),
-        (Cue::Answers(20), Fault::Start { node: 2, disk: Disk::Own }),
+        (Trigger::Now, Fault::Publish { harmful: false }),
+        (Trigger::Acknowledged(NODES), Fault::Publish { harmful: false }),
+        (Trigger::Acknowledged(NODES), Fault::Kill { node: 0 }),
+        (Trigger::Now, Fault::Kill { node: 1 }),
+        (Trigger::Answers(20), Fault::Start { node: 0, disk: Disk::Old }),
+        (Trigger::Now, Fault::Start { node: 1, disk: Disk::Empty }),
+        (Trigger::Ready(1), Fault::Publish { harmful: true }),
+        (Trigger::OnTrial(2), Fault::Kill { node: 2 }),
+        (Trigger::Answers(20), Fault::Start { node: 2, disk: Disk::Own }),
     ]);
 }
--- a/crates/hazelgrade-server/tests/instance/fleet.rs
+++ b/crates/hazelgrade-server/tests/instance/fleet.rs
@@ -4,7 +4,7 @@
 use hazelgrade_fakes::callers::{Callers, Fate, Plan};
 use hazelgrade_fakes::dependency::Dependency;
 use hazelgrade_fakes::executor::{Executor, Work};
-use hazelgrade_fault_injection::edge::Edge;
+use hazelgrade_fault_injection::proxy::FaultProxy;
 use serde_json::json;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -21,7 +21,7 @@
 struct Member {
     instance: Instance,
     executor: Executor,
-    link: Edge,
+    link: FaultProxy,
     callers: Callers,
 }
 
@@ -36,7 +36,7 @@
     let member = |_| {
         let work = Work { cores: 4, takes: Duration::from_millis(8), calls: true };
         let executor = Executor::start(work).expect("a port");
-        let link = Edge::tcp(executor.address).expect("a port");
+        let link = FaultProxy::tcp(executor.address).expect("a port");
         let instance = Instance::start_with(|told| {
             told["executor"] = json!(link.address.to_string());
             told["db"] = json!(dependency.address.to_string());
