--- a/crates/hazelgrade-stream/src/admission.rs
+++ b/crates/hazelgrade-stream/src/admission.rs
@@ -1,41 +1,58 @@
-//! How many subscribers a control service takes on at once. Those past its pace are told when to come back: each gets a
-//! place of its own in the time ahead, so that they don't come back together.
+//! How many subscribers a control service admits: a rate with a burst. Those past it are told when to come back;
+//! each gets a time of its own, so that they don't come back together.
 
 use hazelgrade::time::{Span, Time};
 
+/// The longest time that a subscriber is told to stay away, in milliseconds.
+const MAX_RETRY_AFTER_MS: f64 = 60_000.0;
+/// The lowest rate, in subscribers a second.
+const MIN_RATE_PER_S: f64 = 0.1;
+
+/// A rate limit that reserves a later time for each subscriber that it doesn't admit.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    /// Between two that are taken on.
-    gap: Span,
-    /// How far ahead of that pace some may come together.
+    /// Between two that are admitted at the rate.
+    interval: Span,
+    /// How far ahead of the rate subscribers may be admitted.
     burst: Span,
-    /// When the next one would be due at an even pace.
-    next: Time,
-    /// Until when the time ahead is given away.
-    promised: Time,
-    /// The furthest promise.
-    longest: Span,
+    /// When the next one would be due at an even rate.
+    next_due: Time,
+    /// Up to when times to come back are reserved.
+    reserved_until: Time,
+    /// The furthest reservation.
+    max_retry_after: Span,
 }
 
 impl Admission {
-    /// `a_second` are taken on for good, `together` at once after some quiet.
-    pub fn new(a_second: f64, together: f64) -> Admission {
-        let gap = Span::from_ms(1000.0 / a_second.max(0.1));
+    /// Admits `rate_per_s` subscribers a second in the long run (at least 0.1), and `burst` at once after some
+    /// quiet (at least 1).
+    pub fn new(rate_per_s: f64, burst: f64) -> Admission {
+        let interval = Span::from_ms(1000.0 / rate_per_s.max(MIN_RATE_PER_S));
         let past = Time::from_ms(0.0);
-        let longest = Span::from_ms(60_000.0);
-        Admission { gap, burst: gap * together.max(1.0), next: past, promised: past, longest }
+        Admission {
+            interval,
+            burst: interval * burst.max(1.0),
+            next_due: past,
+            reserved_until: past,
+            max_retry_after: Span::from_ms(MAX_RETRY_AFTER_MS),
+        }
     }
 
-    /// Takes one on, or says after how long it may come back.
-    pub fn ask(&mut self, now: Time) -> Result<(), Span> {
-        let next = self.next.max(now);
-        if next.since(now) < self.burst {
-            self.next = next + self.gap;
+    /// Admits a subscriber.
+    ///
+    /// # Errors
+    ///
+    /// The time after which it may come back, if it is not admitted now.
+    pub fn admit(&mut self, now: Time) -> Result<(), Span> {
+        let due = self.next_due.max(now);
+        if due.since(now) < self.burst {
+            self.next_due = due + self.interval;
             return Ok(());
         }
-        // Whoever is sent away comes back when the burst has been worked off, each a gap after the one before.
-        let from = now + self.burst;
-        self.promised = (self.promised.max(from) + self.gap).min(now + self.longest);
-        Err(self.promised.since(now))
+        // Reservations begin when the burst has been worked off, each an interval after the one before.
+        let earliest = now + self.burst;
+        let reserved = self.reserved_until.max(earliest) + self.interval;
+        self.reserved_until = reserved.min(now + self.max_retry_after);
+        Err(self.reserved_until.since(now))
     }
 }
--- a/crates/hazelgrade-stream/src/backoff.rs
+++ b/crates/hazelgrade-stream/src/backoff.rs
@@ -1,17 +1,21 @@
-//! How long to wait before connecting again: full jitter, so that a thousand nodes that lost one control service don't
-//! come back to it together.
+//! How long to wait before connecting again: exponential backoff with full jitter, so that a thousand nodes that
+//! lost one control service don't come back to it together.
 
 use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::Span;
 
-/// The longest wait after a first failure: some round trips.
-const FIRST_MS: f64 = 200.0;
-/// And after many: a fleet of thousands then tries some hundred times a second, which an address that refuses does not
-/// mind, and is back within this when the control service is. What comes at once is the control service's to spread.
-const MOST_MS: f64 = 5_000.0;
-/// What is added by chance to a wait that the control service named, as a part of it: it has spread them already.
-const SPREAD: f64 = 0.1;
+/// The longest delay after a first failure, in milliseconds: some round trips.
+const FIRST_DELAY_MS: f64 = 200.0;
+/// The longest delay after many failures, in milliseconds. A fleet of thousands then tries some hundred times a
+/// second, which an address that refuses connections can bear, and is back within this once the control service is.
+const MAX_DELAY_MS: f64 = 5_000.0;
+/// Failures past which the delay is doubled no further.
+const MAX_DOUBLINGS: u32 = 16;
+/// The most that is added at random to a delay that the control service named, as a part of it: such delays are
+/// spread already.
+const RETRY_AFTER_JITTER_RATIO: f64 = 0.1;
 
+/// The delays between attempts to connect.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     failures: u32,
@@ -25,24 +29,26 @@
 }
 
 impl Backoff {
-    /// Without chance, as a baseline to measure against.
-    pub fn plain() -> Backoff {
+    /// A backoff that always takes the longest delay: a baseline for measurements.
+    pub fn without_jitter() -> Backoff {
         Backoff { failures: 0, jitter: false }
     }
 
     /// A connection did its work: the next failure counts as a first one.
-    pub fn worked(&mut self) {
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// The wait before the next attempt; at least what the control service asked for, if it did.
-    pub fn next(&mut self, chance: &mut MultiplyWithCarry, asked: Option<Span>) -> Span {
-        let most = (FIRST_MS * 2f64.powi(self.failures.min(16) as i32)).min(MOST_MS);
+    /// The delay before the next attempt; at least `retry_after`, if the control service named one. Draws one
+    /// random number if there is jitter.
+    pub fn next_delay(&mut self, random: &mut MultiplyWithCarry, retry_after: Option<Span>) -> Span {
+        let doublings = self.failures.min(MAX_DOUBLINGS) as i32;
+        let longest_ms = (FIRST_DELAY_MS * 2f64.powi(doublings)).min(MAX_DELAY_MS);
         self.failures = self.failures.saturating_add(1);
-        let draw = if self.jitter { chance.next_f64() } else { 1.0 };
-        match asked {
-            Some(asked) => asked + asked * (SPREAD * draw),
-            None => Span::from_ms(most * draw),
+        let draw = if self.jitter { random.next_f64() } else { 1.0 };
+        match retry_after {
+            Some(retry_after) => retry_after + retry_after * (RETRY_AFTER_JITTER_RATIO * draw),
+            None => Span::from_ms(longest_ms * draw),
         }
     }
 }
--- /dev/null
+++ b/crates/hazelgrade-stream/src/client/connection.rs
@@ -0,0 +1,85 @@
+//! A connection to a control service.
+
+use super::notification::{ConnectionCount, ConnectionEvent, Notification};
+use crate::line_reader::read_bounded_line;
+use crate::protocol::{MAX_LINE_BYTES, MAX_SUBSCRIBER_LINE_BYTES, PublisherMessage};
+use async_channel::{SendError, Sender};
+use async_executor::LocalExecutor;
+use async_io::{Async, Timer};
+use futures_lite::future::or;
+use futures_lite::io::BufReader;
+use hazelgrade_net::connect::connect;
+use hazelgrade_net::ending::ConnectionEnd;
+use hazelgrade_net::outbox::Outbox;
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// A message that has begun has to be complete within this: the longest takes a second on a slow line.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Bytes that may wait to be written. What a node sends is small; a control service that takes none of it is silent
+/// as well.
+const WRITE_QUEUE_BYTES: usize = 8 * MAX_SUBSCRIBER_LINE_BYTES;
+
+/// Where a connection tells its events.
+struct Notifier {
+    connection: ConnectionCount,
+    notifications: Sender<Notification>,
+}
+
+impl Notifier {
+    /// Fails only once the client is dropped.
+    async fn notify(&self, event: ConnectionEvent) -> Result<(), SendError<Notification>> {
+        self.notifications.send(Notification::Connection { connection: self.connection, event }).await
+    }
+}
+
+/// Connects after a delay and reads until the connection ends.
+pub(super) async fn open(
+    address: SocketAddr,
+    delay: Duration,
+    connection: ConnectionCount,
+    notifications: Sender<Notification>,
+    executor: Rc<LocalExecutor<'static>>,
+) {
+    let notifier = Notifier { connection, notifications };
+    Timer::after(delay).await;
+    let end = match connect(address).await {
+        Ok(stream) => {
+            let stream = Rc::new(stream);
+            let write_queue = Rc::new(Outbox::new(WRITE_QUEUE_BYTES));
+            let writer = write_queue.clone().writer(&executor, stream.clone());
+            if notifier.notify(ConnectionEvent::Opened(write_queue)).await.is_err() {
+                return;
+            }
+            or(read(&stream, &notifier), writer).await
+        }
+        Err(_) => ConnectionEnd::Unreachable,
+    };
+    tracing::debug!(%address, ?end, "the connection to the control service ended");
+    let _ = notifier.notify(ConnectionEvent::Closed).await;
+}
+
+async fn read(stream: &Async<TcpStream>, notifier: &Notifier) -> ConnectionEnd {
+    let mut reader = BufReader::new(stream);
+    let mut line = Vec::new();
+    loop {
+        match read_bounded_line(&mut reader, &mut line, MAX_LINE_BYTES, MESSAGE_TIMEOUT).await {
+            Ok(()) => {}
+            Err(ConnectionEnd::TooLong) => {
+                let reason = "a message longer than any document".into();
+                let _ = notifier.notify(ConnectionEvent::Undecodable(reason)).await;
+                return ConnectionEnd::TooLong;
+            }
+            Err(end) => return end,
+        }
+        let event = match PublisherMessage::decode(&line) {
+            Ok(message) => ConnectionEvent::Received(message),
+            Err(error) => ConnectionEvent::Undecodable(error.to_string()),
+        };
+        if notifier.notify(event).await.is_err() {
+            return ConnectionEnd::Closed;
+        }
+    }
+}
--- /dev/null
+++ b/crates/hazelgrade-stream/src/client/mod.rs
@@ -0,0 +1,246 @@
+//! A node's side on a socket: performs the actions of a [`Subscriber`] and tells it the events.
+
+mod connection;
+mod host;
+mod notification;
+
+pub use host::Host;
+
+use crate::protocol::SubscriberMessage;
+use crate::stored::StoredState;
+use crate::subscriber::{Action, Event, Subscriber};
+use async_channel::{Receiver, Sender, bounded};
+use async_executor::{LocalExecutor, Task};
+use async_io::Timer;
+use connection::open;
+use futures_lite::future::or;
+use hazelgrade::time::{Span, Time};
+use hazelgrade_config::Document;
+use hazelgrade_net::bell::Bell;
+use hazelgrade_net::outbox::Outbox;
+use notification::{ConnectionCount, ConnectionEvent, Notification};
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Notifications that may be queued; the reader of the connection waits for room.
+const MAX_QUEUED_NOTIFICATIONS: usize = 16;
+
+/// Keeps a subscriber connected to one of its control services.
+pub struct SubscriberClient<H> {
+    /// The node.
+    pub host: Rc<H>,
+    /// The addresses of the control services, in the order of their numbers.
+    pub control_services: Vec<SocketAddr>,
+    /// Runs the tasks of connections and writes.
+    pub executor: Rc<LocalExecutor<'static>>,
+    /// Notified when the node drains.
+    pub drain_started: Rc<Bell>,
+}
+
+/// The connection that is open or being opened.
+struct Connection {
+    count: ConnectionCount,
+    /// None until it is open.
+    write_queue: Option<Rc<Outbox>>,
+    /// Connects and reads; dropping it closes the connection.
+    _task: Task<()>,
+}
+
+/// A subscriber with what has to be done for it.
+struct Run<'a, H> {
+    client: &'a SubscriberClient<H>,
+    subscriber: Subscriber,
+    actions: VecDeque<Action>,
+    connection: Option<Connection>,
+    connection_count: ConnectionCount,
+    notifier: Sender<Notification>,
+}
+
+fn to_duration(span: Span) -> Duration {
+    Duration::from_secs_f64(span.as_ms() / 1000.0)
+}
+
+impl<H: Host + 'static> SubscriberClient<H> {
+    /// Serves a subscriber until it is dropped. `first_actions` are those of the subscriber's start.
+    pub async fn run(&self, subscriber: Subscriber, first_actions: Vec<Action>) {
+        let (notifier, notifications) = bounded(MAX_QUEUED_NOTIFICATIONS);
+        let mut next_sample = self.host.now() + subscriber.sample_interval();
+        let mut run = Run {
+            client: self,
+            subscriber,
+            actions: first_actions.into(),
+            connection: None,
+            connection_count: 0,
+            notifier,
+        };
+        loop {
+            run.perform_actions();
+            let now = self.host.now();
+            if next_sample <= now {
+                next_sample = now + run.subscriber.sample_interval();
+                run.handle(Event::Sampled(self.host.sample()));
+                continue;
+            }
+            if run.send_host_message() {
+                continue;
+            }
+            let Some(notification) = run.wait(&notifications, now, next_sample).await else { return };
+            run.on_notification(notification);
+        }
+    }
+}
+
+impl<H: Host + 'static> Run<'_, H> {
+    /// Tells the subscriber an event; its actions are performed later.
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.subscriber.handle(self.client.host.now(), event, &mut actions);
+        self.actions.extend(actions);
+    }
+
+    /// Performs all actions, and those that follow from them.
+    fn perform_actions(&mut self) {
+        while let Some(action) = self.actions.pop_front() {
+            if let Some(event) = self.perform(action) {
+                self.handle(event);
+            }
+        }
+    }
+
+    /// Performs an action; gives the event that follows from it at once.
+    fn perform(&mut self, action: Action) -> Option<Event> {
+        match action {
+            Action::Connect { control_service, at } => {
+                self.connect(control_service, at);
+                None
+            }
+            Action::Send(message) => {
+                self.send(&message);
+                None
+            }
+            Action::Disconnect => {
+                self.connection = None;
+                Some(Event::Disconnected)
+            }
+            Action::Store { ticket, state } => {
+                self.store(ticket, &state);
+                None
+            }
+            Action::Apply { document, is_rollback } => Some(self.apply(document.as_deref(), is_rollback)),
+            Action::Log(text) => {
+                tracing::info!("configuration: {text}");
+                None
+            }
+        }
+    }
+
+    fn connect(&mut self, control_service: usize, at: Time) {
+        self.connection_count += 1;
+        let Some(address) = self.client.control_services.get(control_service).copied() else { return };
+        let delay = to_duration(at.since(self.client.host.now()));
+        let executor = &self.client.executor;
+        let count = self.connection_count;
+        let task = executor.spawn(open(address, delay, count, self.notifier.clone(), executor.clone()));
+        self.connection = Some(Connection { count, write_queue: None, _task: task });
+    }
+
+    fn write_queue(&self) -> Option<&Rc<Outbox>> {
+        self.connection.as_ref().and_then(|connection| connection.write_queue.as_ref())
+    }
+
+    fn send(&self, message: &SubscriberMessage) {
+        if let Some(write_queue) = self.write_queue() {
+            write_queue.put(message.encode().as_bytes());
+        }
+    }
+
+    /// Sends the message that the node itself has due, if the connection is open. Gives whether there was one.
+    fn send_host_message(&self) -> bool {
+        let Some(write_queue) = self.write_queue() else { return false };
+        let Some(message) = self.client.host.next_message() else { return false };
+        write_queue.put(message.encode().as_bytes());
+        true
+    }
+
+    fn store(&self, ticket: u64, state: &StoredState) {
+        let write = self.client.host.store(state.encode());
+        let notifier = self.notifier.clone();
+        let task = async move {
+            let result = write.await;
+            // Closed only once the client is dropped.
+            let _ = notifier.send(Notification::Event(Event::Stored { ticket, result })).await;
+        };
+        self.client.executor.spawn(task).detach();
+    }
+
+    fn apply(&self, document: Option<&Document>, is_rollback: bool) -> Event {
+        let result = self.client.host.apply(document, is_rollback);
+        if let Err(reason) = &result {
+            tracing::error!(reason, "a configuration can't be applied on this node");
+        }
+        Event::Applied(result)
+    }
+
+    /// Waits for the next notification or timer; none once nobody can notify any more.
+    async fn wait(
+        &self,
+        notifications: &Receiver<Notification>,
+        now: Time,
+        next_sample: Time,
+    ) -> Option<Notification> {
+        let host = &self.client.host;
+        let next_message = host.next_message_at().filter(|_| self.write_queue().is_some());
+        let timers = self.subscriber.next_timer().into_iter().chain(next_message);
+        let next_timer = timers.fold(next_sample, Time::min);
+        let timer_fired = async {
+            Timer::after(to_duration(next_timer.since(now))).await;
+            Some(Notification::Event(Event::TimerFired))
+        };
+        let drain_started = async {
+            self.client.drain_started.heard().await;
+            Some(Notification::Event(Event::DrainStarted))
+        };
+        let host_message = async {
+            host.message_ready().await;
+            Some(Notification::HostMessage)
+        };
+        let received = async { notifications.recv().await.ok() };
+        or(received, or(drain_started, or(host_message, timer_fired))).await
+    }
+
+    fn on_notification(&mut self, notification: Notification) {
+        match notification {
+            Notification::Connection { connection, event } => {
+                // One of a connection that was replaced or closed says nothing.
+                if self.connection.as_ref().is_some_and(|current| current.count == connection) {
+                    self.on_connection_event(event);
+                }
+            }
+            Notification::HostMessage => {}
+            Notification::Event(event) => self.handle(event),
+        }
+    }
+
+    fn on_connection_event(&mut self, event: ConnectionEvent) {
+        match event {
+            ConnectionEvent::Opened(write_queue) => {
+                if let Some(connection) = &mut self.connection {
+                    connection.write_queue = Some(write_queue);
+                }
+                self.client.host.on_connected();
+                self.handle(Event::Connected);
+            }
+            ConnectionEvent::Received(message) => {
+                self.client.host.on_message(&message);
+                self.handle(Event::Received(message));
+            }
+            ConnectionEvent::Undecodable(reason) => self.handle(Event::Undecodable(reason)),
+            ConnectionEvent::Closed => {
+                self.connection = None;
+                self.handle(Event::Disconnected);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/hazelgrade-stream/src/client/notification.rs
@@ -0,0 +1,36 @@
+//! What the tasks around a client tell it.
+
+use crate::protocol::PublisherMessage;
+use crate::subscriber::Event;
+use hazelgrade_net::outbox::Outbox;
+use std::rc::Rc;
+
+/// The count of a connection, from 1.
+pub(super) type ConnectionCount = u64;
+
+/// What the tasks around a client tell it.
+pub(super) enum Notification {
+    /// Something happened on a connection.
+    Connection {
+        /// The count of the connection; it may have been replaced since.
+        connection: ConnectionCount,
+        /// What happened.
+        event: ConnectionEvent,
+    },
+    /// The node may have a message to send.
+    HostMessage,
+    /// An event of no connection.
+    Event(Event),
+}
+
+/// What happened on a connection.
+pub(super) enum ConnectionEvent {
+    /// It is open; what is put into the queue is written to it.
+    Opened(Rc<Outbox>),
+    /// A message came.
+    Received(PublisherMessage),
+    /// What came is no message, for this reason.
+    Undecodable(String),
+    /// It ended, or could not be opened.
+    Closed,
+}
--- /dev/null
+++ b/crates/hazelgrade-stream/src/control_service/counter_file.rs
@@ -0,0 +1,84 @@
+//! The stored counter of a publisher: a file in the folder of the documents.
+
+use super::file_names::counter_file;
+use crate::publisher::Counter;
+use hazelgrade_config::{Kind, Version};
+use serde_json::{Value, json};
+use std::io::{self, ErrorKind, Write};
+use std::path::{Path, PathBuf};
+
+/// Why a stored counter can't be read.
+#[derive(Debug, thiserror::Error)]
+pub enum CounterFileError {
+    /// The file can't be read.
+    #[error("{}: {source}", path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// What the system said.
+        source: io::Error,
+    },
+    /// The file holds no JSON.
+    #[error("{}: {source}", path.display())]
+    NotJson {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong, and where.
+        source: serde_json::Error,
+    },
+    /// A field is missing or holds something else.
+    #[error("{}: field {field}: expected it as this program writes it", path.display())]
+    Field {
+        /// The file.
+        path: PathBuf,
+        /// The field's name.
+        field: &'static str,
+    },
+}
+
+/// The counter of a kind of document as it is stored in the folder; none if there is none yet.
+///
+/// # Errors
+///
+/// What is wrong with the file.
+pub fn read_counter(documents: &Path, kind: Kind) -> Result<Option<Counter>, CounterFileError> {
+    let path = documents.join(counter_file(kind));
+    let bytes = match std::fs::read(&path) {
+        Ok(bytes) => bytes,
+        Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
+        Err(source) => return Err(CounterFileError::Unreadable { path, source }),
+    };
+    let stored: Value = match serde_json::from_slice(&bytes) {
+        Ok(stored) => stored,
+        Err(source) => return Err(CounterFileError::NotJson { path, source }),
+    };
+    match parse_counter(&stored) {
+        Ok(counter) => Ok(Some(counter)),
+        Err(field) => Err(CounterFileError::Field { path, field }),
+    }
+}
+
+/// The counter, or the name of the field that is wrong.
+fn parse_counter(stored: &Value) -> Result<Counter, &'static str> {
+    let lineage = stored["lineage"].as_str().ok_or("lineage")?.to_owned();
+    let last = match &stored["last"] {
+        Value::Null => None,
+        last => {
+            let digest = last["digest"].as_str().and_then(|digest| digest.parse().ok());
+            let (number, digest) = last["number"].as_u64().zip(digest).ok_or("last")?;
+            Some(Version { number, digest })
+        }
+    };
+    Ok(Counter { lineage, last })
+}
+
+/// Replaces the stored counter in one step; done once it is on the disk.
+pub(super) fn write_counter(documents: &Path, kind: Kind, counter: &Counter) -> io::Result<()> {
+    let last = counter.last.map(|last| json!({"number": last.number, "digest": last.digest.to_string()}));
+    let stored = json!({"lineage": counter.lineage, "last": last});
+    let mut file = tempfile::NamedTempFile::new_in(documents)?;
+    file.write_all(stored.to_string().as_bytes())?;
+    file.as_file().sync_all()?;
+    file.persist(documents.join(counter_file(kind)))?;
+    std::fs::File::open(documents)?.sync_all()
+}
--- /dev/null
+++ b/crates/hazelgrade-stream/src/control_service/mod.rs
@@ -0,0 +1,193 @@
+//! A small control service: watches a folder, publishes the documents in it, and reports which node runs which
+//! version.
+
+mod connections;
+mod counter_file;
+mod dispatch;
+mod file_names;
+mod folder;
+mod open_connection;
+mod operator_client;
+mod status;
+
+pub use counter_file::{CounterFileError, read_counter};
+pub use file_names::{SERVING_COUNTER_FILE, SERVING_DOCUMENT_FILE};
+pub use operator_client::{RequestError, request_status, send_budget_command};
+
+use crate::admission::Admission;
+use crate::lessor_service::{LessorConfig, LessorError, LessorService, Metrics};
+use crate::protocol::PublisherMessage;
+use crate::publisher::{ConnectionId, Counter, Publisher};
+use async_executor::LocalExecutor;
+use async_io::Async;
+use counter_file::write_counter;
+use hazelgrade::time::Time;
+use hazelgrade_config::Kind;
+use open_connection::OpenConnection;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::hash::{BuildHasher, RandomState};
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::{Instant, SystemTime};
+
+/// Connections that may wait to be accepted: room for a fleet that connects at once.
+const LISTEN_BACKLOG: i32 = 4096;
+
+/// How a control service is set up.
+#[derive(Clone, Debug)]
+pub struct ControlServiceConfig {
+    /// The folder with the documents; the counters are stored in it too.
+    pub documents: PathBuf,
+    /// The address to listen on.
+    pub listen: SocketAddr,
+    /// The lineage to publish under; if none, the stored one, else a random one.
+    pub lineage: Option<String>,
+    /// The lessor of a site's budgets, if it runs one.
+    pub lessor: Option<LessorConfig>,
+    /// How many subscribers are admitted.
+    pub admission: AdmissionRate,
+}
+
+/// How many subscribers a control service admits.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct AdmissionRate {
+    /// Subscribers a second in the long run.
+    pub per_second: f64,
+    /// Subscribers at once after some quiet.
+    pub burst: f64,
+}
+
+/// Why a control service can't start.
+#[derive(Debug, thiserror::Error)]
+pub enum ControlServiceError {
+    /// The address can't be listened on.
+    #[error("--listen {address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// What the system said.
+        source: io::Error,
+    },
+    /// A stored counter can't be read.
+    #[error(transparent)]
+    Counter(#[from] CounterFileError),
+    /// A counter can't be stored.
+    #[error("--documents {}: {source}", folder.display())]
+    StoreCounter {
+        /// The folder.
+        folder: PathBuf,
+        /// What the system said.
+        source: io::Error,
+    },
+    /// The lessor can't start.
+    #[error(transparent)]
+    Lessor(#[from] LessorError),
+}
+
+/// A control service that runs.
+struct ControlService {
+    config: ControlServiceConfig,
+    executor: Rc<LocalExecutor<'static>>,
+    publishers: BTreeMap<Kind, RefCell<Publisher>>,
+    /// The kind that a connection follows, if it is not the serving document.
+    followed_kinds: RefCell<BTreeMap<ConnectionId, Kind>>,
+    connections: RefCell<BTreeMap<ConnectionId, OpenConnection>>,
+    last_connection: Cell<ConnectionId>,
+    /// What is wrong with the document of a kind, if anything.
+    document_errors: RefCell<BTreeMap<Kind, String>>,
+    started_at: Instant,
+    lessor: Option<Rc<LessorService>>,
+}
+
+/// Runs a control service until it is dropped. `metrics` is called with the figures of the budgets several times a
+/// second, if it runs a lessor.
+///
+/// # Errors
+///
+/// Why it can't start.
+pub async fn serve(
+    executor: Rc<LocalExecutor<'static>>,
+    config: ControlServiceConfig,
+    metrics: Metrics,
+) -> Result<(), ControlServiceError> {
+    let listener = listen(config.listen)
+        .map_err(|source| ControlServiceError::Listen { address: config.listen, source })?;
+    let publishers = start_publishers(&config)?;
+    let lessor = match &config.lessor {
+        Some(lessor) => {
+            Some(Rc::new(LessorService::open(lessor, &config.documents, config.listen, metrics)?))
+        }
+        None => None,
+    };
+    let service = Rc::new(ControlService {
+        config,
+        executor,
+        publishers,
+        followed_kinds: RefCell::default(),
+        connections: RefCell::default(),
+        last_connection: Cell::new(0),
+        document_errors: RefCell::default(),
+        started_at: Instant::now(),
+        lessor,
+    });
+    service.spawn_lessor();
+    let folder_watcher = service.clone();
+    let _folder_watcher = service.executor.spawn(async move { folder_watcher.watch_folder().await });
+    service.accept_connections(&listener).await;
+    Ok(())
+}
+
+fn listen(address: SocketAddr) -> io::Result<Async<TcpListener>> {
+    let listener = Async::<TcpListener>::bind(address)?;
+    rustix::net::listen(&listener, LISTEN_BACKLOG)?;
+    Ok(listener)
+}
+
+fn random_lineage() -> String {
+    format!("l{:016x}", RandomState::new().hash_one(SystemTime::now()))
+}
+
+/// A publisher for each kind of document, going on from its stored counter.
+fn start_publishers(
+    config: &ControlServiceConfig,
+) -> Result<BTreeMap<Kind, RefCell<Publisher>>, ControlServiceError> {
+    let stored_lineage = read_counter(&config.documents, Kind::Serving)?.map(|counter| counter.lineage);
+    let lineage = config.lineage.clone().or(stored_lineage).unwrap_or_else(random_lineage);
+    let mut publishers = BTreeMap::new();
+    for kind in Kind::ALL {
+        // Numbers of another lineage say nothing about this one.
+        let stored = read_counter(&config.documents, kind)?.filter(|counter| counter.lineage == lineage);
+        let last = stored.and_then(|counter| counter.last);
+        let counter = Counter { lineage: lineage.clone(), last };
+        write_counter(&config.documents, kind, &counter).map_err(|source| {
+            ControlServiceError::StoreCounter { folder: config.documents.clone(), source }
+        })?;
+        tracing::info!(listen = %config.listen, lineage, kind = kind.word(), ?last, "control service");
+        let admission = Admission::new(config.admission.per_second, config.admission.burst);
+        publishers.insert(kind, RefCell::new(Publisher::new(counter, admission)));
+    }
+    Ok(publishers)
+}
+
+impl ControlService {
+    fn now(&self) -> Time {
+        Time::from_ms(self.started_at.elapsed().as_secs_f64() * 1000.0)
+    }
+
+    /// Starts the tasks of the lessor: its rounds, and a connection to the control service of each other site.
+    fn spawn_lessor(self: &Rc<Self>) {
+        let Some(lessor) = &self.lessor else { return };
+        let (rounds, service) = (lessor.clone(), self.clone());
+        let send = move |to, message: &PublisherMessage| service.send(to, message);
+        self.executor.spawn(async move { rounds.run(send).await }).detach();
+        for (site, address) in self.config.lessor.iter().flat_map(|lessor| lessor.peers.clone()) {
+            let service = self.clone();
+            let send = move |to, message: &PublisherMessage| service.send(to, message);
+            let connection = lessor.clone().connect_to_site(site, address, self.executor.clone(), send);
+            self.executor.spawn(connection).detach();
+        }
+    }
+}
--- /dev/null
+++ b/crates/hazelgrade-stream/src/lessor_service/mod.rs
@@ -0,0 +1,271 @@
+//! The lessor of a site's budgets on the sockets of a control service: performs what the state machines of the
+//! budget crate decide, stores what has to survive, and exchanges reports with the lessors of other sites.
+//!
+//! What a site owns belongs to one store at one address. A store that was copied to another address is refused, and
+//! so is one in use; without a store there is no lessor. The store is created once, by an operator's command.
+
+mod commands;
+mod config;
+mod error;
+mod sites;
+mod store;
+
+pub use config::LessorConfig;
+pub use error::{BudgetCommandError, LessorError};
+pub use store::create_store;
+
+use crate::protocol::PublisherMessage;
+use crate::publisher::{ConnectionId, Rollout, VersionedDocument};
+use async_io::Timer;
+use futures_lite::future::or;
+use hazelgrade::time::{Span, Time};
+use hazelgrade_budget::keeper::{self, Keeper};
+use hazelgrade_budget::message::Ask;
+use hazelgrade_budget::parts::{self, Owner, TELL_EVERY_MS};
+use hazelgrade_budget::{DRIFT, Units, terms};
+use hazelgrade_config::Version;
+use hazelgrade_net::bell::Bell;
+use hazelgrade_net::outbox::Outbox;
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddr;
+use std::path::Path;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use store::LessorStore;
+
+/// A ledger that could not be stored is written again after this, in milliseconds.
+const STORE_RETRY_INTERVAL_MS: f64 = 200.0;
+/// The shortest wait for a timer.
+const MIN_TIMER_DELAY: Duration = Duration::from_millis(1);
+
+/// Called with the figures of the budgets, by name, several times a second.
+pub type Metrics = Box<dyn Fn(&BTreeMap<String, keeper::Figures>)>;
+
+/// The lessor of a site's budgets.
+pub struct LessorService {
+    started_at: Instant,
+    lessor: RefCell<Keeper>,
+    owner: RefCell<Owner>,
+    store: RefCell<LessorStore>,
+    /// What the site owns of each budget by the ledger on the disk. Units beyond it are not leased out, and other
+    /// sites don't hear of units given up.
+    stored_units: RefCell<BTreeMap<String, Units>>,
+    /// Whether the ledger is newer than the one on the disk.
+    is_ledger_unsaved: Cell<bool>,
+    /// The current version of the budgets.
+    version: RefCell<Option<Version>>,
+    /// Whether it goes by the version before the current one, as nodes rolled back from that.
+    is_rolled_back: Cell<bool>,
+    /// What is to be written to the control service of each site that is connected.
+    site_connections: RefCell<BTreeMap<String, Rc<Outbox>>>,
+    /// Notified when timers may have changed.
+    changed: Bell,
+    /// The longest time for which units of a lease may be in use, with the drift of clocks.
+    max_lease_and_use: Cell<Span>,
+    metrics: Metrics,
+}
+
+impl LessorService {
+    /// Starts a lessor with the store that was created for it.
+    ///
+    /// # Errors
+    ///
+    /// Why the store can't be used.
+    pub fn open(
+        config: &LessorConfig,
+        documents: &Path,
+        listen: SocketAddr,
+        metrics: Metrics,
+    ) -> Result<LessorService, LessorError> {
+        let mut store = LessorStore::open(config, documents, listen)?;
+        let book = store.read_book()?;
+        let ledger = store.read_ledger()?;
+        let started_at = Instant::now();
+        let (lessor, first_action) = Keeper::new(Time::from_ms(0.0), book);
+        let owner = Owner::new(&config.site, lessor.generation(), ledger);
+        let service = LessorService {
+            started_at,
+            lessor: RefCell::new(lessor),
+            owner: RefCell::new(owner),
+            store: RefCell::new(store),
+            stored_units: RefCell::default(),
+            is_ledger_unsaved: Cell::new(false),
+            version: RefCell::default(),
+            is_rolled_back: Cell::new(false),
+            site_connections: RefCell::default(),
+            changed: Bell::default(),
+            max_lease_and_use: Cell::new(Span::ZERO),
+            metrics,
+        };
+        service.store_start(first_action)?;
+        Ok(service)
+    }
+
+    /// Stores the count of this start: without it this one can't be told from the one before.
+    fn store_start(&self, first_action: keeper::Action) -> Result<(), LessorError> {
+        let mut actions = VecDeque::from([first_action]);
+        while let Some(action) = actions.pop_front() {
+            if let keeper::Action::Keep(book) = action {
+                self.store.borrow_mut().write_first_book(&book)?;
+                let mut next_actions = Vec::new();
+                let event = keeper::Event::Kept(Ok(()));
+                self.lessor.borrow_mut().take(self.now(), event, &mut next_actions);
+                actions.extend(next_actions);
+            }
+        }
+        Ok(())
+    }
+
+    /// This machine's monotonic clock, from the start of the lessor.
+    fn now(&self) -> Time {
+        Time::from_ms(self.started_at.elapsed().as_secs_f64() * 1000.0)
+    }
+
+    /// Tells the lessor an event and performs its actions.
+    fn notify_lessor(&self, event: keeper::Event, send: &mut impl FnMut(ConnectionId, &PublisherMessage)) {
+        let mut events = VecDeque::from([event]);
+        while let Some(event) = events.pop_front() {
+            let mut actions = Vec::new();
+            self.lessor.borrow_mut().take(self.now(), event, &mut actions);
+            for action in actions {
+                match action {
+                    keeper::Action::Grant(to, grant) => send(to, &PublisherMessage::LeaseGrant(grant)),
+                    keeper::Action::Nudge(to) => send(to, &PublisherMessage::RequestLeases),
+                    // A few milliseconds, at a start and when terms change: requests that need it wait for it anyway.
+                    keeper::Action::Keep(book) => {
+                        let result = self.store.borrow_mut().write_book(&book);
+                        events.push_back(keeper::Event::Kept(result));
+                    }
+                    keeper::Action::Note(text) => tracing::info!("budgets: {text}"),
+                }
+            }
+        }
+        self.changed.ring();
+    }
+
+    /// Performs the owner's actions, and has the lessor go by what the site owns then.
+    fn perform_owner_actions(
+        &self,
+        actions: Vec<parts::Action>,
+        send: &mut impl FnMut(ConnectionId, &PublisherMessage),
+    ) {
+        for action in actions {
+            match action {
+                parts::Action::Keep(ledger) => {
+                    let result = self.store.borrow_mut().write_ledger(&ledger);
+                    if let Err(reason) = &result {
+                        tracing::error!(reason, "the ledger can't be stored: other sites don't hear of it");
+                    }
+                    self.is_ledger_unsaved.set(result.is_err());
+                }
+                parts::Action::Older(by) => self.notify_lessor(keeper::Event::Older(by), send),
+                parts::Action::Note(text) => tracing::info!("budgets: {text}"),
+            }
+        }
+        let (terms, owned) = {
+            let owner = self.owner.borrow();
+            (owner.all_terms().clone(), owner.owned_all())
+        };
+        let owned = self.limit_to_stored(owned);
+        self.notify_lessor(keeper::Event::Terms(terms, owned), send);
+        let agreed = self.owner.borrow().agreed();
+        self.notify_lessor(keeper::Event::Others(agreed), send);
+    }
+
+    /// The units of each budget that the lessor may go by: never more than the disk knows of.
+    fn limit_to_stored(&self, mut owned: BTreeMap<String, Units>) -> BTreeMap<String, Units> {
+        if !self.is_ledger_unsaved.get() {
+            self.stored_units.replace(owned.clone());
+            return owned;
+        }
+        let stored = self.stored_units.borrow();
+        for (name, units) in &mut owned {
+            *units = (*units).min(stored.get(name).copied().unwrap_or(0));
+        }
+        owned
+    }
+
+    /// Goes by the current version, or by the one before if at least half of the nodes that answered to it failed.
+    pub(crate) fn on_document(
+        &self,
+        current: VersionedDocument<'_>,
+        previous: Option<VersionedDocument<'_>>,
+        rollout: Rollout,
+        send: &mut impl FnMut(ConnectionId, &PublisherMessage),
+    ) {
+        let has_failed = rollout.failed > 0 && rollout.failed * 2 >= rollout.answered;
+        let is_known = self.version.borrow().is_some_and(|version| version == current.version);
+        let is_rolled_back = has_failed || (is_known && self.is_rolled_back.get());
+        if is_known && is_rolled_back == self.is_rolled_back.get() {
+            return;
+        }
+        self.is_rolled_back.set(is_rolled_back);
+        self.version.replace(Some(current.version));
+        let Some(chosen) = (if is_rolled_back { previous } else { Some(current) }) else { return };
+        let version = chosen.version;
+        if is_rolled_back {
+            tracing::warn!(%version, "budgets: nodes rolled back from the current version, and so does the lessor");
+        }
+        let terms = terms::read(chosen.document);
+        let longest = terms.values().map(|terms| terms.lease + terms.longest_use).max();
+        let longest = longest.unwrap_or(Span::ZERO);
+        self.max_lease_and_use.set(longest * (1.0 + DRIFT) * (1.0 + DRIFT));
+        let mut actions = Vec::new();
+        self.owner.borrow_mut().terms(version.digest.to_string(), terms, &mut actions);
+        self.perform_owner_actions(actions, send);
+    }
+
+    /// A lease holder requests leases.
+    pub(crate) fn on_lease_request(
+        &self,
+        connection: ConnectionId,
+        request: Ask,
+        send: &mut impl FnMut(ConnectionId, &PublisherMessage),
+    ) {
+        self.notify_lessor(keeper::Event::Asked(connection, request), send);
+    }
+
+    /// The connection of a lease holder ended.
+    pub(crate) fn on_disconnected(
+        &self,
+        connection: ConnectionId,
+        send: &mut impl FnMut(ConnectionId, &PublisherMessage),
+    ) {
+        self.notify_lessor(keeper::Event::Gone(connection), send);
+    }
+
+    /// Does what is due until it is dropped.
+    pub(crate) async fn run(&self, mut send: impl FnMut(ConnectionId, &PublisherMessage)) {
+        let interval = Span::from_ms(TELL_EVERY_MS.min(STORE_RETRY_INTERVAL_MS));
+        let mut next_round = self.now();
+        loop {
+            let now = self.now();
+            if next_round <= now {
+                next_round = now + interval;
+                self.run_round(&mut send);
+            }
+            let next_timer = self.lessor.borrow().wakes_at(now);
+            if next_timer.is_some_and(|at| at <= now) {
+                self.notify_lessor(keeper::Event::Woke, &mut send);
+                Timer::after(MIN_TIMER_DELAY).await;
+                continue;
+            }
+            let wake_at = next_timer.map_or(next_round, |at| at.min(next_round));
+            let timer_fired = async {
+                Timer::after(Duration::from_secs_f64(wake_at.since(now).as_ms() / 1000.0)).await;
+            };
+            or(self.changed.heard(), timer_fired).await;
+        }
+    }
+
+    /// Gives free units to sites that are short, reports to all sites, and updates the metrics.
+    fn run_round(&self, send: &mut impl FnMut(ConnectionId, &PublisherMessage)) {
+        let actions = self.give_to_sites();
+        if !actions.is_empty() {
+            self.perform_owner_actions(actions, send);
+        }
+        self.report_to_sites();
+        (self.metrics)(&self.lessor.borrow().figures(self.now()));
+    }
+}
--- /dev/null
+++ b/crates/hazelgrade-stream/src/lessor_service/sites.rs
@@ -0,0 +1,144 @@
+//! The lessors of other sites: what is given and reported to them, and the connections to their control services.
+
+use super::LessorService;
+use crate::line_reader::read_bounded_line;
+use crate::protocol::{MAX_LINE_BYTES, PublisherMessage, SubscriberMessage};
+use crate::publisher::ConnectionId;
+use async_executor::LocalExecutor;
+use async_io::{Async, Timer};
+use futures_lite::future::or;
+use futures_lite::io::BufReader;
+use hazelgrade::time::Time;
+use hazelgrade_budget::message::Parts;
+use hazelgrade_budget::parts;
+use hazelgrade_net::connect::connect;
+use hazelgrade_net::ending::ConnectionEnd;
+use hazelgrade_net::outbox::Outbox;
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// A connection that ended is opened again after this.
+const RECONNECT_DELAY: Duration = Duration::from_millis(300);
+/// A connection without any message for so long is dead: the other lessor answers each report.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Bytes that may wait to be written on a connection.
+const WRITE_QUEUE_BYTES: usize = 256 * 1024;
+
+impl LessorService {
+    /// Another site's lessor reported; gives the report to answer with.
+    pub(crate) fn on_site_report(
+        &self,
+        report: &Parts,
+        send: &mut impl FnMut(ConnectionId, &PublisherMessage),
+    ) -> Option<Parts> {
+        let mut actions = Vec::new();
+        self.owner.borrow_mut().heard(self.now(), report, &mut actions);
+        self.perform_owner_actions(actions, send);
+        self.report_for(&report.from)
+    }
+
+    /// This site's report to another; none while the disk doesn't have it.
+    fn report_for(&self, site: &str) -> Option<Parts> {
+        if self.is_ledger_unsaved.get() {
+            return None;
+        }
+        let lessor = self.lessor.borrow();
+        let owner = self.owner.borrow();
+        let budgets = owner.all_terms().keys();
+        let is_over = budgets.clone().any(|name| lessor.over(name) > 0);
+        let short = budgets.map(|name| (name.clone(), lessor.spare(name).1)).collect();
+        Some(owner.tell(site, is_over, &short))
+    }
+
+    /// Gives free units to sites that are short; the owner's actions are still to be performed.
+    pub(super) fn give_to_sites(&self) -> Vec<parts::Action> {
+        let lessor = self.lessor.borrow();
+        let now = self.now();
+        let mut owner = self.owner.borrow_mut();
+        let names: Vec<String> = owner.all_terms().keys().cloned().collect();
+        let free = names.iter().map(|name| {
+            let units = lessor.free(now, name).min(lessor.spare(name).0);
+            (name.clone(), units)
+        });
+        let free = free.collect();
+        let within: Vec<String> = names.iter().filter(|name| lessor.over(name) == 0).cloned().collect();
+        let mut actions = Vec::new();
+        owner.spare(&free, &within, &mut actions);
+        if self.is_ledger_unsaved.get() {
+            actions.push(parts::Action::Keep(owner.ledger().clone()));
+        }
+        actions
+    }
+
+    pub(super) fn report_to_sites(&self) {
+        for (site, write_queue) in &*self.site_connections.borrow() {
+            if let Some(report) = self.report_for(site) {
+                write_queue.put(SubscriberMessage::SiteReport(report).encode().as_bytes());
+            }
+        }
+    }
+
+    /// When nothing that a site leased out can be in use any more, if the site is gone: counted from its last
+    /// report, or from the start of this lessor.
+    pub(super) fn safe_from(&self, site: &str) -> Time {
+        let longest = self.max_lease_and_use.get();
+        let since_report = self.owner.borrow().safe_from(site, longest);
+        since_report.unwrap_or(Time::from_ms(0.0) + longest)
+    }
+
+    /// Keeps up the connection to the control service of another site until it is dropped.
+    pub(crate) async fn connect_to_site(
+        self: Rc<Self>,
+        site: String,
+        address: SocketAddr,
+        executor: Rc<LocalExecutor<'static>>,
+        mut send: impl FnMut(ConnectionId, &PublisherMessage),
+    ) {
+        loop {
+            let end = match connect(address).await {
+                Ok(stream) => {
+                    let stream = Rc::new(stream);
+                    let write_queue = Rc::new(Outbox::new(WRITE_QUEUE_BYTES));
+                    let writer = write_queue.clone().writer(&executor, stream.clone());
+                    self.site_connections.borrow_mut().insert(site.clone(), write_queue);
+                    let end = or(self.read_site(&stream, &mut send), writer).await;
+                    self.site_connections.borrow_mut().remove(&site);
+                    end
+                }
+                Err(_) => ConnectionEnd::Unreachable,
+            };
+            tracing::debug!(site, ?end, "the connection to another site's lessor ended");
+            Timer::after(RECONNECT_DELAY).await;
+        }
+    }
+
+    async fn read_site(
+        &self,
+        stream: &Async<TcpStream>,
+        send: &mut impl FnMut(ConnectionId, &PublisherMessage),
+    ) -> ConnectionEnd {
+        let mut reader = BufReader::new(stream);
+        let mut line = Vec::new();
+        loop {
+            let timed_out = async {
+                Timer::after(MESSAGE_TIMEOUT).await;
+                Err(ConnectionEnd::Slow)
+            };
+            let read = read_bounded_line(&mut reader, &mut line, MAX_LINE_BYTES, MESSAGE_TIMEOUT);
+            if let Err(end) = or(read, timed_out).await {
+                return end;
+            }
+            match PublisherMessage::decode(&line) {
+                Ok(PublisherMessage::SiteReport(report)) => {
+                    self.on_site_report(&report, send);
+                }
+                Ok(_) => {}
+                Err(error) => {
+                    tracing::warn!(%error, "another site's lessor sent what is no message");
+                    return ConnectionEnd::Unreadable;
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/hazelgrade-stream/src/protocol/rejection.rs
@@ -0,0 +1,56 @@
+//! Why a node rejects a version.
+
+use hazelgrade_config::Version;
+
+/// Why a version is rejected. The text is the message on the wire.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum Rejection {
+    /// The node drains and takes up no version any more.
+    #[error("the node is leaving")]
+    Draining,
+    /// The node follows another lineage.
+    #[error("the node follows the lineage {own}")]
+    OtherLineage {
+        /// The lineage that it follows.
+        own: String,
+    },
+    /// The node knows a later version.
+    #[error("the node knows version {known}, which is later")]
+    Outdated {
+        /// The latest version that it knows.
+        known: Version,
+    },
+    /// The node knows another document under the same number.
+    #[error("the node knows this number as {known}")]
+    Conflict {
+        /// The version that it knows.
+        known: Version,
+    },
+    /// The node doesn't have the document that the difference is against.
+    #[error("the node doesn't have the base of the difference")]
+    UnknownBase,
+    /// The document doesn't have the digest that was announced.
+    #[error("the contents don't have the digest that was announced")]
+    DigestMismatch,
+    /// The document is invalid; the text names its errors, one a line.
+    #[error("{0}")]
+    Invalid(String),
+    /// The node crashed too often with this document on trial.
+    #[error("the node died twice with it on trial")]
+    CrashedOnTrial,
+    /// The version failed its trial on this node before, for this reason.
+    #[error("{0}")]
+    FailedTrial(String),
+    /// The node could not store the version, for this reason.
+    #[error("{0}")]
+    NotStored(String),
+    /// The node can't apply the version, for this reason.
+    #[error("{0}")]
+    NotApplicable(String),
+    /// A later version came while this one waited.
+    #[error("version {by} came before its turn")]
+    Superseded {
+        /// The later version.
+        by: Version,
+    },
+}
--- /dev/null
+++ b/crates/hazelgrade-stream/src/subscriber/offers.rs
@@ -0,0 +1,181 @@
+//! Which offers a node takes up, and what it answers to the others.
+
+use super::Subscriber;
+use super::event::Action;
+use super::state::{Candidate, ReplyTo, Stage};
+use crate::protocol::{Content, Offer, Rejection, SubscriberMessage};
+use crate::stored::{MAX_CRASHES_ON_TRIAL, StoredVersion, VersionOnTrial};
+use hazelgrade_config::{Document, Version, fault};
+use std::sync::Arc;
+
+/// Errors of a document that a rejection names.
+const MAX_ERRORS_NAMED: usize = 5;
+
+/// The reason for a rollback when the good document is published again during a trial.
+const ROLLED_BACK_BY_PUBLISHER: &str = "a later version takes it back";
+
+impl Subscriber {
+    /// The only lineage whose versions the node takes.
+    pub(super) fn followed_lineage(&self) -> Option<String> {
+        self.lineage.clone().or_else(|| self.stored.lineage.clone())
+    }
+
+    pub(super) fn on_offer(&mut self, offer: Offer, actions: &mut Vec<Action>) {
+        let Offer { nonce, version, .. } = offer;
+        match self.check(&offer) {
+            Ok(Some(document)) => self.take_up(offer, document, actions),
+            // It is in effect already: the offer came twice, or its answer was lost.
+            Ok(None) => {
+                let on_trial = self.candidate.is_some();
+                let staged = Vec::new();
+                let message = SubscriberMessage::Acknowledged { nonce, version, on_trial, staged };
+                actions.push(Action::Send(message));
+            }
+            Err(rejection) => self.reject(nonce, version, rejection, actions),
+        }
+    }
+
+    fn reject(&self, nonce: u64, version: Version, rejection: Rejection, actions: &mut Vec<Action>) {
+        actions.push(Action::Log(format!("rejected version {version}: {rejection}")));
+        let message = SubscriberMessage::Rejected { nonce, version, rejection };
+        self.send_on(self.connection_count, message, actions);
+    }
+
+    /// The document to take up; none if the version is in effect already.
+    fn check(&self, offer: &Offer) -> Result<Option<Document>, Rejection> {
+        if self.draining {
+            return Err(Rejection::Draining);
+        }
+        if let Some(own) = self.followed_lineage().filter(|own| *own != offer.lineage) {
+            return Err(Rejection::OtherLineage { own });
+        }
+        if self.version_in_effect().is_some_and(|in_effect| in_effect.version == offer.version) {
+            return Ok(None);
+        }
+        self.check_history(offer.version)?;
+        self.read_document(offer).map(Some)
+    }
+
+    /// Whether what the node knows of earlier versions speaks against this one.
+    fn check_history(&self, version: Version) -> Result<(), Rejection> {
+        if self.stored.crashes_of(version.digest) >= MAX_CRASHES_ON_TRIAL {
+            return Err(Rejection::CrashedOnTrial);
+        }
+        if let Some(failed) = self.stored.last_failed.as_ref().filter(|failed| failed.version == version) {
+            return Err(Rejection::FailedTrial(failed.reason.clone()));
+        }
+        let Some(known) = self.stored.latest_known else { return Ok(()) };
+        if version.number < known.number {
+            return Err(Rejection::Outdated { known });
+        }
+        if version.number == known.number && version.digest != known.digest {
+            return Err(Rejection::Conflict { known });
+        }
+        Ok(())
+    }
+
+    /// The document of an offer, checked against its digest.
+    fn read_document(&self, offer: &Offer) -> Result<Document, Rejection> {
+        let version = offer.version;
+        let name = format!("version {version}");
+        let invalid = |errors: Vec<fault::Fault>| Rejection::Invalid(fault::lines(&errors, MAX_ERRORS_NAMED));
+        match &offer.content {
+            Content::Full(text) => {
+                let document = Document::read_as(self.kind, text, &name).map_err(invalid)?;
+                if document.digest() != version.digest {
+                    return Err(Rejection::DigestMismatch);
+                }
+                Ok(document)
+            }
+            Content::Delta { base, difference } => {
+                let in_effect = self.version_in_effect().filter(|in_effect| in_effect.version == *base);
+                let base = in_effect.ok_or(Rejection::UnknownBase)?.document;
+                let fields = base.fields().with(difference).ok_or(Rejection::UnknownBase)?;
+                if fields.digest() != version.digest {
+                    return Err(Rejection::DigestMismatch);
+                }
+                Document::of_fields(self.kind, fields, &name).map_err(invalid)
+            }
+        }
+    }
+
+    /// Begins to take a version up, or lets it wait for the candidate.
+    fn take_up(&mut self, offer: Offer, document: Document, actions: &mut Vec<Action>) {
+        if let Some(candidate) = &self.candidate {
+            // Whoever publishes the good document again wants the version on trial gone at once.
+            if matches!(candidate.stage, Stage::OnTrial(_)) && self.is_last_good(offer.version) {
+                self.roll_back(ROLLED_BACK_BY_PUBLISHER.into(), actions);
+            } else {
+                self.let_wait(offer, actions);
+                return;
+            }
+        }
+        let Offer { nonce, lineage, version, .. } = offer;
+        self.stored.lineage.get_or_insert(lineage);
+        self.stored.latest_known = Some(version);
+        if self.is_last_good(version) {
+            self.renumber_last_good(nonce, version, document, actions);
+            self.take_up_waiting(actions);
+            return;
+        }
+        self.stored.on_trial = Some(VersionOnTrial { version, text: document.to_toml() });
+        // Whether the store works again is found out now: somebody waits for the answer.
+        self.writes.cancel_delay();
+        let ticket = self.store(actions);
+        self.candidate = Some(Candidate {
+            version,
+            document: Arc::new(document),
+            reply_to: Some(ReplyTo { nonce, connection: self.connection_count }),
+            stage: Stage::Storing(ticket),
+        });
+    }
+
+    fn is_last_good(&self, version: Version) -> bool {
+        self.last_good.as_ref().is_some_and(|good| good.version.digest == version.digest)
+    }
+
+    /// The last good document has a new number: there is nothing to try out.
+    fn renumber_last_good(
+        &mut self,
+        nonce: u64,
+        version: Version,
+        document: Document,
+        actions: &mut Vec<Action>,
+    ) {
+        if let Some(good) = &mut self.last_good {
+            good.version = version;
+        }
+        self.stored.last_good = Some(StoredVersion { version, document });
+        self.store(actions);
+        let message = SubscriberMessage::Acknowledged { nonce, version, on_trial: false, staged: Vec::new() };
+        self.send_on(self.connection_count, message, actions);
+    }
+
+    /// Replaces the waiting offer by a later one.
+    fn let_wait(&mut self, offer: Offer, actions: &mut Vec<Action>) {
+        let by = offer.version;
+        let replaced = self.waiting_offer.replace(offer).filter(|replaced| replaced.version != by);
+        if let Some(replaced) = replaced {
+            self.reject(replaced.nonce, replaced.version, Rejection::Superseded { by }, actions);
+        }
+    }
+
+    /// The waiting offer has its turn, if there is no candidate.
+    pub(super) fn take_up_waiting(&mut self, actions: &mut Vec<Action>) {
+        if self.candidate.is_none()
+            && let Some(offer) = self.waiting_offer.take()
+        {
+            self.on_offer(offer, actions);
+        }
+    }
+
+    pub(super) fn reject_waiting_as_draining(&mut self, actions: &mut Vec<Action>) {
+        if let Some(offer) = self.waiting_offer.take() {
+            self.reject(offer.nonce, offer.version, Rejection::Draining, actions);
+        }
+    }
+
+    pub(super) fn reject_candidate_as_draining(&mut self, actions: &mut Vec<Action>) {
+        self.reject_candidate(Rejection::Draining, actions);
+    }
+}
--- /dev/null
+++ b/crates/hazelgrade-stream/src/subscriber/take_up.rs
@@ -0,0 +1,131 @@
+//! A candidate takes effect, is on trial, and becomes good or is rolled back.
+
+use super::Subscriber;
+use super::event::Action;
+use super::state::{Candidate, Stage, VersionedDocument};
+use crate::protocol::{Rejection, SubscriberMessage};
+use crate::stored::{FailedVersion, MAX_CRASHES_ON_TRIAL, StoredVersion};
+use crate::trial::{Sample, Trial, Verdict};
+use hazelgrade::time::Time;
+use hazelgrade_config::{Document, Version};
+
+impl Subscriber {
+    /// The node crashed with this version on trial.
+    pub(super) fn record_crash(&mut self, version: Version, actions: &mut Vec<Action>) {
+        let crashes = self.stored.record_crash(version.digest);
+        let reason = format!("the node died with it on trial, {crashes} of {MAX_CRASHES_ON_TRIAL} times");
+        actions.push(Action::Log(format!("rolled back from version {version}: {reason}")));
+        self.unreported_trial_end = Some(SubscriberMessage::TrialEnded { version, failure: Some(reason) });
+        self.store(actions);
+    }
+
+    /// The candidate is in effect, or can't be applied here. What is applied at a start or rolled back to is no
+    /// candidate and needs no answer.
+    pub(super) fn on_applied(&mut self, now: Time, result: Result<(), String>, actions: &mut Vec<Action>) {
+        let Some(Candidate { stage: Stage::Applying, .. }) = &self.candidate else { return };
+        if let Err(reason) = result {
+            self.reject_candidate(Rejection::NotApplicable(reason), actions);
+            self.take_up_waiting(actions);
+            return;
+        }
+        let trial = Trial::start(self.trial_rules, now, &self.baseline);
+        let fallback = self.fallback_document();
+        let Some(candidate) = &mut self.candidate else { return };
+        candidate.stage = Stage::OnTrial(Box::new(trial));
+        let staged = staged_fields(fallback.as_deref(), &candidate.document);
+        let version = candidate.version;
+        let reply_to = candidate.reply_to.take();
+        actions.push(Action::Log(format!("version {version} is in effect, on trial")));
+        if let Some(reply_to) = reply_to {
+            let nonce = reply_to.nonce;
+            let message = SubscriberMessage::Acknowledged { nonce, version, on_trial: true, staged };
+            self.send_on(reply_to.connection, message, actions);
+        }
+    }
+
+    /// Drops a candidate that has not been in effect; only its number is remembered.
+    pub(super) fn reject_candidate(&mut self, rejection: Rejection, actions: &mut Vec<Action>) {
+        let Some(Candidate { version, reply_to, .. }) = self.candidate.take() else { return };
+        self.stored.on_trial = None;
+        if let Rejection::NotApplicable(reason) = &rejection {
+            self.stored.last_failed = Some(FailedVersion { version, reason: reason.clone() });
+        }
+        self.store(actions);
+        actions.push(Action::Log(format!("rejected version {version}: {rejection}")));
+        if let Some(reply_to) = reply_to {
+            let message = SubscriberMessage::Rejected { nonce: reply_to.nonce, version, rejection };
+            self.send_on(reply_to.connection, message, actions);
+        }
+    }
+
+    pub(super) fn on_sample(&mut self, now: Time, sample: Sample, actions: &mut Vec<Action>) {
+        if self.draining {
+            return; // What a drain rejects says nothing about a version.
+        }
+        let Some(Candidate { stage: Stage::OnTrial(trial), .. }) = &mut self.candidate else {
+            self.baseline.record(now, sample);
+            return;
+        };
+        match trial.record(now, &sample) {
+            Verdict::Undecided => {}
+            Verdict::Passed => self.store_as_good(actions),
+            Verdict::Failed(reason) => {
+                self.roll_back(reason, actions);
+                self.take_up_waiting(actions);
+            }
+        }
+    }
+
+    /// The candidate passed its trial; it is good once that is stored.
+    fn store_as_good(&mut self, actions: &mut Vec<Action>) {
+        let Some(candidate) = &self.candidate else { return };
+        let document = (*candidate.document).clone();
+        self.stored.last_good = Some(StoredVersion { version: candidate.version, document });
+        self.stored.on_trial = None;
+        let ticket = self.store(actions);
+        if let Some(candidate) = &mut self.candidate {
+            candidate.stage = Stage::StoringAsGood(ticket);
+        }
+    }
+
+    /// Goes back to what the node served by before the candidate.
+    pub(super) fn roll_back(&mut self, reason: String, actions: &mut Vec<Action>) {
+        let Some(Candidate { version, .. }) = self.candidate.take() else { return };
+        actions.push(Action::Apply { document: self.fallback_document(), is_rollback: true });
+        actions.push(Action::Log(format!("rolled back from version {version}: {reason}")));
+        self.stored.on_trial = None;
+        self.stored.last_failed = Some(FailedVersion { version, reason: reason.clone() });
+        self.store(actions);
+        let message = SubscriberMessage::TrialEnded { version, failure: Some(reason) };
+        self.send_on(self.connection_count, message, actions);
+    }
+
+    /// The write with this ticket is on the disk: the candidate goes on if it waited for it.
+    pub(super) fn on_candidate_stored(&mut self, ticket: u64, actions: &mut Vec<Action>) {
+        let Some(candidate) = &mut self.candidate else { return };
+        match candidate.stage {
+            Stage::Storing(since) if ticket >= since => {
+                candidate.stage = Stage::Applying;
+                let document = Some(candidate.document.clone());
+                actions.push(Action::Apply { document, is_rollback: false });
+            }
+            Stage::StoringAsGood(since) if ticket >= since => self.end_trial_as_good(actions),
+            _ => {}
+        }
+    }
+
+    fn end_trial_as_good(&mut self, actions: &mut Vec<Action>) {
+        let Some(Candidate { version, document, .. }) = self.candidate.take() else { return };
+        self.last_good = Some(VersionedDocument { version, document });
+        actions.push(Action::Log(format!("version {version} is good")));
+        let message = SubscriberMessage::TrialEnded { version, failure: None };
+        self.send_on(self.connection_count, message, actions);
+        self.take_up_waiting(actions);
+    }
+}
+
+/// The fields that differ from what was in effect before and take effect at the next start only.
+fn staged_fields(before: Option<&Document>, document: &Document) -> Vec<String> {
+    let Some(before) = before else { return Vec::new() };
+    before.fields().difference(document.fields()).staged()
+}
--- a/crates/hazelgrade-stream/src/trial.rs
+++ b/crates/hazelgrade-stream/src/trial.rs
@@ -1,131 +1,154 @@
-//! Whether a version on trial does well: by guards that trip, and by service compared with the span before.
+//! Whether a version on trial does well: the executor's connection stays, and the part of jobs that succeed doesn't
+//! fall against the time before the trial.
 
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::operator;
 use std::collections::VecDeque;
 
-/// Samples in a span: a trial that goes badly is seen after a few of them.
-pub const SAMPLES: f64 = 20.0;
-/// A fall counts once it is past this many standard errors of what chance does between two such counts: looked at twenty
-/// times a trial, three would take back one version in some hundreds that does as well as the one before.
-const ERRORS: f64 = 4.0;
-/// Samples in a row without an executor that fail a trial: links break and come back within one or two.
-const UNLINKED: u32 = 4;
-
-/// What happened since the sample before.
+/// Samples in the span of a trial: a trial that goes badly is seen after a few of them.
+pub const SAMPLES_PER_SPAN: f64 = 20.0;
+/// Most samples that a baseline holds.
+const MAX_BASELINE_SAMPLES: usize = 4 * SAMPLES_PER_SPAN as usize;
+/// A fall counts once it is past this many standard errors of the difference of two such samples. With twenty looks
+/// at a trial, three would roll back one version in some hundreds that does as well as the one before.
+const SIGNIFICANT_STANDARD_ERRORS: f64 = 4.0;
+/// Samples in a row without the executor's connection that fail a trial: broken connections come back within one or
+/// two.
+const MAX_DISCONNECTED_SAMPLES: u32 = 4;
+
+/// Service since the sample before.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sample {
-    /// Jobs that were answered, those included that asked for what the version doesn't know.
+    /// Jobs that were answered, including those of a job class that the version doesn't know.
     pub answered: f64,
-    /// Of them, succeeded.
+    /// Those of them that succeeded.
     pub succeeded: f64,
-    /// The executor's link stands.
-    pub linked: bool,
+    /// Whether the executor is connected now.
+    pub executor_connected: bool,
 }
 
+/// Sums over several samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Sums {
+struct Totals {
     answered: f64,
     succeeded: f64,
 }
 
-impl Sums {
+impl Totals {
     fn add(&mut self, sample: &Sample) {
         self.answered += sample.answered;
         self.succeeded += sample.succeeded;
     }
 
-    fn part(self) -> f64 {
+    fn success_ratio(self) -> f64 {
         self.succeeded / self.answered.max(1.0)
     }
 }
 
-/// Service of late: what a version on trial is compared with.
+/// Service of late, without any version on trial: what the next trial is compared with.
 #[derive(Clone, Debug)]
-pub struct Service {
+pub struct Baseline {
     span: Span,
     samples: VecDeque<(Time, Sample)>,
 }
 
-impl Service {
-    pub fn new(span: Span) -> Service {
-        Service { span, samples: VecDeque::new() }
+impl Baseline {
+    /// A baseline without samples; it holds those of the last `span`.
+    pub fn new(span: Span) -> Baseline {
+        Baseline { span, samples: VecDeque::new() }
     }
 
-    pub fn served(&mut self, now: Time, sample: Sample) {
+    /// Adds a sample, and drops those that are too old.
+    pub fn record(&mut self, now: Time, sample: Sample) {
         self.samples.push_back((now, sample));
         while self.samples.front().is_some_and(|(at, _)| now.since(*at) > self.span)
-            || self.samples.len() > 4 * SAMPLES as usize
+            || self.samples.len() > MAX_BASELINE_SAMPLES
         {
             self.samples.pop_front();
         }
     }
 
-    fn sums(&self) -> Sums {
-        let mut sums = Sums::default();
-        self.samples.iter().for_each(|(_, sample)| sums.add(sample));
-        sums
+    fn totals(&self) -> Totals {
+        let mut totals = Totals::default();
+        self.samples.iter().for_each(|(_, sample)| totals.add(sample));
+        totals
     }
 
-    fn linked(&self) -> bool {
-        self.samples.back().is_some_and(|(_, sample)| sample.linked)
+    fn executor_connected(&self) -> bool {
+        self.samples.back().is_some_and(|(_, sample)| sample.executor_connected)
     }
 }
 
+/// What the samples so far say of a trial.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
+    /// The trial goes on.
     Undecided,
-    Good,
-    Bad(String),
+    /// The version did well for the span of the trial.
+    Passed,
+    /// The version does harm; the text says how.
+    Failed(String),
 }
 
+/// A version's trial.
 #[derive(Clone, Debug)]
 pub struct Trial {
     rules: operator::Trial,
-    began: Time,
-    before: Sums,
-    linked_before: bool,
-    now: Sums,
-    unlinked: u32,
+    started_at: Time,
+    before: Totals,
+    executor_connected_before: bool,
+    during: Totals,
+    disconnected_samples: u32,
 }
 
 impl Trial {
-    pub fn begin(rules: operator::Trial, now: Time, service: &Service) -> Trial {
+    /// Starts a trial against a baseline.
+    pub fn start(rules: operator::Trial, now: Time, baseline: &Baseline) -> Trial {
         Trial {
             rules,
-            began: now,
-            before: service.sums(),
-            linked_before: service.linked(),
-            now: Sums::default(),
-            unlinked: 0,
+            started_at: now,
+            before: baseline.totals(),
+            executor_connected_before: baseline.executor_connected(),
+            during: Totals::default(),
+            disconnected_samples: 0,
         }
     }
 
+    /// When the trial is passed, if nothing fails it before.
     pub fn ends_at(&self) -> Time {
-        self.began + self.rules.span
+        self.started_at + self.rules.span
     }
 
-    /// The part of jobs that were succeeded in the span before and on trial, where enough were answered.
-    fn parts(&self) -> Option<(f64, f64)> {
-        let enough = |sums: Sums| sums.answered >= self.rules.least_jobs;
-        (enough(self.before) && enough(self.now)).then(|| (self.before.part(), self.now.part()))
+    /// Takes a sample into account.
+    pub fn record(&mut self, now: Time, sample: &Sample) -> Verdict {
+        self.during.add(sample);
+        self.disconnected_samples = if sample.executor_connected { 0 } else { self.disconnected_samples + 1 };
+        if self.executor_connected_before && self.disconnected_samples >= MAX_DISCONNECTED_SAMPLES {
+            return Verdict::Failed("the link to the executor went and did not come back".into());
+        }
+        if let Some(failure) = self.fall_in_success() {
+            return Verdict::Failed(failure);
+        }
+        if now >= self.ends_at() { Verdict::Passed } else { Verdict::Undecided }
     }
 
-    pub fn served(&mut self, now: Time, sample: &Sample) -> Verdict {
-        self.now.add(sample);
-        self.unlinked = if sample.linked { 0 } else { self.unlinked + 1 };
-        if self.linked_before && self.unlinked >= UNLINKED {
-            return Verdict::Bad("the link to the executor went and did not come back".into());
-        }
-        if let Some((before, after)) = self.parts() {
-            let both =
-                (self.before.succeeded + self.now.succeeded) / (self.before.answered + self.now.answered);
-            let spread = both * (1.0 - both) * (1.0 / self.before.answered + 1.0 / self.now.answered);
-            if after < before * (1.0 - self.rules.fall) && before - after > ERRORS * spread.max(0.0).sqrt() {
-                let [before, after] = [before, after].map(|part| (part * 100.0).round());
-                return Verdict::Bad(format!("{after} of 100 jobs were satisfied, {before} before"));
-            }
+    /// How the part of jobs that succeed fell, if it fell by more than the rules allow and by more than chance
+    /// explains.
+    fn fall_in_success(&self) -> Option<String> {
+        let (before, during) = (self.before, self.during);
+        if before.answered < self.rules.least_jobs || during.answered < self.rules.least_jobs {
+            return None;
         }
-        if now >= self.ends_at() { Verdict::Good } else { Verdict::Undecided }
+        let ratio_before = before.success_ratio();
+        let ratio_during = during.success_ratio();
+        let pooled_ratio = (before.succeeded + during.succeeded) / (before.answered + during.answered);
+        let variance = pooled_ratio * (1.0 - pooled_ratio) * (1.0 / before.answered + 1.0 / during.answered);
+        let standard_error = variance.max(0.0).sqrt();
+        let falls_past_rules = ratio_during < ratio_before * (1.0 - self.rules.fall);
+        let falls_past_chance = ratio_before - ratio_during > SIGNIFICANT_STANDARD_ERRORS * standard_error;
+        (falls_past_rules && falls_past_chance).then(|| {
+            let percent = |ratio: f64| (ratio * 100.0).round();
+            format!("{} of 100 jobs were satisfied, {} before", percent(ratio_during), percent(ratio_before))
+        })
     }
 }
--- a/crates/hazelgrade-stream/tests/common/mod.rs
+++ b/crates/hazelgrade-stream/tests/common/mod.rs
@@ -6,9 +6,9 @@
 use hazelgrade_config::operator::Trial;
 use hazelgrade_config::{Document, Kind, Version};
 use hazelgrade_stream::backoff::Backoff;
-use hazelgrade_stream::kept::Kept;
-use hazelgrade_stream::protocol::{Content, Offer, Published};
-use hazelgrade_stream::subscriber::{Action, Event, Start, Subscriber};
+use hazelgrade_stream::protocol::{Content, Offer, PublisherMessage};
+use hazelgrade_stream::stored::StoredState;
+use hazelgrade_stream::subscriber::{Action, Event, Subscriber, SubscriberConfig};
 use hazelgrade_stream::trial::Sample;
 
 pub const LINEAGE: &str = "l";
@@ -27,9 +27,9 @@
     Version { number, digest: document(says).digest() }
 }
 
-pub fn whole(nonce: u64, number: u64, says: u64) -> Event {
-    let content = Content::Whole(document(says).to_toml());
-    Event::Heard(Published::Offer(Offer {
+pub fn full_offer(nonce: u64, number: u64, says: u64) -> Event {
+    let content = Content::Full(document(says).to_toml());
+    Event::Received(PublisherMessage::Offer(Offer {
         nonce,
         lineage: LINEAGE.into(),
         version: version(number, says),
@@ -43,31 +43,31 @@
     Trial { span: Span::from_ms(1000.0), ..RULES }
 }
 
-pub fn start(now: Time, kept: Kept, file: Option<Document>) -> (Subscriber, Vec<Action>) {
-    let mut out = Vec::new();
-    let start = Start {
+pub fn start(now: Time, stored: StoredState, local_document: Option<Document>) -> (Subscriber, Vec<Action>) {
+    let mut actions = Vec::new();
+    let config = SubscriberConfig {
         kind: Kind::Serving,
         node: "n".into(),
         program: "p".into(),
         lineage: None,
-        rules: rules(),
-        controls: 2,
-        chance: MultiplyWithCarry::new(7),
+        trial_rules: rules(),
+        control_services: 2,
+        random: MultiplyWithCarry::new(7),
         backoff: Backoff::default(),
-        kept,
-        file,
+        stored,
+        local_document,
     };
-    let subscriber = Subscriber::start(now, start, &mut out);
-    (subscriber, out)
+    let subscriber = Subscriber::start(now, config, &mut actions);
+    (subscriber, actions)
 }
 
-pub fn take(subscriber: &mut Subscriber, now: Time, event: Event) -> Vec<Action> {
-    let mut out = Vec::new();
-    subscriber.take(now, event, &mut out);
-    out
+pub fn handle(subscriber: &mut Subscriber, now: Time, event: Event) -> Vec<Action> {
+    let mut actions = Vec::new();
+    subscriber.handle(now, event, &mut actions);
+    actions
 }
 
-/// So many jobs of which this part was succeeded.
-pub fn served(answered: f64, part: f64) -> Event {
-    Event::Served(Sample { answered, succeeded: answered * part, linked: true })
+/// So many jobs were answered, and this part of them succeeded.
+pub fn sampled(answered: f64, part: f64) -> Event {
+    Event::Sampled(Sample { answered, succeeded: answered * part, executor_connected: true })
 }
--- a/crates/hazelgrade-stream/tests/deaths.rs
+++ b/crates/hazelgrade-stream/tests/deaths.rs
@@ -8,15 +8,15 @@
 use hazelgrade_config::{Kind, Version};
 use hazelgrade_store::Store;
 use hazelgrade_store::disk::{Disk, Plan};
-use hazelgrade_stream::kept::{self, Kept};
-use hazelgrade_stream::protocol::Said;
-use hazelgrade_stream::subscriber::{Action, Event, Serving, Subscriber};
+use hazelgrade_stream::protocol::SubscriberMessage;
+use hazelgrade_stream::stored::{self, StoredState};
+use hazelgrade_stream::subscriber::{Action, Event, InEffect, Subscriber};
 
 /// What the node said before it died.
 #[derive(Default)]
 struct Run {
     good: Vec<Version>,
-    /// Kept as on trial when it died, as far as the store said.
+    /// StoredState as on trial when it died, as far as the store said.
     acknowledged: Vec<Version>,
 }
 
@@ -32,37 +32,42 @@
     fn start(disk: &Disk) -> Option<World> {
         let storage = disk.clone();
         let mut store = Store::open_on(move || storage.clone(), "n").ok()?;
-        let kept = store.get(kept::name(Kind::Serving)).ok()?;
-        let kept = kept.map_or_else(Kept::default, |kept| {
-            Kept::decode(Kind::Serving, &kept).expect("what is kept can be read")
+        let bytes = store.get(stored::store_key(Kind::Serving)).ok()?;
+        let stored = bytes.map_or_else(StoredState::default, |bytes| {
+            StoredState::decode(Kind::Serving, &bytes).expect("what is stored can be read")
         });
         let now = at(1_000_000.0);
-        let (node, first) = start(now, kept, Some(document(0)));
+        let (node, first) = start(now, stored, Some(document(0)));
         let mut world = World { node, store, now, run: Run::default() };
         world.carry_out(first, disk)?;
-        world.tell(Event::Up, disk)?;
+        world.tell(Event::Connected, disk)?;
         Some(world)
     }
 
     fn tell(&mut self, event: Event, disk: &Disk) -> Option<()> {
-        let actions = take(&mut self.node, self.now, event);
+        let actions = handle(&mut self.node, self.now, event);
         self.carry_out(actions, disk)
     }
 
     fn carry_out(&mut self, actions: Vec<Action>, disk: &Disk) -> Option<()> {
         for action in actions {
             match action {
-                Action::Keep { ticket, kept } => {
-                    let done = self.store.keep(&[(kept::name(Kind::Serving), Some(&kept.encode()))]);
+                Action::Store { ticket, state } => {
+                    let written =
+                        self.store.keep(&[(stored::store_key(Kind::Serving), Some(&state.encode()))]);
                     if disk.is_dead() {
                         return None;
                     }
-                    let done = done.map_err(|fault| fault.to_string());
-                    self.tell(Event::Stored { ticket, done }, disk)?;
+                    let result = written.map_err(|error| error.to_string());
+                    self.tell(Event::Stored { ticket, result }, disk)?;
+                }
+                Action::Apply { .. } => self.tell(Event::Applied(Ok(())), disk)?,
+                Action::Send(SubscriberMessage::TrialEnded { version, failure: None }) => {
+                    self.run.good.push(version)
+                }
+                Action::Send(SubscriberMessage::Acknowledged { version, .. }) => {
+                    self.run.acknowledged.push(version)
                 }
-                Action::TakeEffect { .. } => self.tell(Event::TookEffect(Ok(())), disk)?,
-                Action::Say(Said::Settled { version, failed: None }) => self.run.good.push(version),
-                Action::Say(Said::Acknowledged { version, .. }) => self.run.acknowledged.push(version),
                 _ => {}
             }
         }
@@ -72,19 +77,19 @@
     /// A good version, one that fails, a good one, and a clean stop in a trial.
     fn play(&mut self, disk: &Disk) -> Option<()> {
         for (number, well) in [(1, true), (2, false), (3, true), (4, true)] {
-            self.tell(whole(number, number, number), disk)?;
+            self.tell(full_offer(number, number, number), disk)?;
             if well {
                 self.now = self.now + Span::from_ms(1001.0);
-                self.tell(served(0.0, 1.0), disk)?;
+                self.tell(sampled(0.0, 1.0), disk)?;
             } else {
                 for _ in 0..4 {
-                    self.tell(Event::Served(hazelgrade_stream::trial::Sample::default()), disk)?;
+                    self.tell(Event::Sampled(hazelgrade_stream::trial::Sample::default()), disk)?;
                 }
             }
-            self.tell(served(50.0, 1.0), disk)?;
+            self.tell(sampled(50.0, 1.0), disk)?;
         }
-        self.tell(whole(9, 5, 5), disk)?;
-        self.tell(Event::Leaving, disk)
+        self.tell(full_offer(9, 5, 5), disk)?;
+        self.tell(Event::DrainStarted, disk)
     }
 }
 
@@ -121,9 +126,9 @@
             let world =
                 World::start(&after).unwrap_or_else(|| panic!("no start after death at {dies_at}, {seed}"));
             let place = |of: Version| all.iter().position(|version| *version == of);
-            match (world.node.serving(), run.good.last()) {
-                (Serving::File, None) => {}
-                (Serving::Good(version), last) => {
+            match (world.node.in_effect(), run.good.last()) {
+                (InEffect::LocalDocument, None) => {}
+                (InEffect::Good(version), last) => {
                     // It may have died between keeping it and saying so.
                     let least = last.map_or(0, |last| place(*last).expect("one of them") + 1);
                     let now = place(version).expect("a good version") + 1;
@@ -155,18 +160,18 @@
         world.play(&disk).expect("nothing dies");
         // After a pause what could not be kept is kept.
         world.now = world.now + Span::from_ms(60_000.0);
-        world.tell(Event::Woke, &disk).expect("nothing dies");
-        let (serving, good) = (world.node.serving(), world.run.good.clone());
+        world.tell(Event::TimerFired, &disk).expect("nothing dies");
+        let (serving, good) = (world.node.in_effect(), world.run.good.clone());
         drop(world);
         let again = World::start(&disk.after_crash(|| 1.0)).expect("a start");
         if let Some(last) = good.last() {
             // What was kept late may not have been said.
-            let Serving::Good(found) = again.node.serving() else {
-                panic!("{fails_at}: {:?}", again.node.serving())
+            let InEffect::Good(found) = again.node.in_effect() else {
+                panic!("{fails_at}: {:?}", again.node.in_effect())
             };
             assert!(
                 found.number >= last.number
-                    && matches!(serving, Serving::Good(of) | Serving::OnTrial(of) if of.number >= found.number),
+                    && matches!(serving, InEffect::Good(of) | InEffect::OnTrial(of) if of.number >= found.number),
                 "{fails_at}: {found}, {serving:?}"
             );
         }
@@ -178,16 +183,16 @@
     for full_at in 0..60 {
         let disk = Disk::default();
         let Some(mut world) = World::start(&disk) else { panic!("a new disk") };
-        world.tell(whole(1, 1, 1), &disk);
+        world.tell(full_offer(1, 1, 1), &disk);
         world.now = world.now + Span::from_ms(1001.0);
-        world.tell(served(0.0, 1.0), &disk);
-        assert_eq!(world.node.serving(), Serving::Good(version(1, 1)));
+        world.tell(sampled(0.0, 1.0), &disk);
+        assert_eq!(world.node.in_effect(), InEffect::Good(version(1, 1)));
         disk.plan(Plan { full_at: Some(full_at), ..Plan::default() });
         let _ = world.play(&disk);
         let said = world.run.good.last().copied().unwrap_or(version(1, 1));
         drop(world);
         let again = World::start(&disk.after_crash(|| 1.0)).expect("a start");
-        let Serving::Good(found) = again.node.serving() else { panic!("{:?}", again.node.serving()) };
+        let InEffect::Good(found) = again.node.in_effect() else { panic!("{:?}", again.node.in_effect()) };
         assert!(found.number >= said.number, "{found} after {said}");
     }
 }
--- a/crates/hazelgrade-stream/tests/histories.rs
+++ b/crates/hazelgrade-stream/tests/histories.rs
@@ -5,9 +5,9 @@
 use common::*;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::{Kind, Version};
-use hazelgrade_stream::kept::{Held, Kept};
-use hazelgrade_stream::protocol::{Content, Offer, Published, Refusal, Said};
-use hazelgrade_stream::subscriber::{Action, Event, Serving, Subscriber};
+use hazelgrade_stream::protocol::{Content, Offer, PublisherMessage, Rejection, SubscriberMessage};
+use hazelgrade_stream::stored::{StoredState, StoredVersion};
+use hazelgrade_stream::subscriber::{Action, Event, InEffect, Subscriber};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::{BTreeSet, VecDeque};
 
@@ -20,10 +20,10 @@
         says: u64,
         announced: u64,
     },
-    Malformed {
+    Invalid {
         number: u64,
     },
-    Change {
+    Delta {
         number: u64,
         base: u64,
         says: u64,
@@ -31,7 +31,7 @@
     OtherLineage {
         number: u64,
     },
-    Served {
+    Sampled {
         well: bool,
     },
     Later,
@@ -39,7 +39,7 @@
     /// The next write fails.
     DiskFails,
     /// What is offered next can't be served here.
-    NotHere,
+    NotApplicable,
     Dies,
     /// Told to leave, and started again.
     Leaves,
@@ -52,18 +52,18 @@
         match small(20) {
             0..7 => Step::Offer { number, says, announced: says },
             7 => Step::Offer { number, says, announced: other },
-            8 => Step::Malformed { number },
-            9..11 => Step::Change { number, base: other, says },
+            8 => Step::Invalid { number },
+            9..11 => Step::Delta { number, base: other, says },
             11 => Step::OtherLineage { number },
-            12..14 => Step::Served { well: true },
-            14 => Step::Served { well: false },
+            12..14 => Step::Sampled { well: true },
+            14 => Step::Sampled { well: false },
             15 => Step::Later,
             16 => Step::LinkBreaks,
             17 => {
                 if small(2) == 0 {
                     Step::DiskFails
                 } else {
-                    Step::NotHere
+                    Step::NotApplicable
                 }
             }
             18 => Step::Dies,
@@ -75,8 +75,8 @@
 /// The plain model: what the node said decides what it may serve.
 #[derive(Default)]
 struct Plain {
-    disk: Kept,
-    /// Said to be good, ever.
+    disk: StoredState,
+    /// SubscriberMessage to be good, ever.
     good: BTreeSet<Version>,
     acknowledged: BTreeSet<Version>,
     /// Acknowledged, and not yet said to be good or bad.
@@ -97,10 +97,10 @@
     up: bool,
     nonce: u64,
     disk_fails: bool,
-    not_here: bool,
+    not_applicable: bool,
     /// The contents in effect.
     effect: Option<hazelgrade_config::Digest>,
-    said: Vec<Said>,
+    said: Vec<SubscriberMessage>,
     todo: VecDeque<Action>,
     busy: bool,
 }
@@ -108,7 +108,7 @@
 impl World {
     fn new() -> World {
         let now = at(1_000_000.0);
-        let (node, first) = start(now, Kept::default(), Some(document(0)));
+        let (node, first) = start(now, StoredState::default(), Some(document(0)));
         let mut world = World {
             node,
             plain: Plain::default(),
@@ -116,7 +116,7 @@
             up: false,
             nonce: 0,
             disk_fails: false,
-            not_here: false,
+            not_applicable: false,
             effect: None,
             said: Vec::new(),
             todo: VecDeque::new(),
@@ -138,75 +138,75 @@
                     assert!(at.since(self.now) <= Span::from_ms(5_000.0), "it stays away too long");
                     self.now = self.now.max(at);
                     self.up = true;
-                    self.tell(Event::Up);
+                    self.tell(Event::Connected);
                 }
-                Action::HangUp => {
+                Action::Disconnect => {
                     self.up = false;
-                    self.tell(Event::Down);
+                    self.tell(Event::Disconnected);
                 }
-                Action::Keep { ticket, kept } => {
-                    let done =
+                Action::Store { ticket, state } => {
+                    let result =
                         if std::mem::take(&mut self.disk_fails) { Err("full".to_owned()) } else { Ok(()) };
-                    if done.is_ok() {
-                        self.plain.disk =
-                            Kept::decode(Kind::Serving, &kept.encode()).expect("it reads what it wrote");
-                        assert_eq!(self.plain.disk, kept);
+                    if result.is_ok() {
+                        self.plain.disk = StoredState::decode(Kind::Serving, &state.encode())
+                            .expect("it reads what it wrote");
+                        assert_eq!(self.plain.disk, state);
                     }
-                    self.tell(Event::Stored { ticket, done });
+                    self.tell(Event::Stored { ticket, result });
                 }
-                Action::TakeEffect { document, .. } => {
+                Action::Apply { document, .. } => {
                     // What served before can be gone back to.
-                    let good = self.plain.disk.good.as_ref().map(|good| good.version.digest);
+                    let good = self.plain.disk.last_good.as_ref().map(|good| good.version.digest);
                     let digest = document.as_ref().map(|document| document.digest());
                     let before = [good, Some(document_of_the_file())].contains(&digest);
-                    let fails = !before && std::mem::take(&mut self.not_here);
+                    let fails = !before && std::mem::take(&mut self.not_applicable);
                     if !fails {
                         self.effect = document.map(|document| document.digest());
                     }
-                    self.tell(Event::TookEffect(if fails { Err("no".into()) } else { Ok(()) }));
+                    self.tell(Event::Applied(if fails { Err("no".into()) } else { Ok(()) }));
                 }
-                Action::Say(said) => {
+                Action::Send(said) => {
                     assert!(self.up, "said on no connection");
                     self.hear(&said);
                     self.said.push(said);
                 }
-                Action::Note(_) => {}
+                Action::Log(_) => {}
             }
         }
         self.busy = false;
     }
 
     fn tell(&mut self, event: Event) {
-        let actions = take(&mut self.node, self.now, event);
+        let actions = handle(&mut self.node, self.now, event);
         self.carry_out(actions);
     }
 
-    fn hear(&mut self, said: &Said) {
+    fn hear(&mut self, said: &SubscriberMessage) {
         let text = said.encode();
-        assert_eq!(Said::decode(text.as_bytes()).as_ref(), Ok(said), "{text}");
+        assert_eq!(SubscriberMessage::decode(text.as_bytes()).as_ref(), Ok(said), "{text}");
         match said {
-            Said::Acknowledged { version, trial, .. } => {
+            SubscriberMessage::Acknowledged { version, on_trial, .. } => {
                 self.plain.acknowledged.insert(*version);
-                if *trial {
+                if *on_trial {
                     self.plain.trying = Some(*version);
                 } else {
                     self.plain.good.insert(*version);
                     self.plain.last = Some(*version);
                 }
             }
-            Said::Settled { version, failed: None } => {
+            SubscriberMessage::TrialEnded { version, failure: None } => {
                 assert_eq!(self.plain.trying.take(), Some(*version), "good without a trial");
                 self.plain.good.insert(*version);
                 self.plain.last = Some(*version);
             }
-            Said::Settled { failed: Some(_), .. } => self.plain.trying = None,
+            SubscriberMessage::TrialEnded { failure: Some(_), .. } => self.plain.trying = None,
             _ => {}
         }
     }
 
     /// Dies, or leaves and ends; what is on the disk is what it starts from.
     fn starts_again(&mut self, died: bool) {
-        let kept = self.plain.disk.clone();
+        let stored = self.plain.disk.clone();
         if let Some(version) = self.plain.trying.filter(|_| died) {
             let of = self.plain.deaths.iter_mut().find(|(of, _)| of.digest == version.digest);
             match of {
@@ -216,73 +216,81 @@
         }
         self.plain.trying = None;
         self.up = false;
-        let (node, first) = start(self.now, kept, Some(document(0)));
+        let (node, first) = start(self.now, stored, Some(document(0)));
         self.node = node;
         self.carry_out(first);
         // A good version that the disk has is served from the first moment on, before any control service is heard.
-        let good = self.plain.disk.good.as_ref().map(|good: &Held| good.version);
-        assert_eq!(self.node.serving(), good.map_or(Serving::File, Serving::Good));
+        let good = self.plain.disk.last_good.as_ref().map(|good: &StoredVersion| good.version);
+        assert_eq!(self.node.in_effect(), good.map_or(InEffect::LocalDocument, InEffect::Good));
     }
 
     fn step(&mut self, step: &Step) {
         self.nonce += 1;
-        let (nonce, before, said) = (self.nonce, self.node.serving(), self.said.len());
+        let (nonce, before, said) = (self.nonce, self.node.in_effect(), self.said.len());
         let offer = |number, says, lineage: &str, content| {
             let version = version(number, says);
-            Event::Heard(Published::Offer(Offer { nonce, lineage: lineage.into(), version, content }))
+            Event::Received(PublisherMessage::Offer(Offer {
+                nonce,
+                lineage: lineage.into(),
+                version,
+                content,
+            }))
         };
         match step {
             Step::Offer { number, says, announced } => {
-                let content = Content::Whole(document(*says).to_toml());
+                let content = Content::Full(document(*says).to_toml());
                 self.tell(offer(*number, *announced, LINEAGE, content));
                 if says != announced {
                     self.nothing_came_of_it(&before, said);
                 }
             }
-            Step::Malformed { number } => {
-                let content = Content::Whole("[use_case.a]\ngoal_ms = \"soon\"".into());
+            Step::Invalid { number } => {
+                let content = Content::Full("[use_case.a]\ngoal_ms = \"soon\"".into());
                 self.tell(offer(*number, 9, LINEAGE, content));
                 self.nothing_came_of_it(&before, said);
             }
-            Step::Change { number, base, says } => {
+            Step::Delta { number, base, says } => {
                 let difference = document(*base).fields().difference(document(*says).fields());
-                let content = Content::Change { base: version(*base, *base), difference };
+                let content = Content::Delta { base: version(*base, *base), difference };
                 self.tell(offer(*number, *says, LINEAGE, content));
             }
             Step::OtherLineage { number } => {
                 let known = self.plain.disk.lineage.is_some();
                 if known {
-                    let content = Content::Whole(document(1).to_toml());
+                    let content = Content::Full(document(1).to_toml());
                     self.tell(offer(*number, 1, "other", content));
                     self.nothing_came_of_it(&before, said);
                 }
             }
-            Step::Served { well } => {
+            Step::Sampled { well } => {
                 for _ in 0..3 {
                     self.now = self.now + Span::from_ms(100.0);
-                    self.tell(served(20.0, if *well { 1.0 } else { 0.1 }));
+                    self.tell(sampled(20.0, if *well { 1.0 } else { 0.1 }));
                 }
             }
             Step::Later => {
                 self.now = self.now + Span::from_ms(1001.0);
-                self.tell(served(0.0, 1.0));
+                self.tell(sampled(0.0, 1.0));
             }
             Step::LinkBreaks => {
                 self.up = false;
-                self.tell(Event::Down);
+                self.tell(Event::Disconnected);
             }
             Step::DiskFails => self.disk_fails = true,
-            Step::NotHere => self.not_here = true,
+            Step::NotApplicable => self.not_applicable = true,
             Step::Dies => self.starts_again(true),
             Step::Leaves => {
-                self.tell(Event::Leaving);
-                let (before, said) = (self.node.serving(), self.said.len());
-                self.tell(offer(20, 4, LINEAGE, Content::Whole(document(4).to_toml())));
+                self.tell(Event::DrainStarted);
+                let (before, said) = (self.node.in_effect(), self.said.len());
+                self.tell(offer(20, 4, LINEAGE, Content::Full(document(4).to_toml())));
                 self.nothing_came_of_it(&before, said);
-                assert!(matches!(self.said.last(), Some(Said::TurnedDown { refusal: Refusal::Leaving, .. })));
+                assert!(matches!(
+                    self.said.last(),
+                    Some(SubscriberMessage::Rejected { rejection: Rejection::Draining, .. })
+                ));
                 // A write that failed is tried again within its pause: the drain lasts longer here.
                 self.now = self.now + Span::from_ms(60_000.0);
-                self.tell(Event::Woke);
+                self.tell(Event::TimerFired);
                 self.starts_again(false);
             }
         }
@@ -290,25 +298,32 @@
     }
 
     /// What can't be taken is turned down, and what is served stays.
-    fn nothing_came_of_it(&self, before: &Serving, said: usize) {
-        assert_eq!(self.node.serving(), *before);
-        let answer = self.said[said..].iter().find(|said| !matches!(said, Said::Settled { .. }));
-        assert!(matches!(answer, Some(Said::TurnedDown { .. } | Said::Acknowledged { .. })), "{answer:?}");
+    fn nothing_came_of_it(&self, before: &InEffect, said: usize) {
+        assert_eq!(self.node.in_effect(), *before);
+        let answer =
+            self.said[said..].iter().find(|said| !matches!(said, SubscriberMessage::TrialEnded { .. }));
+        assert!(
+            matches!(
+                answer,
+                Some(SubscriberMessage::Rejected { .. } | SubscriberMessage::Acknowledged { .. })
+            ),
+            "{answer:?}"
+        );
     }
 
     fn check(&self) {
-        let serving = self.node.serving();
+        let serving = self.node.in_effect();
         let digest = match serving {
-            Serving::Nothing => None,
-            Serving::File => Some(document(0).digest()),
-            Serving::Good(version) => {
-                // It is kept before it is said, and there may be nobody to say it to.
-                let kept = self.plain.disk.good.as_ref().is_some_and(|good| good.version == version);
-                let known = kept && self.plain.acknowledged.contains(&version);
+            InEffect::Nothing => None,
+            InEffect::LocalDocument => Some(document(0).digest()),
+            InEffect::Good(version) => {
+                // It is stored before it is said, and there may be nobody to say it to.
+                let stored = self.plain.disk.last_good.as_ref().is_some_and(|good| good.version == version);
+                let known = stored && self.plain.acknowledged.contains(&version);
                 assert!(known || self.plain.good.contains(&version), "{version} was never good");
                 Some(version.digest)
             }
-            Serving::OnTrial(version) => {
+            InEffect::OnTrial(version) => {
                 assert_eq!(self.plain.trying, Some(version), "in effect without having been acknowledged");
                 Some(version.digest)
             }
@@ -316,7 +331,7 @@
         assert_eq!(self.effect, digest, "what is in effect is not what it says");
         // Once something was good there is always something good to start by.
         if self.plain.last.is_some() {
-            assert!(self.plain.disk.good.is_some(), "the last good version is lost");
+            assert!(self.plain.disk.last_good.is_some(), "the last good version is lost");
         }
         for (version, deaths) in &self.plain.deaths {
             let in_effect = self.effect == Some(version.digest);
@@ -346,23 +361,20 @@
     let offer = |world: &mut World, number, says| world.step(&Step::Offer { number, says, announced: says });
     offer(&mut world, 1, 1);
     world.step(&Step::Later);
-    assert_eq!(world.node.serving(), Serving::Good(version(1, 1)));
+    assert_eq!(world.node.in_effect(), InEffect::Good(version(1, 1)));
     offer(&mut world, 2, 2);
     offer(&mut world, 3, 3);
     offer(&mut world, 4, 4);
-    assert_eq!(world.node.serving(), Serving::OnTrial(version(2, 2)));
-    let superseded = Refusal::Superseded { by: version(4, 4) };
-    assert!(
-        world
-            .said
-            .iter()
-            .any(|said| matches!(said, Said::TurnedDown { refusal, .. } if *refusal == superseded))
-    );
+    assert_eq!(world.node.in_effect(), InEffect::OnTrial(version(2, 2)));
+    let superseded = Rejection::Superseded { by: version(4, 4) };
+    assert!(world.said.iter().any(
+        |said| matches!(said, SubscriberMessage::Rejected { rejection, .. } if *rejection == superseded)
+    ));
     world.step(&Step::Later);
-    assert_eq!(world.node.serving(), Serving::OnTrial(version(4, 4)));
+    assert_eq!(world.node.in_effect(), InEffect::OnTrial(version(4, 4)));
     // What was good before the trial, published anew, is in effect at once.
     offer(&mut world, 5, 2);
-    assert_eq!(world.node.serving(), Serving::Good(version(5, 2)));
+    assert_eq!(world.node.in_effect(), InEffect::Good(version(5, 2)));
 }
 
 #[test]
@@ -371,30 +383,35 @@
     world.step(&Step::Offer { number: 1, says: 1, announced: 1 });
     world.step(&Step::Later);
     let difference = document(1).fields().difference(document(2).fields());
-    let content = Content::Change { base: version(1, 1), difference };
+    let content = Content::Delta { base: version(1, 1), difference };
     let offer = Offer { nonce: 99, lineage: LINEAGE.into(), version: version(2, 3), content };
-    world.tell(Event::Heard(Published::Offer(offer)));
-    assert!(matches!(world.said.last(), Some(Said::TurnedDown { refusal: Refusal::WrongDigest, .. })));
-    assert_eq!(world.node.serving(), Serving::Good(version(1, 1)));
+    world.tell(Event::Received(PublisherMessage::Offer(offer)));
+    assert!(matches!(
+        world.said.last(),
+        Some(SubscriberMessage::Rejected { rejection: Rejection::DigestMismatch, .. })
+    ));
+    assert_eq!(world.node.in_effect(), InEffect::Good(version(1, 1)));
 }
 
 #[test]
 fn a_silent_control_service_is_left_for_the_next_and_one_that_asks_for_time_is_given_it() {
-    let (mut node, first) = start(at(0.0), Kept::default(), None);
-    assert!(first.contains(&Action::TakeEffect { document: None, back: false }), "nothing to serve by");
-    take(&mut node, at(10.0), Event::Up);
-    let wakes = node.wakes_at().expect("it wants to be woken");
-    assert!(!take(&mut node, at(11.0), Event::Woke).contains(&Action::HangUp));
-    assert!(take(&mut node, wakes, Event::Woke).contains(&Action::HangUp));
-    let [Action::Connect { place: 1, .. }] = take(&mut node, wakes, Event::Down)[..] else {
+    let (mut node, first) = start(at(0.0), StoredState::default(), None);
+    assert!(first.contains(&Action::Apply { document: None, is_rollback: false }), "nothing to serve by");
+    handle(&mut node, at(10.0), Event::Connected);
+    let next_timer = node.next_timer().expect("it has a timer");
+    assert!(!handle(&mut node, at(11.0), Event::TimerFired).contains(&Action::Disconnect));
+    assert!(handle(&mut node, next_timer, Event::TimerFired).contains(&Action::Disconnect));
+    let [Action::Connect { control_service: 1, .. }] = handle(&mut node, next_timer, Event::Disconnected)[..]
+    else {
         panic!("not the next")
     };
-    take(&mut node, wakes, Event::Up);
-    let retry = Event::Heard(Published::Retry(Span::from_ms(5000.0)));
-    assert!(take(&mut node, wakes, retry).contains(&Action::HangUp));
-    let [Action::Connect { place: 1, at }] = take(&mut node, wakes, Event::Down)[..] else {
+    handle(&mut node, next_timer, Event::Connected);
+    let retry = Event::Received(PublisherMessage::RetryAfter(Span::from_ms(5000.0)));
+    assert!(handle(&mut node, next_timer, retry).contains(&Action::Disconnect));
+    let [Action::Connect { control_service: 1, at }] = handle(&mut node, next_timer, Event::Disconnected)[..]
+    else {
         panic!("not the same")
     };
-    let away = at.since(wakes);
+    let away = at.since(next_timer);
     assert!(away >= Span::from_ms(5000.0) && away <= Span::from_ms(5500.0), "{away:?}");
 }
--- a/crates/hazelgrade-stream/tests/publishing.rs
+++ b/crates/hazelgrade-stream/tests/publishing.rs
@@ -8,59 +8,61 @@
 use hazelgrade_config::{Document, Kind, Version};
 use hazelgrade_stream::admission::Admission;
 use hazelgrade_stream::backoff::Backoff;
-use hazelgrade_stream::protocol::{Content, Offer, Published, Refusal, Said};
-use hazelgrade_stream::publisher::{Action, Counter, Event, Publisher, Standing};
-use hazelgrade_stream::trial::{SAMPLES, Sample, Service, Trial, Verdict};
+use hazelgrade_stream::protocol::{Content, Offer, PublisherMessage, Rejection, SubscriberMessage};
+use hazelgrade_stream::publisher::{Action, Counter, Event, NodeStatus, Publisher};
+use hazelgrade_stream::trial::{Baseline, SAMPLES_PER_SPAN, Sample, Trial, Verdict};
 use quickcheck::{Gen, QuickCheck};
 
-struct Desk {
+struct Service {
     publisher: Publisher,
     /// What the folder has of the counter; counting fails while it is broken.
     counter: Counter,
     broken: bool,
     offers: Vec<(u64, Offer)>,
-    notes: Vec<String>,
+    log: Vec<String>,
 }
 
-impl Desk {
-    fn new(last: Option<Version>) -> Desk {
+impl Service {
+    fn new(last: Option<Version>) -> Service {
         let counter = Counter { lineage: LINEAGE.into(), last };
         let publisher = Publisher::new(counter.clone(), Admission::new(1000.0, 1000.0));
-        Desk { publisher, counter, broken: false, offers: Vec::new(), notes: Vec::new() }
+        Service { publisher, counter, broken: false, offers: Vec::new(), log: Vec::new() }
     }
 
     fn tell(&mut self, event: Event) {
-        let mut out = Vec::new();
-        self.publisher.take(at(1000.0), event, &mut out);
-        for action in out {
+        let mut actions = Vec::new();
+        self.publisher.handle(at(1000.0), event, &mut actions);
+        for action in actions {
             match action {
-                Action::Say(connection, Published::Offer(offer)) => self.offers.push((connection, offer)),
-                Action::Count(counter) => {
-                    let done = if self.broken { Err("full".to_owned()) } else { Ok(()) };
-                    if done.is_ok() {
+                Action::Send { connection, message: PublisherMessage::Offer(offer) } => {
+                    self.offers.push((connection, offer));
+                }
+                Action::StoreCounter(counter) => {
+                    let result = if self.broken { Err("full".to_owned()) } else { Ok(()) };
+                    if result.is_ok() {
                         self.counter = counter;
                     }
-                    self.tell(Event::Counted(done));
+                    self.tell(Event::CounterStored(result));
                 }
-                Action::Note(note) => self.notes.push(note),
+                Action::Log(line) => self.log.push(line),
                 _ => {}
             }
         }
     }
 
-    fn subscribe(&mut self, connection: u64, have: Option<Version>) {
-        self.tell(Event::Came(connection));
+    fn subscribe(&mut self, connection: u64, in_effect: Option<Version>) {
+        self.tell(Event::Connected { connection });
         let (node, program) = (format!("n{connection}"), "p".to_owned());
-        let subscribe = Said::Subscribe {
+        let message = SubscriberMessage::Subscribe {
             node,
             program,
             kind: Kind::Serving,
             lineage: None,
-            have,
-            trial: false,
-            known: have,
+            in_effect,
+            on_trial: false,
+            latest_known: in_effect,
         };
-        self.tell(Event::Heard(connection, subscribe));
+        self.tell(Event::Received { connection, message });
     }
 
     fn last_offer(&self) -> &Offer {
@@ -69,20 +71,19 @@
 
     fn acknowledge(&mut self, connection: u64) -> Version {
         let Offer { nonce, version, .. } = self.last_offer().clone();
-        self.tell(Event::Heard(
-            connection,
-            Said::Acknowledged { nonce, version, trial: true, staged: vec![] },
-        ));
+        let message = SubscriberMessage::Acknowledged { nonce, version, on_trial: true, staged: vec![] };
+        self.tell(Event::Received { connection, message });
         version
     }
 
-    fn turn_down(&mut self, connection: u64, refusal: Refusal) {
+    fn reject(&mut self, connection: u64, rejection: Rejection) {
         let Offer { nonce, version, .. } = self.last_offer().clone();
-        self.tell(Event::Heard(connection, Said::TurnedDown { nonce, version, refusal }));
+        let message = SubscriberMessage::Rejected { nonce, version, rejection };
+        self.tell(Event::Received { connection, message });
     }
 
-    fn standing(&self) -> Standing {
-        self.publisher.nodes().next().expect("a node").standing.clone()
+    fn status(&self) -> NodeStatus {
+        self.publisher.nodes().next().expect("a node").status.clone()
     }
 }
 
@@ -94,61 +95,61 @@
 
 #[test]
 fn a_version_goes_out_once_whole_to_who_has_nothing_and_as_a_difference_to_who_has_the_one_before() {
-    let mut desk = Desk::new(None);
-    desk.tell(Event::Changed(large(1)));
-    desk.subscribe(1, None);
-    assert!(matches!(desk.last_offer().content, Content::Whole(_)));
-    let first = desk.acknowledge(1);
-    assert_eq!((first.number, desk.counter.last), (1, Some(first)));
-    desk.tell(Event::Changed(large(1)));
-    assert_eq!(desk.offers.len(), 1, "nothing changed");
-    desk.tell(Event::Changed(large(2)));
-    let Content::Change { base, difference } = &desk.last_offer().content else { panic!("a whole one") };
+    let mut service = Service::new(None);
+    service.tell(Event::DocumentChanged(large(1)));
+    service.subscribe(1, None);
+    assert!(matches!(service.last_offer().content, Content::Full(_)));
+    let first = service.acknowledge(1);
+    assert_eq!((first.number, service.counter.last), (1, Some(first)));
+    service.tell(Event::DocumentChanged(large(1)));
+    assert_eq!(service.offers.len(), 1, "nothing changed");
+    service.tell(Event::DocumentChanged(large(2)));
+    let Content::Delta { base, difference } = &service.last_offer().content else { panic!("a whole one") };
     assert_eq!((*base, difference.count()), (first, 1));
     // A difference that can't be made is followed by the whole, once.
-    desk.turn_down(1, Refusal::UnknownBase);
-    assert!(matches!(desk.last_offer().content, Content::Whole(_)));
-    desk.turn_down(1, Refusal::Malformed("no".into()));
-    assert_eq!(desk.offers.len(), 3, "what is turned down is not pressed");
-    assert!(matches!(desk.standing(), Standing::TurnedDown(Refusal::Malformed(_))));
-    desk.tell(Event::Changed(large(3)));
-    assert_eq!(desk.offers.len(), 4, "the next version is another matter");
+    service.reject(1, Rejection::UnknownBase);
+    assert!(matches!(service.last_offer().content, Content::Full(_)));
+    service.reject(1, Rejection::Invalid("no".into()));
+    assert_eq!(service.offers.len(), 3, "what is turned down is not pressed");
+    assert!(matches!(service.status(), NodeStatus::Rejected(Rejection::Invalid(_))));
+    service.tell(Event::DocumentChanged(large(3)));
+    assert_eq!(service.offers.len(), 4, "the next version is another matter");
 }
 
 #[test]
 fn a_number_is_kept_before_it_is_heard_of_and_stays_with_its_contents_over_restarts() {
-    let mut desk = Desk::new(None);
-    desk.subscribe(1, None);
-    desk.broken = true;
-    desk.tell(Event::Changed(document(1)));
-    assert!(desk.offers.is_empty(), "what can't be counted is not offered");
-    desk.broken = false;
-    desk.tell(Event::Changed(document(1)));
-    let version = desk.acknowledge(1);
-    let mut again = Desk::new(desk.counter.last);
-    again.tell(Event::Changed(document(1)));
-    assert_eq!(again.publisher.current(), Some(version));
-    let mut changed = Desk::new(desk.counter.last);
-    changed.tell(Event::Changed(document(2)));
-    assert_eq!(changed.publisher.current().map(|version| version.number), Some(version.number + 1));
+    let mut service = Service::new(None);
+    service.subscribe(1, None);
+    service.broken = true;
+    service.tell(Event::DocumentChanged(document(1)));
+    assert!(service.offers.is_empty(), "what can't be counted is not offered");
+    service.broken = false;
+    service.tell(Event::DocumentChanged(document(1)));
+    let version = service.acknowledge(1);
+    let mut again = Service::new(service.counter.last);
+    again.tell(Event::DocumentChanged(document(1)));
+    assert_eq!(again.publisher.current_version(), Some(version));
+    let mut changed = Service::new(service.counter.last);
+    changed.tell(Event::DocumentChanged(document(2)));
+    assert_eq!(changed.publisher.current_version().map(|version| version.number), Some(version.number + 1));
 }
 
 #[test]
 fn a_publisher_that_lost_its_counter_goes_past_what_nodes_know_but_not_past_another_publisher() {
     let known = version(40, 7);
-    let mut desk = Desk::new(None);
-    desk.tell(Event::Changed(document(1)));
-    desk.subscribe(1, Some(known));
-    desk.turn_down(1, Refusal::Behind { known });
-    assert_eq!(desk.last_offer().version, version(41, 1));
-    desk.acknowledge(1);
+    let mut service = Service::new(None);
+    service.tell(Event::DocumentChanged(document(1)));
+    service.subscribe(1, Some(known));
+    service.reject(1, Rejection::Outdated { known });
+    assert_eq!(service.last_offer().version, version(41, 1));
+    service.acknowledge(1);
     // Now a node comes that knows a later one: that is not from here.
     let other = version(90, 8);
-    desk.subscribe(2, Some(other));
-    let offers = desk.offers.len();
-    desk.turn_down(2, Refusal::Behind { known: other });
-    assert_eq!(desk.offers.len(), offers, "two that disagree don't outbid each other");
-    assert!(desk.notes.iter().any(|note| note.contains("another control service")), "{:?}", desk.notes);
+    service.subscribe(2, Some(other));
+    let offers = service.offers.len();
+    service.reject(2, Rejection::Outdated { known: other });
+    assert_eq!(service.offers.len(), offers, "two that disagree don't outbid each other");
+    assert!(service.log.iter().any(|line| line.contains("another control service")), "{:?}", service.log);
 }
 
 #[test]
@@ -159,9 +160,9 @@
     let mut taken = Vec::new();
     while let Some(first) = (0..due.len()).min_by_key(|place| due[*place].0) {
         let (now, mut backoff) = due.swap_remove(first);
-        match admission.ask(now) {
+        match admission.admit(now) {
             Ok(()) => taken.push(now),
-            Err(after) => due.push((now + backoff.next(&mut chance, Some(after)), backoff)),
+            Err(after) => due.push((now + backoff.next_delay(&mut chance, Some(after)), backoff)),
         }
     }
     let most = taken
@@ -178,7 +179,7 @@
         let attempts = (0..1000).flat_map(|node| {
             let (mut chance, mut backoff, mut now) = (MultiplyWithCarry::new(node * 7919), backoff(), 0.0);
             std::iter::from_fn(move || {
-                now += backoff.next(&mut chance, None).as_ms();
+                now += backoff.next_delay(&mut chance, None).as_ms();
                 (now < 30_000.0).then_some((now / 100.0) as usize)
             })
         });
@@ -187,7 +188,7 @@
         // The first attempts of all are the break itself.
         tenths[4..].iter().copied().max().unwrap_or(0)
     };
-    let (jitter, plain) = (peak(&Backoff::default), peak(&Backoff::plain));
+    let (jitter, plain) = (peak(&Backoff::default), peak(&Backoff::without_jitter));
     assert!(plain >= 1000 && jitter * 3 < plain, "{jitter} of {plain} in the worst tenth of a second");
 }
 
@@ -198,20 +199,20 @@
         let (part, jobs) = (0.3 + 0.7 * chance.next_f64(), (200.0 * chance.next_f64()) as u8);
         let mut sample = |part: f64| {
             let succeeded = (0..jobs).filter(|_| chance.next_f64() < part).count() as f64;
-            Sample { answered: f64::from(jobs), succeeded, linked: true }
+            Sample { answered: f64::from(jobs), succeeded, executor_connected: true }
         };
-        let mut service = Service::new(rules().span);
-        (0..20).for_each(|tick| service.served(at(50.0 * f64::from(tick)), sample(part)));
+        let mut baseline = Baseline::new(rules().span);
+        (0..20).for_each(|tick| baseline.record(at(50.0 * f64::from(tick)), sample(part)));
         let mut run = |after: f64| {
-            let mut trial = Trial::begin(rules(), at(1000.0), &service);
+            let mut trial = Trial::start(rules(), at(1000.0), &baseline);
             (1..=20)
-                .map(|tick| trial.served(at(1000.0 + 50.0 * f64::from(tick)), &sample(after)))
+                .map(|tick| trial.record(at(1000.0 + 50.0 * f64::from(tick)), &sample(after)))
                 .find(|verdict| *verdict != Verdict::Undecided)
         };
         let (same, worse) = (run(part), run(part * 0.4));
-        assert_eq!(same, Some(Verdict::Good), "seed {seed}: {part} of {jobs} a sample");
-        let told = f64::from(jobs) * SAMPLES >= 600.0;
-        assert!(!told || matches!(worse, Some(Verdict::Bad(_))), "seed {seed}: {part} of {jobs} a sample");
+        assert_eq!(same, Some(Verdict::Passed), "seed {seed}: {part} of {jobs} a sample");
+        let told = f64::from(jobs) * SAMPLES_PER_SPAN >= 600.0;
+        assert!(!told || matches!(worse, Some(Verdict::Failed(_))), "seed {seed}: {part} of {jobs} a sample");
     }
 }
 
@@ -219,7 +220,7 @@
 fn what_is_no_message_is_an_error_and_what_is_one_reads_back_the_same() {
     fn any(text: Vec<u8>) -> bool {
         // Whatever it is, it is decoded or rejected; it never panics.
-        let _ = (Said::decode(&text), Published::decode(&text));
+        let _ = (SubscriberMessage::decode(&text), PublisherMessage::decode(&text));
         true
     }
     QuickCheck::new()
@@ -227,14 +228,18 @@
         .tests(2000)
         .quickcheck(any as fn(Vec<u8>) -> bool);
     let difference = document(1).fields().difference(document(2).fields());
-    let change = Content::Change { base: version(1, 1), difference };
-    for content in [Content::Whole(document(3).to_toml()), change] {
-        let offer =
-            Published::Offer(Offer { nonce: 5, lineage: LINEAGE.into(), version: version(2, 2), content });
+    let change = Content::Delta { base: version(1, 1), difference };
+    for content in [Content::Full(document(3).to_toml()), change] {
+        let offer = PublisherMessage::Offer(Offer {
+            nonce: 5,
+            lineage: LINEAGE.into(),
+            version: version(2, 2),
+            content,
+        });
         let text = offer.encode();
-        assert_eq!(Published::decode(text.as_bytes()), Ok(offer));
+        assert_eq!(PublisherMessage::decode(text.as_bytes()), Ok(offer));
         // Every cut of it is an error, and so is every single byte turned to another that matters.
         (0..text.len() - 1)
-            .for_each(|cut| assert!(Published::decode(&text.as_bytes()[..cut]).is_err(), "{cut}"));
+            .for_each(|cut| assert!(PublisherMessage::decode(&text.as_bytes()[..cut]).is_err(), "{cut}"));
     }
 }
--- a/crates/hazelgrade-stream/tests/recorded_messages.rs
+++ b/crates/hazelgrade-stream/tests/recorded_messages.rs
@@ -9,10 +9,12 @@
 use hazelgrade::time::Span;
 use hazelgrade_budget::message::{Ask, Grant, Parts, Word};
 use hazelgrade_config::{Digest, Kind, Version};
-use hazelgrade_stream::kept::{self, Held, Kept};
-use hazelgrade_stream::protocol::{Content, Offer, Published, Refusal, Said};
+use hazelgrade_stream::control_service::{self, AdmissionRate, ControlServiceConfig};
+use hazelgrade_stream::protocol::{Content, Offer, PublisherMessage, Rejection, SubscriberMessage};
 use hazelgrade_stream::publisher::Counter;
-use hazelgrade_stream::service::{self, Setup};
+use hazelgrade_stream::stored::{
+    self, CrashCount, FailedVersion, StoredState, StoredVersion, VersionOnTrial,
+};
 use serde::de::DeserializeOwned;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -47,82 +49,94 @@
     text.replace("\"A\"", &format!("\"{A}\"")).replace("\"B\"", &format!("\"{B}\"")) + "\n"
 }
 
-fn published(message: &Published, text: &str) {
+fn from_publisher(message: &PublisherMessage, text: &str) {
     let text = line(text);
     assert_eq!(message.encode(), text);
-    assert_eq!(Published::decode(text.as_bytes()).as_ref(), Ok(message));
+    assert_eq!(PublisherMessage::decode(text.as_bytes()).as_ref(), Ok(message));
 }
 
-fn said(message: &Said, text: &str) {
+fn from_subscriber(message: &SubscriberMessage, text: &str) {
     let text = line(text);
     assert_eq!(message.encode(), text);
-    assert_eq!(Said::decode(text.as_bytes()).as_ref(), Ok(message));
+    assert_eq!(SubscriberMessage::decode(text.as_bytes()).as_ref(), Ok(message));
 }
 
 #[test]
 fn messages_of_a_publisher_have_their_recorded_bytes() {
-    let offer = |content| Published::Offer(Offer { nonce: 5, lineage: "l".into(), version: a(), content });
-    published(
-        &offer(Content::Whole("x = \"1\"\n".into())),
+    let offer =
+        |content| PublisherMessage::Offer(Offer { nonce: 5, lineage: "l".into(), version: a(), content });
+    from_publisher(
+        &offer(Content::Full("x = \"1\"\n".into())),
         r#"{"id":5,"jsonrpc":"2.0","method":"offer","params":{"lineage":"l","version":{"digest":"A","number":7},"whole":"x = \"1\"\n"}}"#,
     );
     let difference = document(1).fields().difference(document(2).fields());
-    published(
-        &offer(Content::Change { base: b(), difference }),
+    from_publisher(
+        &offer(Content::Delta { base: b(), difference }),
         r#"{"id":5,"jsonrpc":"2.0","method":"offer","params":{"base":{"digest":"B","number":6},"difference":{"gone":[],"set":{"use_case/a/goal_ms":102.0}},"lineage":"l","version":{"digest":"A","number":7}}}"#,
     );
-    published(&Published::Ping, r#"{"jsonrpc":"2.0","method":"ping"}"#);
-    published(
-        &Published::Retry(Span::from_ms(1234.5)),
+    from_publisher(&PublisherMessage::Ping, r#"{"jsonrpc":"2.0","method":"ping"}"#);
+    from_publisher(
+        &PublisherMessage::RetryAfter(Span::from_ms(1234.5)),
         r#"{"jsonrpc":"2.0","method":"retry","params":{"after_ms":1234.5}}"#,
     );
-    published(
-        &Published::Grant(read::<Grant>(GRANT)),
+    from_publisher(
+        &PublisherMessage::LeaseGrant(read::<Grant>(GRANT)),
         &format!(r#"{{"jsonrpc":"2.0","method":"grant","params":{GRANT}}}"#),
     );
-    published(&Published::Nudge, r#"{"jsonrpc":"2.0","method":"nudge"}"#);
-    published(
-        &Published::Parts(read::<Parts>(PARTS)),
+    from_publisher(&PublisherMessage::RequestLeases, r#"{"jsonrpc":"2.0","method":"nudge"}"#);
+    from_publisher(
+        &PublisherMessage::SiteReport(read::<Parts>(PARTS)),
         &format!(r#"{{"jsonrpc":"2.0","method":"parts","params":{PARTS}}}"#),
     );
 }
 
 #[test]
 fn messages_of_a_subscriber_have_their_recorded_bytes() {
-    let subscribe = |kind, lineage, have, trial, known| Said::Subscribe {
+    let subscribe = |kind, lineage, have, trial, known| SubscriberMessage::Subscribe {
         node: "n1".into(),
         program: "1.2.3".into(),
         kind,
         lineage,
-        have,
-        trial,
-        known,
+        in_effect: have,
+        on_trial: trial,
+        latest_known: known,
     };
-    said(
+    from_subscriber(
         &subscribe(Kind::Identity, Some("l".into()), Some(b()), true, Some(a())),
         r#"{"jsonrpc":"2.0","method":"subscribe","params":{"have":{"digest":"B","number":6},"kind":"identity","known":{"digest":"A","number":7},"lineage":"l","node":"n1","program":"1.2.3","trial":true}}"#,
     );
-    said(
+    from_subscriber(
         &subscribe(Kind::Serving, None, None, false, None),
         r#"{"jsonrpc":"2.0","method":"subscribe","params":{"have":null,"kind":"serving","known":null,"lineage":null,"node":"n1","program":"1.2.3","trial":false}}"#,
     );
-    said(
-        &Said::Acknowledged { nonce: 5, version: a(), trial: true, staged: vec!["limits.memory_mb".into()] },
+    from_subscriber(
+        &SubscriberMessage::Acknowledged {
+            nonce: 5,
+            version: a(),
+            on_trial: true,
+            staged: vec!["limits.memory_mb".into()],
+        },
         r#"{"id":5,"jsonrpc":"2.0","result":{"staged":["limits.memory_mb"],"trial":true,"version":{"digest":"A","number":7}}}"#,
     );
-    said(
-        &Said::Settled { version: a(), failed: None },
+    from_subscriber(
+        &SubscriberMessage::TrialEnded { version: a(), failure: None },
         r#"{"jsonrpc":"2.0","method":"settled","params":{"failed":null,"version":{"digest":"A","number":7}}}"#,
     );
-    said(
-        &Said::Settled { version: a(), failed: Some("why".into()) },
+    from_subscriber(
+        &SubscriberMessage::TrialEnded { version: a(), failure: Some("why".into()) },
         r#"{"jsonrpc":"2.0","method":"settled","params":{"failed":"why","version":{"digest":"A","number":7}}}"#,
     );
-    said(&Said::Pong, r#"{"jsonrpc":"2.0","method":"pong"}"#);
-    said(&Said::Status { call: 3 }, r#"{"id":3,"jsonrpc":"2.0","method":"status"}"#);
-    said(&Said::Ask(read::<Ask>(ASK)), &format!(r#"{{"jsonrpc":"2.0","method":"ask","params":{ASK}}}"#));
-    said(
-        &Said::Parts(read::<Parts>(PARTS)),
+    from_subscriber(&SubscriberMessage::Pong, r#"{"jsonrpc":"2.0","method":"pong"}"#);
+    from_subscriber(
+        &SubscriberMessage::Status { request_id: 3 },
+        r#"{"id":3,"jsonrpc":"2.0","method":"status"}"#,
+    );
+    from_subscriber(
+        &SubscriberMessage::LeaseRequest(read::<Ask>(ASK)),
+        &format!(r#"{{"jsonrpc":"2.0","method":"ask","params":{ASK}}}"#),
+    );
+    from_subscriber(
+        &SubscriberMessage::SiteReport(read::<Parts>(PARTS)),
         &format!(r#"{{"jsonrpc":"2.0","method":"parts","params":{PARTS}}}"#),
     );
     for word in [
@@ -132,66 +146,70 @@
         r#"{"retire":{"id":"i","site":"north"}}"#,
         r#""open""#,
     ] {
-        said(
-            &Said::Word { call: 4, word: read::<Word>(word) },
+        from_subscriber(
+            &SubscriberMessage::BudgetCommand { request_id: 4, command: read::<Word>(word) },
             &format!(r#"{{"id":4,"jsonrpc":"2.0","method":"budget","params":{word}}}"#),
         );
     }
 }
 
 #[test]
-fn refusals_have_their_recorded_bytes() {
+fn rejections_have_their_recorded_bytes() {
     let recorded = [
-        (Refusal::Leaving, r#"{"version":V,"why":"leaving"}"#, "the node is leaving"),
+        (Rejection::Draining, r#"{"version":V,"why":"leaving"}"#, "the node is leaving"),
         (
-            Refusal::OtherLineage { own: "m".into() },
+            Rejection::OtherLineage { own: "m".into() },
             r#"{"own":"m","version":V,"why":"other-lineage"}"#,
             "the node follows the lineage m",
         ),
         (
-            Refusal::Behind { known: b() },
+            Rejection::Outdated { known: b() },
             r#"{"known":W,"version":V,"why":"behind"}"#,
             "the node knows version 6 (ffeeddcc), which is later",
         ),
         (
-            Refusal::Conflict { known: b() },
+            Rejection::Conflict { known: b() },
             r#"{"known":W,"version":V,"why":"conflict"}"#,
             "the node knows this number as 6 (ffeeddcc)",
         ),
         (
-            Refusal::UnknownBase,
+            Rejection::UnknownBase,
             r#"{"version":V,"why":"unknown-base"}"#,
             "the node doesn't have the base of the difference",
         ),
         (
-            Refusal::WrongDigest,
+            Rejection::DigestMismatch,
             r#"{"version":V,"why":"wrong-digest"}"#,
             "the contents don't have the digest that was announced",
         ),
-        (Refusal::Malformed("m".into()), r#"{"version":V,"why":"malformed"}"#, "m"),
-        (Refusal::Suspect, r#"{"version":V,"why":"suspect"}"#, "the node died twice with it on trial"),
-        (Refusal::Failed("f".into()), r#"{"version":V,"why":"failed"}"#, "f"),
-        (Refusal::NotKept("k".into()), r#"{"version":V,"why":"not-kept"}"#, "k"),
-        (Refusal::NotHere("h".into()), r#"{"version":V,"why":"not-here"}"#, "h"),
+        (Rejection::Invalid("m".into()), r#"{"version":V,"why":"malformed"}"#, "m"),
+        (
+            Rejection::CrashedOnTrial,
+            r#"{"version":V,"why":"suspect"}"#,
+            "the node died twice with it on trial",
+        ),
+        (Rejection::FailedTrial("f".into()), r#"{"version":V,"why":"failed"}"#, "f"),
+        (Rejection::NotStored("k".into()), r#"{"version":V,"why":"not-kept"}"#, "k"),
+        (Rejection::NotApplicable("h".into()), r#"{"version":V,"why":"not-here"}"#, "h"),
         (
-            Refusal::Superseded { by: b() },
+            Rejection::Superseded { by: b() },
             r#"{"known":W,"version":V,"why":"superseded"}"#,
             "version 6 (ffeeddcc) came before its turn",
         ),
     ];
-    for (refusal, data, message) in recorded {
+    for (rejection, data, message) in recorded {
         let data =
             data.replace('V', r#"{"digest":"A","number":7}"#).replace('W', r#"{"digest":"B","number":6}"#);
-        said(
-            &Said::TurnedDown { nonce: 5, version: a(), refusal },
+        from_subscriber(
+            &SubscriberMessage::Rejected { nonce: 5, version: a(), rejection },
             &format!(
                 r#"{{"error":{{"code":-32010,"data":{data},"message":"{message}"}},"id":5,"jsonrpc":"2.0"}}"#
             ),
         );
     }
     // A reason is cut at 2000 bytes, between two characters.
-    let long = Refusal::Malformed("é".repeat(1500) + "x");
-    let text = Said::TurnedDown { nonce: 5, version: a(), refusal: long }.encode();
+    let long = Rejection::Invalid("é".repeat(1500) + "x");
+    let text = SubscriberMessage::Rejected { nonce: 5, version: a(), rejection: long }.encode();
     let data = r#"{"version":{"digest":"A","number":7},"why":"malformed"}"#;
     let message = "é".repeat(1000);
     let expected = format!(
@@ -202,8 +220,8 @@
 
 #[test]
 fn what_is_no_message_is_named_as_recorded() {
-    let of_subscriber = |text: &str| Said::decode(text.as_bytes()).expect_err(text).to_string();
-    let of_publisher = |text: &str| Published::decode(text.as_bytes()).expect_err(text).to_string();
+    let of_subscriber = |text: &str| SubscriberMessage::decode(text.as_bytes()).expect_err(text).to_string();
+    let of_publisher = |text: &str| PublisherMessage::decode(text.as_bytes()).expect_err(text).to_string();
     assert_eq!(of_subscriber("7"), "expected a JSON object");
     assert_eq!(of_publisher("{}"), "field jsonrpc: expected \"2.0\"");
     assert_eq!(
@@ -259,28 +277,28 @@
 
 #[test]
 fn the_stored_state_of_a_node_has_its_recorded_bytes_and_names() {
-    let names = [Kind::Serving, Kind::Identity, Kind::Budgets].map(kept::name);
+    let names = [Kind::Serving, Kind::Identity, Kind::Budgets].map(stored::store_key);
     assert_eq!(names, ["configuration", "configuration.identity", "configuration.budgets"]);
-    let good = Held { version: Version { number: 5, digest: digest(D) }, document: document(1) };
-    let all = Kept {
+    let good = StoredVersion { version: Version { number: 5, digest: digest(D) }, document: document(1) };
+    let all = StoredState {
         lineage: Some("l".into()),
-        good: Some(good),
-        known: Some(a()),
-        trial: Some((a(), "t".into())),
-        failed: Some((b(), "it fell".into())),
-        deaths: vec![(digest(A), 1), (digest(B), 2)],
+        last_good: Some(good),
+        latest_known: Some(a()),
+        on_trial: Some(VersionOnTrial { version: a(), text: "t".into() }),
+        last_failed: Some(FailedVersion { version: b(), reason: "it fell".into() }),
+        crashes: vec![CrashCount { digest: digest(A), count: 1 }, CrashCount { digest: digest(B), count: 2 }],
     };
-    for (state, text) in [(all, STORED), (Kept::default(), STORED_NOTHING)] {
+    for (state, text) in [(all, STORED), (StoredState::default(), STORED_NOTHING)] {
         let text = line(&text.replace("\"D\"", &format!("\"{D}\"")));
         let text = text.trim_end();
         assert_eq!(String::from_utf8(state.encode()).as_deref(), Ok(text));
-        assert_eq!(Kept::decode(Kind::Serving, text.as_bytes()), Ok(state));
+        assert_eq!(StoredState::decode(Kind::Serving, text.as_bytes()).expect(text), state);
     }
 }
 
 #[test]
 fn a_stored_state_that_is_wrong_is_named_as_recorded() {
-    let wrong = |text: &str| Kept::decode(Kind::Serving, text.as_bytes()).expect_err(text).to_string();
+    let wrong = |text: &str| StoredState::decode(Kind::Serving, text.as_bytes()).expect_err(text).to_string();
     assert_eq!(wrong("{"), "EOF while parsing an object at line 1 column 1");
     assert_eq!(wrong(r#"{"known":{"number":1}}"#), "a version lacks its number or digest");
     assert_eq!(wrong(r#"{"deaths":[[1,2]]}"#), "a death lacks its digest or count");
@@ -291,13 +309,13 @@
     assert!(wrong(&good(r#","text":"x = 1""#)).starts_with("the last good version:1:1: "));
 }
 
-fn setup(documents: &Path, listen: SocketAddr, lineage: Option<&str>) -> Setup {
-    Setup {
+fn setup(documents: &Path, listen: SocketAddr, lineage: Option<&str>) -> ControlServiceConfig {
+    ControlServiceConfig {
         documents: documents.into(),
         listen,
         lineage: lineage.map(str::to_owned),
-        keeper: None,
-        admitted: (100.0, 100.0),
+        lessor: None,
+        admission: AdmissionRate { per_second: 100.0, burst: 100.0 },
     }
 }
 
@@ -308,22 +326,24 @@
     let counted = line(r#"{"last":{"digest":"A","number":7},"lineage":"l"}"#);
     std::fs::write(folder.path().join(files[0]), counted.trim_end()).expect("a file");
     let counter = Counter { lineage: "l".into(), last: Some(a()) };
-    assert_eq!(service::read_counter(folder.path(), Kind::Serving), Ok(Some(counter)));
-    assert_eq!(service::read_counter(folder.path(), Kind::Budgets), Ok(None));
+    let read = |kind| control_service::read_counter(folder.path(), kind).expect("it can be read");
+    assert_eq!(read(Kind::Serving), Some(counter));
+    assert_eq!(read(Kind::Budgets), None);
     // A start writes them all anew.
     let listen = "127.0.0.1:0".parse().expect("an address");
-    let mut serving = Box::pin(service::serve(
+    let mut serving = Box::pin(control_service::serve(
         Rc::new(LocalExecutor::new()),
         setup(folder.path(), listen, None),
         Box::new(|_| {}),
     ));
-    assert_eq!(block_on(poll_once(&mut serving)), None);
+    assert!(block_on(poll_once(&mut serving)).is_none(), "it serves");
     let nothing = r#"{"last":null,"lineage":"l"}"#;
     for (file, text) in files.iter().zip([counted.trim_end(), nothing, nothing]) {
         assert_eq!(std::fs::read_to_string(folder.path().join(file)).as_deref().ok(), Some(text), "{file}");
     }
     std::fs::write(folder.path().join(files[0]), r#"{"lineage":"l","last":7}"#).expect("a file");
-    let wrong = service::read_counter(folder.path(), Kind::Serving).expect_err("it is wrong").to_string();
+    let wrong =
+        control_service::read_counter(folder.path(), Kind::Serving).expect_err("it is wrong").to_string();
     let shown = folder.path().join(files[0]).display().to_string();
     assert_eq!(wrong, format!("{shown}: field last: expected it as this program writes it"));
 }
@@ -369,7 +389,8 @@
     let setup = setup(folder.path(), address, Some("l"));
     std::thread::spawn(move || {
         let tasks = Rc::new(LocalExecutor::new());
-        block_on(tasks.run(service::serve(tasks.clone(), setup, Box::new(|_| {})))).expect("it serves");
+        block_on(tasks.run(control_service::serve(tasks.clone(), setup, Box::new(|_| {}))))
+            .expect("it serves");
     });
     let mut node = Peer::connect(address);
     node.say(
--- a/crates/hazelgrade-stream/tests/states.rs
+++ b/crates/hazelgrade-stream/tests/states.rs
@@ -7,10 +7,10 @@
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::Digest;
 use hazelgrade_stream::admission::Admission;
-use hazelgrade_stream::kept::Kept;
-use hazelgrade_stream::protocol::{Published, Said};
+use hazelgrade_stream::protocol::{PublisherMessage, SubscriberMessage};
 use hazelgrade_stream::publisher::{self, Counter, Publisher};
-use hazelgrade_stream::subscriber::{Action, Event, Serving, Subscriber};
+use hazelgrade_stream::stored::StoredState;
+use hazelgrade_stream::subscriber::{Action, Event, InEffect, Subscriber};
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 
@@ -31,19 +31,19 @@
     node: Subscriber,
     publisher: Publisher,
     /// What each side has on its disk.
-    kept: Kept,
+    stored: StoredState,
     counter: Counter,
     /// A write of the node that is under way.
-    writing: Option<(u64, Kept)>,
+    writing: Option<(u64, StoredState)>,
     connection: u64,
     up: bool,
-    to_node: Vec<Published>,
-    to_publisher: Vec<Said>,
+    to_node: Vec<PublisherMessage>,
+    to_publisher: Vec<SubscriberMessage>,
     left: Left,
     now: Time,
     effect: Option<Digest>,
     acknowledged: Vec<Digest>,
-    /// Said to be good, and to have failed.
+    /// SubscriberMessage to be good, and to have failed.
     good: Vec<Digest>,
     failed: Vec<Digest>,
     broken: Option<String>,
@@ -100,57 +100,65 @@
 impl World {
     fn keyed(mut self) -> World {
         self.key.clear();
-        let World { node, publisher, kept, counter, writing, to_node, to_publisher, left, .. } = &self;
-        let parts = (node, publisher, kept, counter, writing);
+        let World { node, publisher, stored, counter, writing, to_node, to_publisher, left, .. } = &self;
+        let parts = (node, publisher, stored, counter, writing);
         let rest = (to_node, to_publisher, left, self.up, &self.good, &self.failed, &self.acknowledged);
         self.key = without_time(&format!("{parts:?}{rest:?}{:?}{:?}", self.effect, self.broken));
         self
     }
 
     fn tell(&mut self, event: Event) {
-        let mut out = Vec::new();
-        self.node.take(self.now, event, &mut out);
-        self.carry_out(out);
+        let mut actions = Vec::new();
+        self.node.handle(self.now, event, &mut actions);
+        self.carry_out(actions);
     }
 
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Say(said) => {
-                    match &said {
-                        Said::Acknowledged { version, .. } => self.acknowledged.push(version.digest),
-                        Said::Settled { version, failed: None } => self.good.push(version.digest),
-                        Said::Settled { version, failed: Some(_) } => self.failed.push(version.digest),
+                Action::Send(message) => {
+                    match &message {
+                        SubscriberMessage::Acknowledged { version, .. } => {
+                            self.acknowledged.push(version.digest)
+                        }
+                        SubscriberMessage::TrialEnded { version, failure: None } => {
+                            self.good.push(version.digest)
+                        }
+                        SubscriberMessage::TrialEnded { version, failure: Some(_) } => {
+                            self.failed.push(version.digest)
+                        }
                         _ => {}
                     }
-                    self.to_publisher.push(said);
+                    self.to_publisher.push(message);
                 }
-                Action::Keep { ticket, kept } => self.writing = Some((ticket, kept)),
-                Action::TakeEffect { document, .. } => {
+                Action::Store { ticket, state } => self.writing = Some((ticket, state)),
+                Action::Apply { document, .. } => {
                     self.effect = document.map(|document| document.digest());
-                    self.tell(Event::TookEffect(Ok(())));
+                    self.tell(Event::Applied(Ok(())));
                 }
-                Action::HangUp => {
+                Action::Disconnect => {
                     self.up = false;
-                    self.tell(Event::Down);
+                    self.tell(Event::Disconnected);
                 }
-                Action::Connect { .. } | Action::Note(_) => {}
+                Action::Connect { .. } | Action::Log(_) => {}
             }
         }
     }
 
     fn publisher(&mut self, event: publisher::Event) {
-        let mut out = Vec::new();
-        self.publisher.take(self.now, event, &mut out);
-        for action in out {
+        let mut actions = Vec::new();
+        self.publisher.handle(self.now, event, &mut actions);
+        for action in actions {
             match action {
-                publisher::Action::Say(connection, said) if connection == self.connection && self.up => {
-                    self.to_node.push(said);
+                publisher::Action::Send { connection, message }
+                    if connection == self.connection && self.up =>
+                {
+                    self.to_node.push(message);
                 }
-                publisher::Action::Count(counter) => {
+                publisher::Action::StoreCounter(counter) => {
                     // No number stands for two contents, whatever was forgotten.
                     self.counter = counter;
-                    self.publisher(publisher::Event::Counted(Ok(())));
+                    self.publisher(publisher::Event::CounterStored(Ok(())));
                 }
                 _ => {}
             }
@@ -161,46 +169,48 @@
         self.connection += 1;
         self.up = true;
         (self.to_node, self.to_publisher) = (Vec::new(), Vec::new());
-        self.publisher(publisher::Event::Came(self.connection));
-        self.tell(Event::Up);
+        self.publisher(publisher::Event::Connected { connection: self.connection });
+        self.tell(Event::Connected);
     }
 
     fn disconnect(&mut self) {
         self.up = false;
         (self.to_node, self.to_publisher) = (Vec::new(), Vec::new());
-        self.publisher(publisher::Event::Gone(self.connection));
+        self.publisher(publisher::Event::Disconnected { connection: self.connection });
     }
 
     fn restart_node(&mut self) {
         self.writing = None;
-        let (node, first) = start(self.now, self.kept.clone(), Some(document(0)));
+        let (node, first) = start(self.now, self.stored.clone(), Some(document(0)));
         self.node = node;
         self.carry_out(first);
-        self.tell(served(100.0, 1.0));
+        self.tell(sampled(100.0, 1.0));
     }
 
     fn check(&mut self) {
         let file = document(0).digest();
-        let serves = match self.node.serving() {
-            Serving::Nothing => self.effect.is_none(),
-            Serving::File => self.effect == Some(file),
+        let serves = match self.node.in_effect() {
+            InEffect::Nothing => self.effect.is_none(),
+            InEffect::LocalDocument => self.effect == Some(file),
             // Good ones may be known only to the disk: the node died before it could say so.
-            Serving::Good(version) => {
-                let known = self.kept.good.as_ref().is_some_and(|good| good.version.digest == version.digest)
-                    || self.good.contains(&version.digest);
+            InEffect::Good(version) => {
+                let known =
+                    self.stored.last_good.as_ref().is_some_and(|good| good.version.digest == version.digest)
+                        || self.good.contains(&version.digest);
                 known && self.effect == Some(version.digest)
             }
-            Serving::OnTrial(version) => {
+            InEffect::OnTrial(version) => {
                 self.effect == Some(version.digest)
-                    && self.kept.trial.as_ref().is_some_and(|(on, _)| *on == version)
-                    || self.kept.good.as_ref().is_some_and(|good| good.version == version)
+                    && self.stored.on_trial.as_ref().is_some_and(|on_trial| on_trial.version == version)
+                    || self.stored.last_good.as_ref().is_some_and(|good| good.version == version)
             }
         };
         if !serves {
-            self.broken = Some(format!("serves {:?} with {:?} in effect", self.node.serving(), self.effect));
+            self.broken =
+                Some(format!("serves {:?} with {:?} in effect", self.node.in_effect(), self.effect));
         }
-        if !self.good.is_empty() && self.kept.good.is_none() {
-            self.broken = Some("what was said to be good is not kept".into());
+        if !self.good.is_empty() && self.stored.last_good.is_none() {
+            self.broken = Some("what was said to be good is not stored".into());
         }
     }
 }
@@ -213,13 +223,13 @@
 
     fn init_states(&self) -> Vec<World> {
         let now = at(1_000_000.0);
-        let (node, first) = start(now, Kept::default(), Some(document(0)));
+        let (node, first) = start(now, StoredState::default(), Some(document(0)));
         let counter = Counter { lineage: LINEAGE.into(), last: None };
         let publisher = Publisher::new(counter.clone(), Admission::new(1000.0, 1000.0));
         let mut world = World {
             node,
             publisher,
-            kept: Kept::default(),
+            stored: StoredState::default(),
             counter,
             writing: None,
             connection: 0,
@@ -236,8 +246,8 @@
             key: String::new(),
         };
         world.carry_out(first);
-        world.tell(served(100.0, 1.0));
-        world.publisher(publisher::Event::Changed(document(1)));
+        world.tell(sampled(100.0, 1.0));
+        world.publisher(publisher::Event::DocumentChanged(document(1)));
         world.connect();
         vec![world.keyed()]
     }
@@ -275,7 +285,7 @@
         if left.restarts > 0 {
             steps.extend([false, true].map(|forgets| Step::PublisherRestarts { forgets }));
         }
-        if left.trials > 0 && matches!(world.node.serving(), Serving::OnTrial(_)) {
+        if left.trials > 0 && matches!(world.node.in_effect(), InEffect::OnTrial(_)) {
             steps.extend([false, true].map(|well| Step::TrialEnds { well }));
         }
     }
@@ -286,15 +296,16 @@
             Step::Publish => {
                 world.left.publishes -= 1;
                 let says = 1 + self.0.publishes - world.left.publishes;
-                world.publisher(publisher::Event::Changed(document(says)));
+                world.publisher(publisher::Event::DocumentChanged(document(says)));
             }
             Step::ToNode(place) => {
-                let said = world.to_node.remove(place);
-                world.tell(Event::Heard(said));
+                let message = world.to_node.remove(place);
+                world.tell(Event::Received(message));
             }
             Step::ToPublisher(place) => {
-                let said = world.to_publisher.remove(place);
-                world.publisher(publisher::Event::Heard(world.connection, said));
+                let message = world.to_publisher.remove(place);
+                let connection = world.connection;
+                world.publisher(publisher::Event::Received { connection, message });
             }
             Step::LoseToNode(place) => {
                 world.left.losses -= 1;
@@ -307,26 +318,26 @@
             Step::Break => {
                 world.left.breaks -= 1;
                 world.disconnect();
-                world.tell(Event::Down);
+                world.tell(Event::Disconnected);
             }
             Step::Connect => world.connect(),
             Step::Written => {
-                let (ticket, kept) = world.writing.take()?;
-                world.kept = kept;
-                world.tell(Event::Stored { ticket, done: Ok(()) });
+                let (ticket, state) = world.writing.take()?;
+                world.stored = state;
+                world.tell(Event::Stored { ticket, result: Ok(()) });
             }
             Step::WriteFails => {
                 world.left.disk_faults -= 1;
                 let (ticket, _) = world.writing.take()?;
-                world.tell(Event::Stored { ticket, done: Err("full".into()) });
+                world.tell(Event::Stored { ticket, result: Err("full".into()) });
                 // And the pause until it is tried again.
                 world.now = world.now + Span::from_ms(60_000.0);
-                world.tell(Event::Woke);
+                world.tell(Event::TimerFired);
             }
             Step::NodeDies { written } => {
                 world.left.deaths -= 1;
-                if let Some((_, kept)) = world.writing.take().filter(|_| written) {
-                    world.kept = kept;
+                if let Some((_, state)) = world.writing.take().filter(|_| written) {
+                    world.stored = state;
                 }
                 world.disconnect();
                 world.restart_node();
@@ -339,18 +350,18 @@
                 }
                 world.publisher = Publisher::new(world.counter.clone(), Admission::new(1000.0, 1000.0));
                 let says = 1 + self.0.publishes - world.left.publishes;
-                world.publisher(publisher::Event::Changed(document(says)));
-                world.tell(Event::Down);
+                world.publisher(publisher::Event::DocumentChanged(document(says)));
+                world.tell(Event::Disconnected);
             }
             Step::TrialEnds { well } => {
                 world.left.trials -= 1;
                 if well {
                     world.now = world.now + Span::from_ms(1001.0);
-                    world.tell(served(0.0, 1.0));
+                    world.tell(sampled(0.0, 1.0));
                 } else {
-                    world.tell(served(100.0, 0.0));
+                    world.tell(sampled(100.0, 0.0));
                 }
-                world.tell(served(100.0, 1.0));
+                world.tell(sampled(100.0, 1.0));
             }
         }
         world.check();
