--- a/crates/hazelgrade-demo/src/measure/streaming.rs
+++ b/crates/hazelgrade-demo/src/measure/streaming.rs
@@ -19,11 +19,11 @@
 use hazelgrade_store::Store;
 use hazelgrade_stream::admission::Admission;
 use hazelgrade_stream::backoff::Backoff;
-use hazelgrade_stream::follow::{Follow, Host};
-use hazelgrade_stream::kept::{self, Kept};
-use hazelgrade_stream::protocol::{Content, Offer, Published};
-use hazelgrade_stream::service::{self, Setup};
-use hazelgrade_stream::subscriber::{Action, Event, Start, Subscriber};
+use hazelgrade_stream::client::{Host, SubscriberClient};
+use hazelgrade_stream::control_service::{self, AdmissionRate, ControlServiceConfig};
+use hazelgrade_stream::protocol::{Content, Offer, PublisherMessage};
+use hazelgrade_stream::stored::{self, StoredState};
+use hazelgrade_stream::subscriber::{Action, Event, Subscriber, SubscriberConfig};
 use hazelgrade_stream::trial::Sample;
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
@@ -90,16 +90,16 @@
         Time::from_ms(1e12 + self.began.elapsed().as_secs_f64() * 1000.0)
     }
 
-    fn keep(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
+    fn store(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
         let Some(store) = self.store.clone() else { return async { Ok(()) }.boxed_local() };
         let keeping = blocking::unblock(move || {
             let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
-            store.keep(&[(kept::name(Kind::Serving), Some(&bytes))]).map_err(failed)
+            store.keep(&[(stored::store_key(Kind::Serving), Some(&bytes))]).map_err(failed)
         });
         keeping.boxed_local()
     }
 
-    fn take_effect(&self, document: Option<&Document>, _back: bool) -> Result<(), String> {
+    fn apply(&self, document: Option<&Document>, _back: bool) -> Result<(), String> {
         if let Some(document) = document {
             // Nobody listens any more once the measurement is over.
             let _ = self.took.borrow().send((document.digest().to_string(), Instant::now()));
@@ -108,22 +108,22 @@
     }
 
     fn sample(&self) -> Sample {
-        Sample { answered: 0.0, succeeded: 0.0, linked: true }
+        Sample { answered: 0.0, succeeded: 0.0, executor_connected: true }
     }
 }
 
-fn follower(name: String, controls: usize, seed: u64, backoff: Backoff) -> Start {
-    Start {
+fn follower(name: String, controls: usize, seed: u64, backoff: Backoff) -> SubscriberConfig {
+    SubscriberConfig {
         kind: Kind::Serving,
         node: name,
         program: "measure".into(),
         lineage: None,
-        rules: Trial { span: Span::from_ms(100.0), ..Trial::default() },
-        controls,
-        chance: MultiplyWithCarry::new(seed),
+        trial_rules: Trial { span: Span::from_ms(100.0), ..Trial::default() },
+        control_services: controls,
+        random: MultiplyWithCarry::new(seed),
         backoff,
-        kept: Kept::default(),
-        file: None,
+        stored: StoredState::default(),
+        local_document: None,
     }
 }
 
@@ -148,8 +148,12 @@
         let mut first = Vec::new();
         let start = follower(format!("n{place}"), 1, place as u64 * 7919, Backoff::default());
         let subscriber = Subscriber::start(host.now(), start, &mut first);
-        let follow =
-            Follow { host, controls: vec![control], tasks: tasks.clone(), leaving: Rc::new(Bell::default()) };
+        let follow = SubscriberClient {
+            host,
+            control_services: vec![control],
+            executor: tasks.clone(),
+            drain_started: Rc::new(Bell::default()),
+        };
         tasks.spawn(async move { follow.run(subscriber, first).await }).detach();
     }
     let over = async {
@@ -176,29 +180,30 @@
             let next = documents.join("next");
             std::fs::write(&next, document.to_toml()).map_err(failed)?;
             let at = Instant::now();
-            std::fs::rename(&next, documents.join(service::DOCUMENT)).map_err(failed)?;
+            std::fs::rename(&next, documents.join(control_service::SERVING_DOCUMENT_FILE)).map_err(failed)?;
             Ok::<Instant, String>(at)
         };
         publish(&version(0)?)?;
-        let setup = Setup {
+        let setup = ControlServiceConfig {
             documents: documents.clone(),
             listen: free_address(),
             lineage: Some("measure".into()),
-            keeper: None,
-            admitted: (2000.0, 2000.0),
+            lessor: None,
+            admission: AdmissionRate { per_second: 2000.0, burst: 2000.0 },
         };
         let listen = setup.listen;
         let (stop, stopped) = (Arc::new(Mutex::new(false)), Arc::new(Mutex::new(false)));
         let stopping = stop.clone();
         let serving = std::thread::spawn(move || {
             let tasks = Rc::new(LocalExecutor::new());
-            let serve = service::serve(tasks.clone(), setup, Box::new(|_| {}));
+            let serve = control_service::serve(tasks.clone(), setup, Box::new(|_| {}));
             let ended = async {
                 while !*stopping.lock().unwrap_or_else(PoisonError::into_inner) {
                     Timer::after(Duration::from_millis(20)).await;
                 }
                 Ok(())
             };
+            let serve = async { serve.await.map_err(|error| error.to_string()) };
             async_io::block_on(tasks.run(or(serve, ended)))
         });
         let (took, taken) = channel();
@@ -254,20 +259,20 @@
         let before = document(&cases, tenants, "")?;
         let length = |content: Content| {
             let version = Version { number: 1000, digest: before.digest() };
-            Published::Offer(Offer { nonce: 1000, lineage: "measure".into(), version, content })
+            PublisherMessage::Offer(Offer { nonce: 1000, lineage: "measure".into(), version, content })
                 .encode()
                 .len()
         };
         let change = |after: &Document| {
             let base = Version { number: 999, digest: before.digest() };
             let difference = before.fields().difference(after.fields());
-            length(Content::Change { base, difference }).to_string()
+            length(Content::Delta { base, difference }).to_string()
         };
         let field = document(&[READ, ("book", 1500, 3000, 2)], tenants, "")?;
         let more = document(&cases, tenants + 1, "")?;
         let all = text(&cases, tenants, "").replace("quota_per_s = ", "quota_per_s = 1");
         let all = Document::read(&all, "all").map_err(|faults| faults[0].to_string())?;
-        let whole = length(Content::Whole(before.to_toml())).to_string();
+        let whole = length(Content::Full(before.to_toml())).to_string();
         table.add_row([tenants.to_string(), whole, change(&field), change(&more), change(&all)]);
     }
     Ok(table)
@@ -291,10 +296,10 @@
         let mut out = Vec::new();
         let start = follower(format!("n{node}"), 1, seed * 1000 + node, backoff.clone());
         let mut subscriber = Subscriber::start(gone, start, &mut out);
-        subscriber.take(gone, Event::Up, &mut out);
-        subscriber.take(gone, Event::Heard(Published::Ping), &mut out);
+        subscriber.handle(gone, Event::Connected, &mut out);
+        subscriber.handle(gone, Event::Received(PublisherMessage::Ping), &mut out);
         out.clear();
-        subscriber.take(gone, Event::Down, &mut out);
+        subscriber.handle(gone, Event::Disconnected, &mut out);
         due.extend(next(&out).map(|at| (at, subscriber)));
     }
     let (mut tenths, mut last) = (vec![0.0; 1200], back);
@@ -306,20 +311,20 @@
             if let Some(count) = tenths.get_mut(tenth) {
                 *count += 1.0;
             }
-            let taken = admission.as_mut().map_or(Ok(()), |admission| admission.ask(now));
+            let taken = admission.as_mut().map_or(Ok(()), |admission| admission.admit(now));
             match taken {
                 Ok(()) => {
                     last = last.max(now);
                     continue;
                 }
                 Err(after) => {
-                    subscriber.take(now, Event::Up, &mut out);
-                    subscriber.take(now, Event::Heard(Published::Retry(after)), &mut out);
+                    subscriber.handle(now, Event::Connected, &mut out);
+                    subscriber.handle(now, Event::Received(PublisherMessage::RetryAfter(after)), &mut out);
                 }
             }
         }
         out.clear();
-        subscriber.take(now, Event::Down, &mut out);
+        subscriber.handle(now, Event::Disconnected, &mut out);
         due.extend(next(&out).map(|at| (at, subscriber)));
     }
     (tenths.iter().copied().fold(0.0, f64::max), last.since(back).as_ms() / 1000.0)
@@ -335,9 +340,9 @@
     ]);
     let admission = || Some(Admission::new(200.0, 50.0));
     let ways = [
-        ("plain doubling", Backoff::plain(), None),
+        ("plain doubling", Backoff::without_jitter(), None),
         ("full jitter", Backoff::default(), None),
-        ("plain doubling, 200 a second taken on", Backoff::plain(), admission()),
+        ("plain doubling, 200 a second taken on", Backoff::without_jitter(), admission()),
         ("full jitter, 200 a second taken on", Backoff::default(), admission()),
     ];
     for (away, (name, backoff, admission)) in
--- a/crates/hazelgrade-fakes/src/control.rs
+++ b/crates/hazelgrade-fakes/src/control.rs
@@ -2,7 +2,7 @@
 
 use crate::{SOON, comes_true};
 use hazelgrade_config::{Difference, Document, Version};
-use hazelgrade_stream::protocol::{Content, Offer, Published, Said};
+use hazelgrade_stream::protocol::{Content, Offer, PublisherMessage, SubscriberMessage};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
@@ -17,7 +17,7 @@
 pub struct Subscriber {
     reader: BufReader<TcpStream>,
     /// What it said as it came.
-    pub subscribed: Said,
+    pub subscribed: SubscriberMessage,
     nonces: u64,
 }
 
@@ -43,7 +43,7 @@
         let mut reader = BufReader::new(stream);
         let mut line = Vec::new();
         reader.read_until(b'\n', &mut line).ok()?;
-        let subscribed = Said::decode(&line).ok()?;
+        let subscribed = SubscriberMessage::decode(&line).ok()?;
         Some(Subscriber { reader, subscribed, nonces: 0 })
     }
 }
@@ -59,19 +59,19 @@
     }
 
     /// The next thing it says, but for pongs; none if it ends or says nothing in time.
-    pub fn hear(&mut self) -> Option<Said> {
+    pub fn hear(&mut self) -> Option<SubscriberMessage> {
         loop {
             let mut line = Vec::new();
             self.reader.read_until(b'\n', &mut line).ok().filter(|read| *read > 0)?;
-            match Said::decode(&line).ok()? {
-                Said::Pong => {}
+            match SubscriberMessage::decode(&line).ok()? {
+                SubscriberMessage::Pong => {}
                 said => return Some(said),
             }
         }
     }
 
     pub fn ping(&mut self) -> bool {
-        self.write(Published::Ping.encode().as_bytes())
+        self.write(PublisherMessage::Ping.encode().as_bytes())
     }
 
     pub fn offer(&mut self, version: Version, content: Content) -> u64 {
@@ -81,17 +81,17 @@
     pub fn offer_of(&mut self, lineage: &str, version: Version, content: Content) -> u64 {
         self.nonces += 1;
         let offer = Offer { nonce: self.nonces, lineage: lineage.into(), version, content };
-        self.write(Published::Offer(offer).encode().as_bytes());
+        self.write(PublisherMessage::Offer(offer).encode().as_bytes());
         self.nonces
     }
 
     pub fn offer_whole(&mut self, number: u64, document: &Document) -> u64 {
-        self.offer(version(number, document), Content::Whole(document.to_toml()))
+        self.offer(version(number, document), Content::Full(document.to_toml()))
     }
 
     pub fn offer_change(&mut self, number: u64, base: (u64, &Document), document: &Document) -> u64 {
         let difference: Difference = base.1.fields().difference(document.fields());
         let base = version(base.0, base.1);
-        self.offer(version(number, document), Content::Change { base, difference })
+        self.offer(version(number, document), Content::Delta { base, difference })
     }
 }
--- a/crates/hazelgrade-fakes/src/service.rs
+++ b/crates/hazelgrade-fakes/src/service.rs
@@ -4,7 +4,7 @@
 use crate::node::send;
 use hazelgrade_budget::message::Word;
 use hazelgrade_config::Document;
-use hazelgrade_stream::service;
+use hazelgrade_stream::control_service;
 use rustix::process::Signal;
 use serde_json::Value;
 use std::io;
@@ -28,7 +28,7 @@
 
 /// Replaces the document in a folder in one step, as operators are told to.
 pub fn publish(folder: &Path, text: &str) -> io::Result<()> {
-    publish_as(folder, service::DOCUMENT, text)
+    publish_as(folder, control_service::SERVING_DOCUMENT_FILE, text)
 }
 
 pub fn publish_as(folder: &Path, name: &str, text: &str) -> io::Result<()> {
@@ -83,11 +83,13 @@
 
     /// Who holds what of the budgets; nothing while it can't be asked.
     pub fn budgets(&self) -> Value {
-        service::word(self.address, Word::Show, Duration::from_secs(2)).unwrap_or_default()
+        control_service::send_budget_command(self.address, Word::Show, Duration::from_secs(2))
+            .unwrap_or_default()
     }
 
     pub fn word(&self, word: Word) -> Result<Value, String> {
-        service::word(self.address, word, Duration::from_secs(2))
+        control_service::send_budget_command(self.address, word, Duration::from_secs(2))
+            .map_err(|error| error.to_string())
     }
 
     pub fn publish(&self, text: &str) -> io::Result<()> {
@@ -135,11 +137,11 @@
 
     /// Who runs what; nothing while it can't be asked.
     pub fn status(&self) -> Value {
-        service::status(self.address, Duration::from_secs(2)).unwrap_or_default()
+        control_service::request_status(self.address, Duration::from_secs(2)).unwrap_or_default()
     }
 
     pub fn counter(&self) -> PathBuf {
-        self.documents.path().join(service::COUNTER)
+        self.documents.path().join(control_service::SERVING_COUNTER_FILE)
     }
 }
 
--- a/crates/hazelgrade-fault-injection/src/light.rs
+++ b/crates/hazelgrade-fault-injection/src/light.rs
@@ -9,9 +9,9 @@
 use hazelgrade_config::{Document, Kind};
 use hazelgrade_net::bell::Bell;
 use hazelgrade_stream::backoff::Backoff;
-use hazelgrade_stream::follow::{Follow, Host};
-use hazelgrade_stream::kept::Kept;
-use hazelgrade_stream::subscriber::{Start, Subscriber};
+use hazelgrade_stream::client::{Host, SubscriberClient};
+use hazelgrade_stream::stored::StoredState;
+use hazelgrade_stream::subscriber::{Subscriber, SubscriberConfig};
 use hazelgrade_stream::trial::Sample;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -34,11 +34,11 @@
         Time::from_ms(1e12 + self.began.elapsed().as_secs_f64() * 1000.0)
     }
 
-    fn keep(&self, _: Vec<u8>) -> BoxedLocal<Result<(), String>> {
+    fn store(&self, _: Vec<u8>) -> BoxedLocal<Result<(), String>> {
         async { Ok(()) }.boxed_local()
     }
 
-    fn take_effect(&self, document: Option<&Document>, _: bool) -> Result<(), String> {
+    fn apply(&self, document: Option<&Document>, _: bool) -> Result<(), String> {
         if let Some(document) = document {
             let mut took = self.took.lock().unwrap_or_else(PoisonError::into_inner);
             took[self.place].push(document.digest().to_string());
@@ -47,7 +47,7 @@
     }
 
     fn sample(&self) -> Sample {
-        Sample { answered: 0.0, succeeded: 0.0, linked: true }
+        Sample { answered: 0.0, succeeded: 0.0, executor_connected: true }
     }
 }
 
@@ -65,22 +65,27 @@
                 let tasks = Rc::new(LocalExecutor::new());
                 for place in (thread..count).step_by(THREADS) {
                     let host = Rc::new(Light { began: Instant::now(), place, took: took.clone() });
-                    let start = Start {
+                    let start = SubscriberConfig {
                         kind: Kind::Serving,
                         node: format!("light{place}"),
                         program: "light".into(),
                         lineage: Some("test".into()),
-                        rules: Trial { span: Span::from_ms(100.0), ..Trial::default() },
-                        controls: 1,
-                        chance: MultiplyWithCarry::new(place as u64),
+                        trial_rules: Trial { span: Span::from_ms(100.0), ..Trial::default() },
+                        control_services: 1,
+                        random: MultiplyWithCarry::new(place as u64),
                         backoff: Backoff::default(),
-                        kept: Kept::default(),
-                        file: None,
+                        stored: StoredState::default(),
+                        local_document: None,
                     };
                     let mut first = Vec::new();
                     let subscriber = Subscriber::start(host.now(), start, &mut first);
                     let leaving = Rc::new(Bell::default());
-                    let follow = Follow { host, controls: vec![control], tasks: tasks.clone(), leaving };
+                    let follow = SubscriberClient {
+                        host,
+                        control_services: vec![control],
+                        executor: tasks.clone(),
+                        drain_started: leaving,
+                    };
                     tasks.spawn(async move { follow.run(subscriber, first).await }).detach();
                 }
                 async_io::block_on(tasks.run(pending::<()>()));
--- a/crates/hazelgrade-server/src/program/budgets.rs
+++ b/crates/hazelgrade-server/src/program/budgets.rs
@@ -17,12 +17,12 @@
 use hazelgrade_net::bell::Bell;
 use hazelgrade_store::Store;
 use hazelgrade_stream::backoff::Backoff;
-use hazelgrade_stream::follow::{Follow, Host};
-use hazelgrade_stream::keeping::{self, Metrics};
-use hazelgrade_stream::kept::{self, Kept};
-use hazelgrade_stream::protocol::{Published, Said};
-use hazelgrade_stream::service;
-use hazelgrade_stream::subscriber::{Action, Start, Subscriber};
+use hazelgrade_stream::client::{Host, SubscriberClient};
+use hazelgrade_stream::control_service;
+use hazelgrade_stream::lessor_service::{self, Metrics};
+use hazelgrade_stream::protocol::{PublisherMessage, SubscriberMessage};
+use hazelgrade_stream::stored::{self, StoredState};
+use hazelgrade_stream::subscriber::{Action, Subscriber, SubscriberConfig};
 use hazelgrade_stream::trial::Sample;
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 use pico_args::Arguments;
@@ -47,7 +47,7 @@
     read.map_err(|faults| fault::lines(&faults, FAULTS_NAMED))
 }
 
-pub type Following = (Follow<Node>, Subscriber, Vec<Action>);
+pub type Following = (SubscriberClient<Node>, Subscriber, Vec<Action>);
 
 /// Switches budgets on. Until a keeper grants some, calls below are bounded by what the node may use alone.
 pub fn start(
@@ -70,32 +70,41 @@
     let store = kit.store.clone();
     let kept = store.as_ref().ok().and_then(|store| {
         let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
-        store.get(kept::name(Kind::Budgets)).ok().flatten()
+        store.get(stored::store_key(Kind::Budgets)).ok().flatten()
     });
-    let kept = match kept.as_deref().map(|kept| Kept::decode(Kind::Budgets, kept)).transpose() {
+    let kept = match kept.as_deref().map(|kept| StoredState::decode(Kind::Budgets, kept)).transpose() {
         Ok(kept) => kept.unwrap_or_default(),
         Err(why) => {
-            tracing::error!(why, "the budgets that were kept can't be read");
-            Kept::default()
+            tracing::error!(%why, "the budgets that were kept can't be read");
+            StoredState::default()
         }
     };
-    let start = Start {
+    let start = SubscriberConfig {
         kind: Kind::Budgets,
         node: deployment.name.clone(),
         program: env!("CARGO_PKG_VERSION").into(),
         lineage: streamed.lineage.clone(),
-        rules: budgeted.trial,
-        controls: streamed.control.len(),
-        chance: MultiplyWithCarry::new(deployment.seed.rotate_left(8)),
+        trial_rules: budgeted.trial,
+        control_services: streamed.control.len(),
+        random: MultiplyWithCarry::new(deployment.seed.rotate_left(8)),
         backoff: Backoff::default(),
-        kept,
-        file,
+        stored: kept,
+        local_document: file,
     };
     let mut first = Vec::new();
     let subscriber = Subscriber::start(parts.rounds.clock.now(), start, &mut first);
     let host = Rc::new(Node { parts: parts.clone(), seat, store, told: Cell::default() });
     let (controls, tasks) = (streamed.control.clone(), Rc::default());
-    Ok((Follow { host, controls, tasks, leaving: Rc::new(Bell::default()) }, subscriber, first))
+    Ok((
+        SubscriberClient {
+            host,
+            control_services: controls,
+            executor: tasks,
+            drain_started: Rc::new(Bell::default()),
+        },
+        subscriber,
+        first,
+    ))
 }
 
 /// What budgets reach of a node.
@@ -121,13 +130,13 @@
         self.parts.rounds.clock.now()
     }
 
-    fn keep(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
+    fn store(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
         let store = self.store.clone();
         async move {
             let store = store?;
             blocking::unblock(move || {
                 let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
-                let kept = store.keep(&[(kept::name(Kind::Budgets), Some(&bytes))]);
+                let kept = store.keep(&[(stored::store_key(Kind::Budgets), Some(&bytes))]);
                 kept.map_err(|fault| fault.to_string())
             })
             .await
@@ -135,7 +144,7 @@
         .boxed_local()
     }
 
-    fn take_effect(&self, document: Option<&Document>, _back: bool) -> Result<(), String> {
+    fn apply(&self, document: Option<&Document>, _back: bool) -> Result<(), String> {
         self.seat.bind(&document.map(terms::read).unwrap_or_default());
         self.allow();
         Ok(())
@@ -148,42 +157,42 @@
         Sample {
             answered: answered.saturating_sub(answered_before) as f64,
             succeeded: tally.succeeded.saturating_sub(satisfied_before) as f64,
-            linked: self.parts.link.is_up(),
+            executor_connected: self.parts.link.is_up(),
         }
     }
 
-    fn say(&self) -> Option<Said> {
+    fn next_message(&self) -> Option<SubscriberMessage> {
         let ask = self.seat.ask()?;
         // Whoever leaves has given up something by saying so.
         if ask.leaving {
             self.allow();
         }
-        Some(Said::Ask(ask))
+        Some(SubscriberMessage::LeaseRequest(ask))
     }
 
-    fn says_at(&self) -> Option<Time> {
+    fn next_message_at(&self) -> Option<Time> {
         Some(self.seat.asks_at(self.parts.rounds.clock.now()))
     }
 
-    fn stirred(&self) -> BoxedLocal<()> {
+    fn message_ready(&self) -> BoxedLocal<()> {
         let seat = self.seat.clone();
         async move { seat.stirred().await }.boxed_local()
     }
 
-    fn connected(&self) {
+    fn on_connected(&self) {
         self.seat.connected();
     }
 
-    fn heard(&self, published: &Published) {
+    fn on_message(&self, published: &PublisherMessage) {
         match published {
-            Published::Grant(grant) => {
+            PublisherMessage::LeaseGrant(grant) => {
                 if self.seat.granted(grant) {
                     self.allow();
                 } else {
                     tracing::debug!(count = grant.count, "an answer about budgets that is not the latest");
                 }
             }
-            Published::Nudge => self.seat.nudged(),
+            PublisherMessage::RequestLeases => self.seat.nudged(),
             _ => {}
         }
     }
@@ -247,11 +256,13 @@
     pub fn run(self) -> Result<String, String> {
         let (control, word, what) = match self {
             Asked::Found { documents, site, listen, lost } => {
-                return keeping::found(&documents, &site, listen, lost).map(|told| format!("{told}\n"));
+                let created = lessor_service::create_store(&documents, &site, listen, lost);
+                return created.map(|told| format!("{told}\n")).map_err(|error| error.to_string());
             }
             Asked::Word(control, word, what) => (control, word, what),
         };
-        let answer = service::word(control, word, WORD_WITHIN)?;
+        let answer = control_service::send_budget_command(control, word, WORD_WITHIN)
+            .map_err(|error| error.to_string())?;
         Ok(match what.as_str() {
             "show" => shown(&answer),
             "metrics" => rendered(&answer),
--- a/crates/hazelgrade-server/src/program/command.rs
+++ b/crates/hazelgrade-server/src/program/command.rs
@@ -4,8 +4,8 @@
 use super::{budgets, configuration, control, identity, keys, logging, serve};
 use hazelgrade_config::{Operator, fault};
 use hazelgrade_settings::Site;
-use hazelgrade_stream::keeping;
-use hazelgrade_stream::service::Setup;
+use hazelgrade_stream::control_service::{AdmissionRate, ControlServiceConfig};
+use hazelgrade_stream::lessor_service::LessorConfig;
 use pico_args::Arguments;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -193,20 +193,20 @@
     names.join(", ")
 }
 
-fn setup(arguments: &mut Arguments) -> Result<Setup, pico_args::Error> {
+fn setup(arguments: &mut Arguments) -> Result<ControlServiceConfig, pico_args::Error> {
     /// A fleet of a thousand is back within seconds, at a pace that one core publishes to with room.
     const ADMITTED: f64 = 200.0;
     let rate: f64 = arguments.opt_value_from_str("--admit")?.unwrap_or(ADMITTED);
-    Ok(Setup {
+    Ok(ControlServiceConfig {
         documents: arguments.value_from_str("--documents")?,
         listen: arguments.value_from_str("--listen")?,
         lineage: arguments.opt_value_from_str("--lineage")?,
-        keeper: keeper(arguments)?,
-        admitted: (rate, rate / 4.0),
+        lessor: keeper(arguments)?,
+        admission: AdmissionRate { per_second: rate, burst: rate / 4.0 },
     })
 }
 
-fn keeper(arguments: &mut Arguments) -> Result<Option<keeping::Setup>, pico_args::Error> {
+fn keeper(arguments: &mut Arguments) -> Result<Option<LessorConfig>, pico_args::Error> {
     let Some(site) = arguments.opt_value_from_str("--keeper")? else { return Ok(None) };
     let peers = arguments.values_from_fn("--peer", |word: &str| {
         let (site, address) = word.split_once('=').ok_or("expected SITE=ADDRESS".to_owned())?;
@@ -214,7 +214,7 @@
         Ok::<_, String>((site.to_owned(), address))
     })?;
     let dies_at = arguments.opt_value_from_str("--keeper-dies-at-for-tests-only")?;
-    Ok(Some(keeping::Setup { site, peers, dies_at }))
+    Ok(Some(LessorConfig { site, peers, dies_at }))
 }
 
 /// Files beside the configuration.
--- a/crates/hazelgrade-server/src/program/control.rs
+++ b/crates/hazelgrade-server/src/program/control.rs
@@ -4,7 +4,7 @@
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 use futures_lite::future::or;
-use hazelgrade_stream::service::{self, Setup};
+use hazelgrade_stream::control_service::{self, ControlServiceConfig};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,11 +13,12 @@
 const STATUS_WITHIN: Duration = Duration::from_secs(5);
 
 /// Serves until SIGTERM. Nodes go on by what they have when it ends.
-pub fn serve(setup: Setup) -> Result<(), String> {
+pub fn serve(setup: ControlServiceConfig) -> Result<(), String> {
     let signals = Signals::new([Signal::Term, Signal::Int]);
     let mut signals = signals.map_err(|error| format!("signals: {error}"))?;
     let tasks = Rc::new(LocalExecutor::new());
-    let serving = service::serve(tasks.clone(), setup, super::budgets::watch());
+    let serving = control_service::serve(tasks.clone(), setup, super::budgets::watch());
+    let serving = async { serving.await.map_err(|error| error.to_string()) };
     let ended = async {
         signals.next().await;
         Ok(())
@@ -27,7 +28,8 @@
 
 /// A table of the nodes that a control service knows.
 pub fn status(control: SocketAddr) -> Result<String, String> {
-    let report = service::status(control, STATUS_WITHIN)?;
+    let report =
+        control_service::request_status(control, STATUS_WITHIN).map_err(|error| error.to_string())?;
     let word = |value: &Value| value.as_str().unwrap_or("-").to_owned();
     let mut text = format!("lineage {}, version {}\n", word(&report["lineage"]), word(&report["version"]));
     if let Some(fault) = report["folder"].as_str() {
--- a/crates/hazelgrade-server/src/program/identity.rs
+++ b/crates/hazelgrade-server/src/program/identity.rs
@@ -13,9 +13,9 @@
 use hazelgrade_net::bell::Bell;
 use hazelgrade_store::Store;
 use hazelgrade_stream::backoff::Backoff;
-use hazelgrade_stream::follow::{Follow, Host};
-use hazelgrade_stream::kept::{self, Kept};
-use hazelgrade_stream::subscriber::{Action, Start, Subscriber};
+use hazelgrade_stream::client::{Host, SubscriberClient};
+use hazelgrade_stream::stored::{self, StoredState};
+use hazelgrade_stream::subscriber::{Action, Subscriber, SubscriberConfig};
 use hazelgrade_stream::trial::Sample;
 use std::cell::Cell;
 use std::path::Path;
@@ -60,7 +60,7 @@
     }
 }
 
-pub type Following = (Follow<Node>, Subscriber, Vec<Action>);
+pub type Following = (SubscriberClient<Node>, Subscriber, Vec<Action>);
 
 /// Switches identities on: from the file at once, and from the control services if they are streamed.
 pub fn start(
@@ -84,32 +84,37 @@
     let store = kit.store.clone();
     let kept = store.as_ref().ok().and_then(|store| {
         let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
-        store.get(kept::name(Kind::Identity)).ok().flatten()
+        store.get(stored::store_key(Kind::Identity)).ok().flatten()
     });
-    let kept = match kept.as_deref().map(|kept| Kept::decode(Kind::Identity, kept)).transpose() {
+    let kept = match kept.as_deref().map(|kept| StoredState::decode(Kind::Identity, kept)).transpose() {
         Ok(kept) => kept.unwrap_or_default(),
         Err(why) => {
-            tracing::error!(why, "the identities that were kept can't be read");
-            Kept::default()
+            tracing::error!(%why, "the identities that were kept can't be read");
+            StoredState::default()
         }
     };
-    let start = Start {
+    let start = SubscriberConfig {
         kind: Kind::Identity,
         node: deployment.name.clone(),
         program: env!("CARGO_PKG_VERSION").into(),
         lineage: streamed.lineage.clone(),
-        rules: identified.trial,
-        controls: streamed.control.len(),
-        chance: MultiplyWithCarry::new(deployment.seed.rotate_left(16)),
+        trial_rules: identified.trial,
+        control_services: streamed.control.len(),
+        random: MultiplyWithCarry::new(deployment.seed.rotate_left(16)),
         backoff: Backoff::default(),
-        kept,
-        file,
+        stored: kept,
+        local_document: file,
     };
     let mut first = Vec::new();
     let subscriber = Subscriber::start(parts.rounds.clock.now(), start, &mut first);
     let host = Rc::new(Node { parts: parts.clone(), store, told: Cell::default() });
     let (controls, tasks) = (streamed.control.clone(), Rc::default());
-    let follow = Follow { host, controls, tasks, leaving: Rc::new(Bell::default()) };
+    let follow = SubscriberClient {
+        host,
+        control_services: controls,
+        executor: tasks,
+        drain_started: Rc::new(Bell::default()),
+    };
     Ok(Some((follow, subscriber, first)))
 }
 
@@ -125,13 +130,13 @@
         self.parts.rounds.clock.now()
     }
 
-    fn keep(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
+    fn store(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
         let store = self.store.clone();
         async move {
             let store = store?;
             blocking::unblock(move || {
                 let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
-                let kept = store.keep(&[(kept::name(Kind::Identity), Some(&bytes))]);
+                let kept = store.keep(&[(stored::store_key(Kind::Identity), Some(&bytes))]);
                 kept.map_err(|fault| fault.to_string())
             })
             .await
@@ -139,7 +144,7 @@
         .boxed_local()
     }
 
-    fn take_effect(&self, document: Option<&Document>, back: bool) -> Result<(), String> {
+    fn apply(&self, document: Option<&Document>, back: bool) -> Result<(), String> {
         match document {
             Some(document) => take(document, &self.parts, back),
             None => {
@@ -157,6 +162,6 @@
         let (done_before, unverified_before) = self.told.replace((done, tally.unverified));
         let done = done.saturating_sub(done_before) as f64;
         let unverified = tally.unverified.saturating_sub(unverified_before) as f64;
-        Sample { answered: done + unverified, succeeded: done, linked: true }
+        Sample { answered: done + unverified, succeeded: done, executor_connected: true }
     }
 }
--- a/crates/hazelgrade-server/src/program/serve.rs
+++ b/crates/hazelgrade-server/src/program/serve.rs
@@ -27,7 +27,7 @@
 use futures_lite::future::{BoxedLocal, or, poll_once};
 use hazelgrade_config::Operator;
 use hazelgrade_net::bell::Bell;
-use hazelgrade_stream::follow::Follow;
+use hazelgrade_stream::client::SubscriberClient;
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener};
@@ -141,7 +141,7 @@
         let known = identity::start(&identified, streamed.as_ref(), kit.as_ref(), &deployment, &parts)?;
         if let Some((follow, subscriber, first)) = known {
             let (tasks, leaving) = (tasks.clone(), identity_left.clone());
-            let follow = Follow { tasks, leaving, ..follow };
+            let follow = SubscriberClient { executor: tasks, drain_started: leaving, ..follow };
             start(Box::pin(async move { follow.run(subscriber, first).await }));
         }
         identity_file.replace(identified.document.filter(|_| !identified.streamed));
@@ -153,7 +153,7 @@
         let rate = for_tests.map_or(1.0, |for_tests| for_tests.clock_rate);
         let (follow, subscriber, first) = budgets::start(budgeted, streamed, kit, &deployment, &parts, rate)?;
         let (tasks, leaving) = (tasks.clone(), budgets_left.clone());
-        let follow = Follow { tasks, leaving, ..follow };
+        let follow = SubscriberClient { executor: tasks, drain_started: leaving, ..follow };
         start(Box::pin(async move { follow.run(subscriber, first).await }));
     }
     if let Some((kit, streamed)) = kit.zip(streamed) {
@@ -169,7 +169,12 @@
         };
         let (subscriber, first, node) = kit.start(&streamed, &deployment, surroundings);
         let (host, controls) = (Rc::new(node), streamed.control);
-        let follow = Follow { host, controls, tasks: tasks.clone(), leaving: left.clone() };
+        let follow = SubscriberClient {
+            host,
+            control_services: controls,
+            executor: tasks.clone(),
+            drain_started: left.clone(),
+        };
         start(Box::pin(async move { follow.run(subscriber, first).await }));
     }
     let (for_link, for_rounds) = (tasks.clone(), rounds.clone());
--- a/crates/hazelgrade-server/src/program/streaming.rs
+++ b/crates/hazelgrade-server/src/program/streaming.rs
@@ -15,9 +15,9 @@
 use hazelgrade_settings::{Named, Site};
 use hazelgrade_store::{Fault, Store};
 use hazelgrade_stream::backoff::Backoff;
-use hazelgrade_stream::follow::Host;
-use hazelgrade_stream::kept::{self, Kept};
-use hazelgrade_stream::subscriber::{Action, Start, Subscriber};
+use hazelgrade_stream::client::Host;
+use hazelgrade_stream::stored::{self, StoredState};
+use hazelgrade_stream::subscriber::{Action, Subscriber, SubscriberConfig};
 use hazelgrade_stream::trial::Sample;
 use std::cell::{Cell, RefCell};
 use std::path::Path;
@@ -36,7 +36,7 @@
 /// What a node has to start from.
 pub struct Kit {
     pub store: Result<Arc<Mutex<Store>>, String>,
-    kept: Kept,
+    kept: StoredState,
     /// What was kept, if it can't be read.
     unread: Option<Vec<u8>>,
     file: Option<Document>,
@@ -56,18 +56,18 @@
     pub fn open(streamed: &Streamed, owner: &str, dies_at: Option<u64>) -> Result<Kit, String> {
         let shown = streamed.store.display();
         let file = streamed.document.as_deref().map(read_document).transpose()?;
-        let mut kit = Kit { store: Err(String::new()), kept: Kept::default(), unread: None, file };
+        let mut kit = Kit { store: Err(String::new()), kept: StoredState::default(), unread: None, file };
         let opened = match dies_at {
             None => Store::open(&streamed.store, owner),
             Some(dies_at) => Store::open_dying(&streamed.store, owner, dies_at),
         };
         let opened = opened.and_then(|mut store| {
-            let kept = store.get(kept::name(Kind::Serving))?;
+            let kept = store.get(stored::store_key(Kind::Serving))?;
             Ok((store, kept))
         });
         match opened {
             Ok((store, kept)) => {
-                match kept.as_deref().map(|kept| Kept::decode(Kind::Serving, kept)).transpose() {
+                match kept.as_deref().map(|kept| StoredState::decode(Kind::Serving, kept)).transpose() {
                     Ok(kept) => kit.kept = kept.unwrap_or_default(),
                     Err(why) => {
                         tracing::error!("field stream.store: {shown}: what was kept can't be read, {why}");
@@ -89,7 +89,7 @@
 
     /// What a start takes in of the document that it serves by: descriptors, and memory in MB.
     pub fn limits(&self) -> (Option<f64>, Option<f64>) {
-        let good = self.kept.good.as_ref().map(|good| &good.document);
+        let good = self.kept.last_good.as_ref().map(|good| &good.document);
         good.or(self.file.as_ref()).map_or((None, None), Document::limits)
     }
 
@@ -101,17 +101,17 @@
         surroundings: Surroundings,
     ) -> (Subscriber, Vec<Action>, Node) {
         let Kit { store, kept, unread, file } = self;
-        let start = Start {
+        let start = SubscriberConfig {
             kind: Kind::Serving,
             node: deployment.name.clone(),
             program: env!("CARGO_PKG_VERSION").into(),
             lineage: streamed.lineage.clone(),
-            rules: streamed.trial,
-            controls: streamed.control.len(),
-            chance: MultiplyWithCarry::new(deployment.seed.rotate_left(32)),
+            trial_rules: streamed.trial,
+            control_services: streamed.control.len(),
+            random: MultiplyWithCarry::new(deployment.seed.rotate_left(32)),
             backoff: Backoff::default(),
-            kept,
-            file,
+            stored: kept,
+            local_document: file,
         };
         // Until what there is to serve by has taken effect.
         surroundings.parts.rounds.set_ready(false);
@@ -261,13 +261,13 @@
         self.surroundings.parts.rounds.clock.now()
     }
 
-    fn keep(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
+    fn store(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
         let (store, aside) = (self.store.clone(), self.unread.clone());
         async move {
             let (store, unread) = (store?, aside.borrow().clone());
             let kept = blocking::unblock(move || {
                 let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
-                let mut changes = vec![(kept::name(Kind::Serving), Some(bytes.as_slice()))];
+                let mut changes = vec![(stored::store_key(Kind::Serving), Some(bytes.as_slice()))];
                 changes.extend(unread.as_deref().map(|unread| (UNREAD, Some(unread))));
                 store.keep(&changes).map_err(|fault| fault.to_string())
             })
@@ -280,7 +280,7 @@
         .boxed_local()
     }
 
-    fn take_effect(&self, document: Option<&Document>, _back: bool) -> Result<(), String> {
+    fn apply(&self, document: Option<&Document>, _back: bool) -> Result<(), String> {
         self.serve_by(document)
     }
 
@@ -292,7 +292,7 @@
         Sample {
             answered: answered.saturating_sub(answered_before) as f64,
             succeeded: tally.succeeded.saturating_sub(satisfied_before) as f64,
-            linked: parts.link.is_up(),
+            executor_connected: parts.link.is_up(),
         }
     }
 }
--- a/crates/hazelgrade-server/tests/identity/main.rs
+++ b/crates/hazelgrade-server/tests/identity/main.rs
@@ -10,7 +10,7 @@
 use hazelgrade_fakes::node::{Node, Plan};
 use hazelgrade_fakes::world::{World, callers_with};
 use hazelgrade_fakes::{comes_true, free_address, rules, unix_ms};
-use hazelgrade_stream::service;
+use hazelgrade_stream::control_service;
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -56,7 +56,8 @@
         let (documents, private) =
             (world.folder.path().join("documents"), world.folder.path().join("private"));
         std::fs::create_dir(&documents).expect("a folder");
-        std::fs::write(documents.join(service::DOCUMENT), serving().to_toml()).expect("a file");
+        std::fs::write(documents.join(control_service::SERVING_DOCUMENT_FILE), serving().to_toml())
+            .expect("a file");
         let set = documents.join("identity.toml");
         std::fs::write(&set, CALLERS).expect("a file");
         keys(&["new"], &set, &private);
@@ -191,7 +192,8 @@
     let file = setting.set();
     setting.world.executor.change(Work { takes: Duration::from_millis(2500), ..QUICK });
     let patient = document(&[("read", 6000, 8000, 1)], 2, "").expect("it is right");
-    std::fs::write(setting.documents.join(service::DOCUMENT), patient.to_toml()).expect("a file");
+    std::fs::write(setting.documents.join(control_service::SERVING_DOCUMENT_FILE), patient.to_toml())
+        .expect("a file");
     let node = setting.node(&format!("[identity]\ndocument = {file:?}\n"));
     let mut peer = Peer::of(&node);
     let token = setting.token("front", "2");
--- a/crates/hazelgrade-server/tests/streaming/control.rs
+++ b/crates/hazelgrade-server/tests/streaming/control.rs
@@ -4,7 +4,7 @@
 use hazelgrade_fakes::comes_true;
 use hazelgrade_fakes::documents::{BOOK, READ};
 use hazelgrade_fakes::service::Service;
-use hazelgrade_stream::service;
+use hazelgrade_stream::control_service;
 use std::path::Path;
 use std::process::Command;
 
@@ -36,8 +36,11 @@
     assert!(node.becomes(true));
     publish(&service, &doc(&[READ, BOOK], ""));
     assert!(node_stands(&service, "good", 2), "{}", service.status());
-    std::fs::write(service.documents.path().join(service::DOCUMENT), "[use_case.read]\ngoal_ms = \"x\"\n")
-        .expect("a file");
+    std::fs::write(
+        service.documents.path().join(control_service::SERVING_DOCUMENT_FILE),
+        "[use_case.read]\ngoal_ms = \"x\"\n",
+    )
+    .expect("a file");
     assert!(comes_true(Duration::from_secs(5), || {
         service.status()["folder"]
             .as_str()
@@ -68,7 +71,8 @@
     service.start_again().expect("it starts");
     assert!(node_stands(&service, "good", 3), "the same version: {}", service.status());
     service.kill();
-    std::fs::remove_file(service.documents.path().join(service::COUNTER)).expect("a file");
+    std::fs::remove_file(service.documents.path().join(control_service::SERVING_COUNTER_FILE))
+        .expect("a file");
     publish(&service, &doc(&[READ, BOOK], ""));
     service.start_again().expect("it starts");
     assert!(node_stands(&service, "good", 4), "past what the node knows: {}", service.status());
@@ -117,7 +121,7 @@
         })
     };
     assert!(published(&of(999)));
-    let at = service.documents.path().join(service::DOCUMENT);
+    let at = service.documents.path().join(control_service::SERVING_DOCUMENT_FILE);
     for count in 0..60 {
         // In place, as some editors write: the same file, of the same length.
         std::fs::write(&at, of(200 + 2 * count).to_toml()).expect("a file");
--- a/crates/hazelgrade-server/tests/streaming/main.rs
+++ b/crates/hazelgrade-server/tests/streaming/main.rs
@@ -12,7 +12,7 @@
 use hazelgrade_fakes::node::{Node, Plan};
 use hazelgrade_fakes::registry::Registry;
 use hazelgrade_fakes::{free_address, world};
-use hazelgrade_stream::protocol::{Refusal, Said};
+use hazelgrade_stream::protocol::{Rejection, SubscriberMessage};
 use std::path::Path;
 use std::time::Duration;
 
@@ -51,7 +51,7 @@
     /// The next subscriber, and the version that it has.
     fn subscriber(&self) -> (Subscriber, Option<Version>) {
         let subscriber = self.control.subscriber().expect("a subscriber in time");
-        let Said::Subscribe { have, .. } = subscriber.subscribed.clone() else {
+        let SubscriberMessage::Subscribe { in_effect: have, .. } = subscriber.subscribed.clone() else {
             panic!("{:?}", subscriber.subscribed)
         };
         (subscriber, have)
@@ -66,24 +66,24 @@
     document(cases, 1, rest).expect("it is right")
 }
 
-fn acknowledged(said: Option<Said>) -> Version {
+fn acknowledged(said: Option<SubscriberMessage>) -> Version {
     match said {
-        Some(Said::Acknowledged { version, .. }) => version,
+        Some(SubscriberMessage::Acknowledged { version, .. }) => version,
         said => panic!("not acknowledged: {said:?}"),
     }
 }
 
-fn turned_down(said: Option<Said>) -> Refusal {
+fn turned_down(said: Option<SubscriberMessage>) -> Rejection {
     match said {
-        Some(Said::TurnedDown { refusal, .. }) => refusal,
+        Some(SubscriberMessage::Rejected { rejection: refusal, .. }) => refusal,
         said => panic!("not turned down: {said:?}"),
     }
 }
 
 /// How a trial ended: nothing if the version stays.
-fn settled(said: Option<Said>) -> Option<String> {
+fn settled(said: Option<SubscriberMessage>) -> Option<String> {
     match said {
-        Some(Said::Settled { failed, .. }) => failed,
+        Some(SubscriberMessage::TrialEnded { failure, .. }) => failure,
         said => panic!("not settled: {said:?}"),
     }
 }
--- a/crates/hazelgrade-server/tests/streaming/node.rs
+++ b/crates/hazelgrade-server/tests/streaming/node.rs
@@ -70,21 +70,21 @@
     assert_eq!(settled(subscriber.hear()), None);
     // Out of order, and the same number with something else.
     subscriber.offer_whole(4, &third);
-    assert_eq!(turned_down(subscriber.hear()), Refusal::Behind { known: version(5, &second) });
+    assert_eq!(turned_down(subscriber.hear()), Rejection::Outdated { known: version(5, &second) });
     subscriber.offer_whole(5, &third);
-    assert_eq!(turned_down(subscriber.hear()), Refusal::Conflict { known: version(5, &second) });
+    assert_eq!(turned_down(subscriber.hear()), Rejection::Conflict { known: version(5, &second) });
     // Against a version that the node doesn't have, and with a digest that isn't the contents'.
     subscriber.offer_change(6, (3, &third), &first);
-    assert_eq!(turned_down(subscriber.hear()), Refusal::UnknownBase);
-    subscriber.offer(version(6, &third), Content::Whole(first.to_toml()));
-    assert_eq!(turned_down(subscriber.hear()), Refusal::WrongDigest);
+    assert_eq!(turned_down(subscriber.hear()), Rejection::UnknownBase);
+    subscriber.offer(version(6, &third), Content::Full(first.to_toml()));
+    assert_eq!(turned_down(subscriber.hear()), Rejection::DigestMismatch);
     // Of somebody else.
-    subscriber.offer_of("other", version(9, &third), Content::Whole(third.to_toml()));
-    assert_eq!(turned_down(subscriber.hear()), Refusal::OtherLineage { own: "test".into() });
+    subscriber.offer_of("other", version(9, &third), Content::Full(third.to_toml()));
+    assert_eq!(turned_down(subscriber.hear()), Rejection::OtherLineage { own: "test".into() });
     // Wrong in itself: file, line, column and field are named.
     let wrong = "[use_case.read]\ngoal_ms = 5\ncut_off_ms = \"soon\"\n";
-    subscriber.offer(version(6, &third), Content::Whole(wrong.into()));
-    let Refusal::Malformed(why) = turned_down(subscriber.hear()) else { panic!("not malformed") };
+    subscriber.offer(version(6, &third), Content::Full(wrong.into()));
+    let Rejection::Invalid(why) = turned_down(subscriber.hear()) else { panic!("not malformed") };
     assert!(why.contains(":3:1: field use_case.read.cut_off_ms: expected a number"), "{why}");
     // After all that it serves by what it had.
     let callers = world.callers(&node, 100.0, &["read", "book"]);
@@ -107,10 +107,10 @@
     assert_eq!(subscriber.hear(), None);
     let (mut subscriber, have) = world.subscriber();
     assert_eq!(have.map(|have| have.number), Some(1));
-    subscriber.offer(version(2, &doc(&[BOOK], "")), Content::Whole("[use_case".into()));
-    assert_eq!(turned_down(subscriber.hear()), Refusal::Leaving);
+    subscriber.offer(version(2, &doc(&[BOOK], "")), Content::Full("[use_case".into()));
+    assert_eq!(turned_down(subscriber.hear()), Rejection::Draining);
     subscriber.offer_whole(3, &doc(&[BOOK], ""));
-    assert_eq!(turned_down(subscriber.hear()), Refusal::Leaving);
+    assert_eq!(turned_down(subscriber.hear()), Rejection::Draining);
     let (told, twice) = callers.stop();
     assert_eq!(node.ended().and_then(|status| status.code()), Some(0));
     let verdict = rules::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
@@ -170,7 +170,7 @@
     let why = settled(subscriber.hear()).expect("it goes back");
     assert!(why.contains("of 100 jobs were satisfied"), "{why}");
     subscriber.offer_whole(2, &hasty);
-    assert!(matches!(turned_down(subscriber.hear()), Refusal::Failed(_)));
+    assert!(matches!(turned_down(subscriber.hear()), Rejection::FailedTrial(_)));
     let back = Instant::now();
     let so = comes_true(Duration::from_secs(5), || {
         let since: Vec<Fate> =
@@ -201,9 +201,9 @@
         assert!(node.becomes(true));
     }
     subscriber.offer_whole(2, &deadly);
-    assert_eq!(turned_down(subscriber.hear()), Refusal::Suspect);
+    assert_eq!(turned_down(subscriber.hear()), Rejection::CrashedOnTrial);
     subscriber.offer_whole(3, &deadly);
-    assert_eq!(turned_down(subscriber.hear()), Refusal::Suspect);
+    assert_eq!(turned_down(subscriber.hear()), Rejection::CrashedOnTrial);
 }
 
 #[test]
@@ -270,13 +270,13 @@
     while let Some(said) = subscriber.hear() {
         let (good, other) = hearing.get();
         match said {
-            Said::Settled { failed: None, version } => {
+            SubscriberMessage::TrialEnded { failure: None, version } => {
                 hearing.set((good + 1, other));
                 if version.number == 61 {
                     break;
                 }
             }
-            Said::Settled { failed: Some(why), .. } => panic!("{why}"),
+            SubscriberMessage::TrialEnded { failure: Some(why), .. } => panic!("{why}"),
             _ => hearing.set((good, other + 1)),
         }
     }
@@ -309,7 +309,7 @@
     assert_eq!(have, None);
     assert!(node.becomes(true), "by its file");
     subscriber.offer_whole(1, &doc(&[BOOK], ""));
-    let Refusal::NotKept(why) = turned_down(subscriber.hear()) else { panic!("it took it") };
+    let Rejection::NotStored(why) = turned_down(subscriber.hear()) else { panic!("it took it") };
     assert!(why.contains("newer program"), "{why}");
     node.kill();
     let newer = redb::Database::create(node.plan.store()).expect("still a store");
@@ -334,7 +334,7 @@
     let strange: &[u8] = b"{\"good\": {\"text\": \"of another age\"}}";
     let open = || hazelgrade_store::Store::open(&plan.store(), "n1").expect("a store");
     open()
-        .keep(&[(hazelgrade_stream::kept::name(hazelgrade_config::Kind::Serving), Some(strange))])
+        .keep(&[(hazelgrade_stream::stored::store_key(hazelgrade_config::Kind::Serving), Some(strange))])
         .expect("it is kept");
     let mut node = plan.start().expect("it starts");
     assert!(node.becomes(true), "by its file");
@@ -376,7 +376,7 @@
     assert_eq!(have, Some(version(1, &small)));
     let large = document(&[READ, BOOK], 3000, "").expect("it is right");
     subscriber.offer_whole(2, &large);
-    let Refusal::NotKept(why) = turned_down(subscriber.hear()) else { panic!("it took it") };
+    let Rejection::NotStored(why) = turned_down(subscriber.hear()) else { panic!("it took it") };
     assert!(why.contains("full"), "{why}");
     assert!(node.becomes(true));
     // What fits is taken again.
@@ -390,7 +390,9 @@
     let (mut subscriber, _) = world.subscriber();
     made_good(&mut subscriber, 1, &doc(&[READ], ""));
     subscriber.offer_whole(2, &doc(&[READ], "[limits]\nsockets = 64\n"));
-    let Some(Said::Acknowledged { staged, .. }) = subscriber.hear() else { panic!("not acknowledged") };
+    let Some(SubscriberMessage::Acknowledged { staged, .. }) = subscriber.hear() else {
+        panic!("not acknowledged")
+    };
     assert_eq!(staged, ["limits.sockets"]);
     assert_eq!(settled(subscriber.hear()), None);
     world.executor.restart();
