--- a/crates/hazelgrade-stream/tests/deaths.rs
+++ b/crates/hazelgrade-stream/tests/deaths.rs
@@ -1,4 +1,4 @@
-//! A node that dies at each single write of its store, and starts again from what the disk has then.
+//! A node that crashes at each single write of its store, and starts again from what the disk has then.
 
 mod common;
 
@@ -12,11 +12,11 @@
 use hazelgrade_stream::stored::{self, StoredState};
 use hazelgrade_stream::subscriber::{Action, Event, InEffect, Subscriber};
 
-/// What the node said before it died.
+/// What the node reported before it crashed.
 #[derive(Default)]
 struct Run {
     good: Vec<Version>,
-    /// StoredState as on trial when it died, as far as the store said.
+    /// In effect, on trial.
     acknowledged: Vec<Version>,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl World {
-    /// `None` once the disk is dead.
+    /// None once the disk is dead.
     fn start(disk: &Disk) -> Option<World> {
         let storage = disk.clone();
         let mut store = Store::open_on(move || storage.clone(), "n").ok()?;
@@ -39,17 +39,17 @@
         let now = at(1_000_000.0);
         let (node, first) = start(now, stored, Some(document(0)));
         let mut world = World { node, store, now, run: Run::default() };
-        world.carry_out(first, disk)?;
+        world.perform(first, disk)?;
         world.tell(Event::Connected, disk)?;
         Some(world)
     }
 
     fn tell(&mut self, event: Event, disk: &Disk) -> Option<()> {
         let actions = handle(&mut self.node, self.now, event);
-        self.carry_out(actions, disk)
+        self.perform(actions, disk)
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>, disk: &Disk) -> Option<()> {
+    fn perform(&mut self, actions: Vec<Action>, disk: &Disk) -> Option<()> {
         for action in actions {
             match action {
                 Action::Store { ticket, state } => {
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn wherever_it_dies_it_starts_by_the_last_good_version_and_knows_what_was_on_trial() {
+fn after_a_crash_at_any_write_a_node_starts_by_its_last_good_version() {
     let made = Disk::default();
     drop(World::start(&made).expect("a new disk"));
     let whole_run = made.after_crash(|| 1.0);
@@ -116,12 +116,12 @@
                 None => Run::default(),
             };
             kills += 1;
-            // Seed 0 loses all that was not synced, seed 1 nothing, the others as chance has it.
-            let mut chance = MultiplyWithCarry::new(seed * 1000 + dies_at);
+            // Seed 0 loses all that was not synced, seed 1 nothing, the others at random.
+            let mut random = MultiplyWithCarry::new(seed * 1000 + dies_at);
             let after = disk.after_crash(|| match seed {
                 0 => 0.0,
                 1 => 1.0,
-                _ => chance.next_f64(),
+                _ => random.next_f64(),
             });
             let world =
                 World::start(&after).unwrap_or_else(|| panic!("no start after death at {dies_at}, {seed}"));
@@ -129,7 +129,7 @@
             match (world.node.in_effect(), run.good.last()) {
                 (InEffect::LocalDocument, None) => {}
                 (InEffect::Good(version), last) => {
-                    // It may have died between keeping it and saying so.
+                    // It may have crashed between storing it and reporting it.
                     let least = last.map_or(0, |last| place(*last).expect("one of them") + 1);
                     let now = place(version).expect("a good version") + 1;
                     assert!(
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_write_that_fails_at_any_point_turns_the_version_down_or_is_made_up_for() {
+fn a_failed_write_rejects_the_version_or_is_retried() {
     let writes = {
         let disk = Disk::default();
         let mut world = World::start(&disk).expect("a new disk");
@@ -158,14 +158,14 @@
         let Some(mut world) = World::start(&disk) else { panic!("a new disk") };
         disk.plan(Plan { fails_at: Some(fails_at), ..Plan::default() });
         world.play(&disk).expect("nothing dies");
-        // After a pause what could not be kept is kept.
+        // After the delay the write is retried.
         world.now = world.now + Span::from_ms(60_000.0);
         world.tell(Event::TimerFired, &disk).expect("nothing dies");
         let (serving, good) = (world.node.in_effect(), world.run.good.clone());
         drop(world);
         let again = World::start(&disk.after_crash(|| 1.0)).expect("a start");
         if let Some(last) = good.last() {
-            // What was kept late may not have been said.
+            // What was stored late may not have been reported.
             let InEffect::Good(found) = again.node.in_effect() else {
                 panic!("{fails_at}: {:?}", again.node.in_effect())
             };
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn on_a_disk_that_fills_up_the_last_good_version_stays() {
+fn a_full_disk_leaves_the_last_good_version() {
     for full_at in 0..60 {
         let disk = Disk::default();
         let Some(mut world) = World::start(&disk) else { panic!("a new disk") };
--- a/crates/hazelgrade-stream/tests/histories.rs
+++ b/crates/hazelgrade-stream/tests/histories.rs
@@ -14,7 +14,7 @@
 /// What happens to a node.
 #[derive(Clone, Debug)]
 enum Step {
-    /// A version of this number that says this, announced as saying that.
+    /// A version of this number with this document, announced with the digest of that one.
     Offer {
         number: u64,
         says: u64,
@@ -38,11 +38,11 @@
     LinkBreaks,
     /// The next write fails.
     DiskFails,
-    /// What is offered next can't be served here.
+    /// The next document can't be applied on this node.
     NotApplicable,
-    Dies,
-    /// Told to leave, and started again.
-    Leaves,
+    Crashes,
+    /// Drains, and starts again.
+    Drains,
 }
 
 impl Arbitrary for Step {
@@ -66,27 +66,27 @@
                     Step::NotApplicable
                 }
             }
-            18 => Step::Dies,
-            _ => Step::Leaves,
+            18 => Step::Crashes,
+            _ => Step::Drains,
         }
     }
 }
 
-/// The plain model: what the node said decides what it may serve.
+/// The reference model: what the node reported decides what it may serve.
 #[derive(Default)]
 struct Plain {
     disk: StoredState,
-    /// SubscriberMessage to be good, ever.
+    /// Ever reported as good.
     good: BTreeSet<Version>,
     acknowledged: BTreeSet<Version>,
-    /// Acknowledged, and not yet said to be good or bad.
+    /// Acknowledged, its trial not yet ended.
     trying: Option<Version>,
-    /// The last that was said to be good.
+    /// The last that was reported as good.
     last: Option<Version>,
     deaths: Vec<(Version, u32)>,
 }
 
-fn document_of_the_file() -> hazelgrade_config::Digest {
+fn local_document_digest() -> hazelgrade_config::Digest {
     document(0).digest()
 }
 
@@ -122,12 +122,12 @@
             todo: VecDeque::new(),
             busy: false,
         };
-        world.carry_out(first);
+        world.perform(first);
         world
     }
 
-    /// Does what the node wants, and all that follows, writes included, before anything else happens.
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    /// Performs the actions and all that follows, writes included, before anything else happens.
+    fn perform(&mut self, actions: Vec<Action>) {
         self.todo.extend(actions);
         if std::mem::replace(&mut self.busy, true) {
             return;
@@ -155,10 +155,10 @@
                     self.tell(Event::Stored { ticket, result });
                 }
                 Action::Apply { document, .. } => {
-                    // What served before can be gone back to.
+                    // What was in effect before can always be applied.
                     let good = self.plain.disk.last_good.as_ref().map(|good| good.version.digest);
                     let digest = document.as_ref().map(|document| document.digest());
-                    let before = [good, Some(document_of_the_file())].contains(&digest);
+                    let before = [good, Some(local_document_digest())].contains(&digest);
                     let fails = !before && std::mem::take(&mut self.not_applicable);
                     if !fails {
                         self.effect = document.map(|document| document.digest());
@@ -178,7 +178,7 @@
 
     fn tell(&mut self, event: Event) {
         let actions = handle(&mut self.node, self.now, event);
-        self.carry_out(actions);
+        self.perform(actions);
     }
 
     fn hear(&mut self, said: &SubscriberMessage) {
@@ -204,10 +204,10 @@
         }
     }
 
-    /// Dies, or leaves and ends; what is on the disk is what it starts from.
-    fn starts_again(&mut self, died: bool) {
+    /// Crashes, or drains and stops; then starts from what is on the disk.
+    fn restart(&mut self, crashed: bool) {
         let stored = self.plain.disk.clone();
-        if let Some(version) = self.plain.trying.filter(|_| died) {
+        if let Some(version) = self.plain.trying.filter(|_| crashed) {
             let of = self.plain.deaths.iter_mut().find(|(of, _)| of.digest == version.digest);
             match of {
                 Some((_, count)) => *count += 1,
@@ -218,8 +218,8 @@
         self.up = false;
         let (node, first) = start(self.now, stored, Some(document(0)));
         self.node = node;
-        self.carry_out(first);
-        // A good version that the disk has is served from the first moment on, before any control service is heard.
+        self.perform(first);
+        // A good version that the disk has is served from the first moment on, before any control service is connected.
         let good = self.plain.disk.last_good.as_ref().map(|good: &StoredVersion| good.version);
         assert_eq!(self.node.in_effect(), good.map_or(InEffect::LocalDocument, InEffect::Good));
     }
@@ -241,13 +241,13 @@
                 let content = Content::Full(document(*says).to_toml());
                 self.tell(offer(*number, *announced, LINEAGE, content));
                 if says != announced {
-                    self.nothing_came_of_it(&before, said);
+                    self.assert_rejected(&before, said);
                 }
             }
             Step::Invalid { number } => {
                 let content = Content::Full("[use_case.a]\ngoal_ms = \"soon\"".into());
                 self.tell(offer(*number, 9, LINEAGE, content));
-                self.nothing_came_of_it(&before, said);
+                self.assert_rejected(&before, said);
             }
             Step::Delta { number, base, says } => {
                 let difference = document(*base).fields().difference(document(*says).fields());
@@ -259,7 +259,7 @@
                 if known {
                     let content = Content::Full(document(1).to_toml());
                     self.tell(offer(*number, 1, "other", content));
-                    self.nothing_came_of_it(&before, said);
+                    self.assert_rejected(&before, said);
                 }
             }
             Step::Sampled { well } => {
@@ -278,27 +278,27 @@
             }
             Step::DiskFails => self.disk_fails = true,
             Step::NotApplicable => self.not_applicable = true,
-            Step::Dies => self.starts_again(true),
-            Step::Leaves => {
+            Step::Crashes => self.restart(true),
+            Step::Drains => {
                 self.tell(Event::DrainStarted);
                 let (before, said) = (self.node.in_effect(), self.said.len());
                 self.tell(offer(20, 4, LINEAGE, Content::Full(document(4).to_toml())));
-                self.nothing_came_of_it(&before, said);
+                self.assert_rejected(&before, said);
                 assert!(matches!(
                     self.said.last(),
                     Some(SubscriberMessage::Rejected { rejection: Rejection::Draining, .. })
                 ));
-                // A write that failed is tried again within its pause: the drain lasts longer here.
+                // A write that failed is retried after its delay: the drain lasts longer here.
                 self.now = self.now + Span::from_ms(60_000.0);
                 self.tell(Event::TimerFired);
-                self.starts_again(false);
+                self.restart(false);
             }
         }
         self.check();
     }
 
-    /// What can't be taken is turned down, and what is served stays.
-    fn nothing_came_of_it(&self, before: &InEffect, said: usize) {
+    /// An offer that can't be taken up is rejected, and what is in effect stays.
+    fn assert_rejected(&self, before: &InEffect, said: usize) {
         assert_eq!(self.node.in_effect(), *before);
         let answer =
             self.said[said..].iter().find(|said| !matches!(said, SubscriberMessage::TrialEnded { .. }));
@@ -317,7 +317,7 @@
             InEffect::Nothing => None,
             InEffect::LocalDocument => Some(document(0).digest()),
             InEffect::Good(version) => {
-                // It is stored before it is said, and there may be nobody to say it to.
+                // It is stored before it is reported, and there may be no connection to report it on.
                 let stored = self.plain.disk.last_good.as_ref().is_some_and(|good| good.version == version);
                 let known = stored && self.plain.acknowledged.contains(&version);
                 assert!(known || self.plain.good.contains(&version), "{version} was never good");
@@ -343,7 +343,7 @@
 }
 
 #[test]
-fn at_every_step_a_node_serves_by_its_file_by_what_was_good_or_by_what_it_acknowledged() {
+fn a_node_serves_by_its_local_document_a_good_version_or_one_that_it_acknowledged() {
     fn holds(steps: Vec<Step>) -> bool {
         let mut world = World::new();
         steps.iter().for_each(|step| world.step(step));
@@ -356,7 +356,7 @@
 }
 
 #[test]
-fn of_versions_that_come_during_a_trial_the_latest_waits_and_a_step_back_does_not() {
+fn during_a_trial_the_latest_version_waits_and_the_good_document_rolls_back_at_once() {
     let mut world = World::new();
     let offer = |world: &mut World, number, says| world.step(&Step::Offer { number, says, announced: says });
     offer(&mut world, 1, 1);
@@ -378,7 +378,7 @@
 }
 
 #[test]
-fn a_difference_that_does_not_lead_to_what_was_announced_is_turned_down_as_such() {
+fn a_difference_with_another_digest_than_announced_is_rejected() {
     let mut world = World::new();
     world.step(&Step::Offer { number: 1, says: 1, announced: 1 });
     world.step(&Step::Later);
@@ -394,7 +394,7 @@
 }
 
 #[test]
-fn a_silent_control_service_is_left_for_the_next_and_one_that_asks_for_time_is_given_it() {
+fn a_silent_control_service_is_replaced_by_the_next_and_retry_after_is_respected() {
     let (mut node, first) = start(at(0.0), StoredState::default(), None);
     assert!(first.contains(&Action::Apply { document: None, is_rollback: false }), "nothing to serve by");
     handle(&mut node, at(10.0), Event::Connected);
--- a/crates/hazelgrade-stream/tests/publishing.rs
+++ b/crates/hazelgrade-stream/tests/publishing.rs
@@ -1,4 +1,4 @@
-//! The control service's side: numbers, differences, refusals, who is taken on, and two that disagree.
+//! The publisher: numbers, differences, rejections, admission, and two publishers that disagree.
 
 mod common;
 
@@ -15,7 +15,7 @@
 
 struct Service {
     publisher: Publisher,
-    /// What the folder has of the counter; counting fails while it is broken.
+    /// The stored counter; storing it fails while the disk is broken.
     counter: Counter,
     broken: bool,
     offers: Vec<(u64, Offer)>,
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_version_goes_out_once_whole_to_who_has_nothing_and_as_a_difference_to_who_has_the_one_before() {
+fn a_version_is_offered_once_in_full_or_as_a_difference_against_the_one_before() {
     let mut service = Service::new(None);
     service.tell(Event::DocumentChanged(large(1)));
     service.subscribe(1, None);
@@ -106,7 +106,7 @@
     service.tell(Event::DocumentChanged(large(2)));
     let Content::Delta { base, difference } = &service.last_offer().content else { panic!("a whole one") };
     assert_eq!((*base, difference.count()), (first, 1));
-    // A difference that can't be made is followed by the whole, once.
+    // A difference that can't be applied is followed by the full document, once.
     service.reject(1, Rejection::UnknownBase);
     assert!(matches!(service.last_offer().content, Content::Full(_)));
     service.reject(1, Rejection::Invalid("no".into()));
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_number_is_kept_before_it_is_heard_of_and_stays_with_its_contents_over_restarts() {
+fn a_number_is_stored_before_it_is_offered_and_stays_with_its_document_over_restarts() {
     let mut service = Service::new(None);
     service.subscribe(1, None);
     service.broken = true;
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_publisher_that_lost_its_counter_goes_past_what_nodes_know_but_not_past_another_publisher() {
+fn a_publisher_without_its_counter_goes_past_known_numbers_but_not_past_another_publisher() {
     let known = version(40, 7);
     let mut service = Service::new(None);
     service.tell(Event::DocumentChanged(document(1)));
@@ -143,7 +143,7 @@
     service.reject(1, Rejection::Outdated { known });
     assert_eq!(service.last_offer().version, version(41, 1));
     service.acknowledge(1);
-    // Now a node comes that knows a later one: that is not from here.
+    // Now a node comes that knows a later version: another publisher has published it.
     let other = version(90, 8);
     service.subscribe(2, Some(other));
     let offers = service.offers.len();
@@ -153,16 +153,16 @@
 }
 
 #[test]
-fn a_thousand_that_come_at_once_are_taken_on_at_the_pace_and_come_back_spread_out() {
+fn a_thousand_subscribers_at_once_are_admitted_at_the_rate_and_come_back_spread_out() {
     let mut admission = Admission::new(200.0, 50.0);
-    let mut chance = MultiplyWithCarry::new(3);
+    let mut random = MultiplyWithCarry::new(3);
     let mut due: Vec<(Time, Backoff)> = (0..1000).map(|_| (at(0.0), Backoff::default())).collect();
     let mut taken = Vec::new();
     while let Some(first) = (0..due.len()).min_by_key(|place| due[*place].0) {
         let (now, mut backoff) = due.swap_remove(first);
         match admission.admit(now) {
             Ok(()) => taken.push(now),
-            Err(after) => due.push((now + backoff.next_delay(&mut chance, Some(after)), backoff)),
+            Err(after) => due.push((now + backoff.next_delay(&mut random, Some(after)), backoff)),
         }
     }
     let most = taken
@@ -174,18 +174,18 @@
 }
 
 #[test]
-fn full_jitter_spreads_what_plain_doubling_brings_together() {
+fn full_jitter_spreads_attempts_that_coincide_without_jitter() {
     let peak = |backoff: &dyn Fn() -> Backoff| {
         let attempts = (0..1000).flat_map(|node| {
-            let (mut chance, mut backoff, mut now) = (MultiplyWithCarry::new(node * 7919), backoff(), 0.0);
+            let (mut random, mut backoff, mut now) = (MultiplyWithCarry::new(node * 7919), backoff(), 0.0);
             std::iter::from_fn(move || {
-                now += backoff.next_delay(&mut chance, None).as_ms();
+                now += backoff.next_delay(&mut random, None).as_ms();
                 (now < 30_000.0).then_some((now / 100.0) as usize)
             })
         });
         let mut tenths = vec![0; 301];
         attempts.for_each(|tenth| tenths[tenth] += 1);
-        // The first attempts of all are the break itself.
+        // The first attempts follow the broken connections themselves.
         tenths[4..].iter().copied().max().unwrap_or(0)
     };
     let (jitter, plain) = (peak(&Backoff::default), peak(&Backoff::without_jitter));
@@ -193,12 +193,12 @@
 }
 
 #[test]
-fn a_trial_fails_by_a_fall_past_chance_and_never_by_chance() {
+fn a_trial_fails_by_a_significant_fall_and_never_by_chance() {
     for seed in 0..2000 {
-        let mut chance = MultiplyWithCarry::new(seed * 7919);
-        let (part, jobs) = (0.3 + 0.7 * chance.next_f64(), (200.0 * chance.next_f64()) as u8);
+        let mut random = MultiplyWithCarry::new(seed * 7919);
+        let (part, jobs) = (0.3 + 0.7 * random.next_f64(), (200.0 * random.next_f64()) as u8);
         let mut sample = |part: f64| {
-            let succeeded = (0..jobs).filter(|_| chance.next_f64() < part).count() as f64;
+            let succeeded = (0..jobs).filter(|_| random.next_f64() < part).count() as f64;
             Sample { answered: f64::from(jobs), succeeded, executor_connected: true }
         };
         let mut baseline = Baseline::new(rules().span);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn what_is_no_message_is_an_error_and_what_is_one_reads_back_the_same() {
+fn any_bytes_are_decoded_or_rejected_and_offers_read_back_the_same() {
     fn any(text: Vec<u8>) -> bool {
         // Whatever it is, it is decoded or rejected; it never panics.
         let _ = (SubscriberMessage::decode(&text), PublisherMessage::decode(&text));
--- a/crates/hazelgrade-stream/tests/states.rs
+++ b/crates/hazelgrade-stream/tests/states.rs
@@ -1,5 +1,5 @@
 //! All states, within bounds, of a publisher and a node over a channel that loses, doubles and reorders messages, while
-//! links break, both sides die and start again, and writes fail.
+//! connections break, both sides crash and start again, and writes fail.
 
 mod common;
 
@@ -14,7 +14,7 @@
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 
-/// How often each kind of trouble may come.
+/// How often each kind of fault may come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Left {
     publishes: u64,
@@ -43,11 +43,11 @@
     now: Time,
     effect: Option<Digest>,
     acknowledged: Vec<Digest>,
-    /// SubscriberMessage to be good, and to have failed.
+    /// Reported as good, and as failed.
     good: Vec<Digest>,
     failed: Vec<Digest>,
     broken: Option<String>,
-    /// What tells this state from others: all of it but times and chance.
+    /// What tells this state from others: all of it but times and random numbers.
     key: String,
 }
 
@@ -76,7 +76,7 @@
     Connect,
     Written,
     WriteFails,
-    NodeDies { written: bool },
+    NodeCrashes { written: bool },
     PublisherRestarts { forgets: bool },
     TrialEnds { well: bool },
 }
@@ -85,7 +85,7 @@
 fn without_time(text: &str) -> String {
     let mut rest = text;
     let mut key = String::new();
-    while let Some((before, after)) = ["Time(", "Span(", "Chance {"]
+    while let Some((before, after)) = ["Time(", "Span(", "MultiplyWithCarry {"]
         .iter()
         .filter_map(|word| rest.find(word).map(|at| (at, word.len())))
         .min()
@@ -110,10 +110,10 @@
     fn tell(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.node.handle(self.now, event, &mut actions);
-        self.carry_out(actions);
+        self.perform(actions);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn perform(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send(message) => {
@@ -156,7 +156,7 @@
                     self.to_node.push(message);
                 }
                 publisher::Action::StoreCounter(counter) => {
-                    // No number stands for two contents, whatever was forgotten.
+                    // No number stands for two documents, whatever was lost.
                     self.counter = counter;
                     self.publisher(publisher::Event::CounterStored(Ok(())));
                 }
@@ -183,7 +183,7 @@
         self.writing = None;
         let (node, first) = start(self.now, self.stored.clone(), Some(document(0)));
         self.node = node;
-        self.carry_out(first);
+        self.perform(first);
         self.tell(sampled(100.0, 1.0));
     }
 
@@ -192,7 +192,7 @@
         let serves = match self.node.in_effect() {
             InEffect::Nothing => self.effect.is_none(),
             InEffect::LocalDocument => self.effect == Some(file),
-            // Good ones may be known only to the disk: the node died before it could say so.
+            // Good versions may be known only to the disk: the node crashed before it could report them.
             InEffect::Good(version) => {
                 let known =
                     self.stored.last_good.as_ref().is_some_and(|good| good.version.digest == version.digest)
@@ -245,7 +245,7 @@
             broken: None,
             key: String::new(),
         };
-        world.carry_out(first);
+        world.perform(first);
         world.tell(sampled(100.0, 1.0));
         world.publisher(publisher::Event::DocumentChanged(document(1)));
         world.connect();
@@ -277,9 +277,9 @@
             }
         }
         if left.deaths > 0 {
-            steps.push(Step::NodeDies { written: false });
+            steps.push(Step::NodeCrashes { written: false });
             if world.writing.is_some() {
-                steps.push(Step::NodeDies { written: true });
+                steps.push(Step::NodeCrashes { written: true });
             }
         }
         if left.restarts > 0 {
@@ -330,11 +330,11 @@
                 world.left.disk_faults -= 1;
                 let (ticket, _) = world.writing.take()?;
                 world.tell(Event::Stored { ticket, result: Err("full".into()) });
-                // And the pause until it is tried again.
+                // And the delay until it is retried.
                 world.now = world.now + Span::from_ms(60_000.0);
                 world.tell(Event::TimerFired);
             }
-            Step::NodeDies { written } => {
+            Step::NodeCrashes { written } => {
                 world.left.deaths -= 1;
                 if let Some((_, state)) = world.writing.take().filter(|_| written) {
                     world.stored = state;
@@ -389,16 +389,16 @@
 }
 
 #[test]
-fn no_state_serves_what_is_neither_good_nor_acknowledged() {
+fn in_no_state_a_node_serves_by_a_version_that_is_neither_good_nor_acknowledged() {
     let calm = Left { publishes: 1, breaks: 0, losses: 0, deaths: 0, restarts: 0, disk_faults: 0, trials: 2 };
-    let troubles = [
+    let faults = [
         Left { deaths: 2, ..calm },
         Left { deaths: 1, breaks: 1, ..calm },
         Left { restarts: 2, ..calm },
         Left { losses: 1, breaks: 1, restarts: 1, ..calm },
         Left { disk_faults: 2, deaths: 1, ..calm },
     ];
-    for left in troubles {
+    for left in faults {
         let states = explore(left);
         println!("{left:?}: {states} states");
         assert!(states > 100, "{states} states are too few to have been through it");
