--- a/crates/hazelgrade-config/src/lib.rs
+++ b/crates/hazelgrade-config/src/lib.rs
@@ -1,22 +1,32 @@
-//! Serving configuration as documents in TOML: read with positions, checked field by field, told apart by version and
-//! digest, and compared. No input or output: whoever reads a file or a socket hands the text over.
+//! Configuration as documents in TOML: parsed with positions, validated, versioned, digested and compared.
 //!
-//! A document is a set of *fields*, each a path and a plain value. Everything else follows from the fields: the digest,
-//! the difference of two versions, and the typed view that the decision module takes. `fields.rs` has the one table of
-//! what fields there are, what each may hold, and whether it is taken in while serving or at a start.
+//! There is no input or output here; the caller reads the file or socket. A [`Document`] is a map from paths to values,
+//! its [`Fields`], and the digest, the [`Difference`] of two versions and the typed settings follow from it. The
+//! [`schema`] has the tables of all fields with their types, ranges and times of effect. The operator's own file is an
+//! [`OperatorConfig`].
+#![warn(missing_docs)]
 
 pub mod document;
-pub mod fault;
-pub mod fields;
 pub mod operator;
-mod read;
+pub mod schema;
+pub mod serving;
 pub mod version;
 
+mod difference;
+mod error;
+mod fields;
+mod parse;
+mod scalar;
+mod validate;
+
+pub use difference::{Difference, DifferenceError};
 pub use document::Document;
-pub use fault::Fault;
-pub use fields::{Difference, Fields, Kind, Scalar, Takes};
-pub use operator::Operator;
+pub use error::{ConfigError, error_summary};
+pub use fields::Fields;
+pub use operator::OperatorConfig;
+pub use scalar::Scalar;
+pub use schema::Kind;
 pub use version::{Digest, Version};
 
-/// The longest document, in bytes of TOML: 4,000 tenants and 64 job classes with all their fields fit twice.
-pub const LONGEST_DOCUMENT: usize = 1024 * 1024;
+/// The longest document, in bytes of TOML; 4,000 tenants and 64 job classes with all their fields take half of it.
+pub const MAX_DOCUMENT_BYTES: usize = 1024 * 1024;
--- a/crates/hazelgrade-config/src/version.rs
+++ b/crates/hazelgrade-config/src/version.rs
@@ -1,22 +1,30 @@
-//! How versions of a document are told apart.
+//! How versions of a document are told apart: by digest, and by number within a lineage.
 
 use sha2::{Digest as _, Sha256};
-use std::fmt::{Debug, Display, Formatter, Result as Written};
+use std::fmt::{Debug, Display, Formatter};
 use std::str::FromStr;
 
-/// SHA-256 of the canonical form of a document: equal for documents that say the same, however they are laid out.
+/// SHA-256 of the canonical form of a document: equal for documents with the same fields, whatever their layout.
+///
+/// Shown as 64 hex digits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest([u8; 32]);
 
+/// Text that is no [`Digest`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("expected 64 hex digits")]
+pub struct DigestError;
+
 impl Digest {
-    pub fn of(parts: impl IntoIterator<Item = String>) -> Digest {
-        let mut hash = Sha256::new();
+    /// The digest of a list of strings.
+    pub fn from_parts(parts: impl IntoIterator<Item = String>) -> Digest {
+        let mut hasher = Sha256::new();
         for part in parts {
-            // The length first, so that no two lists of parts run together to the same bytes.
-            hash.update((part.len() as u64).to_le_bytes());
-            hash.update(part.as_bytes());
+            // The length comes first, so that no two lists give the same bytes.
+            hasher.update((part.len() as u64).to_le_bytes());
+            hasher.update(part.as_bytes());
         }
-        Digest(hash.finalize().into())
+        Digest(hasher.finalize().into())
     }
 
     /// The first eight hex digits, for people.
@@ -26,43 +34,44 @@
 }
 
 impl Display for Digest {
-    fn fmt(&self, to: &mut Formatter<'_>) -> Written {
-        self.0.iter().try_for_each(|byte| write!(to, "{byte:02x}"))
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
+        self.0.iter().try_for_each(|byte| write!(formatter, "{byte:02x}"))
     }
 }
 
 impl Debug for Digest {
-    fn fmt(&self, to: &mut Formatter<'_>) -> Written {
-        write!(to, "{}", self.short())
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
+        write!(formatter, "{}", self.short())
     }
 }
 
 impl FromStr for Digest {
-    type Err = &'static str;
+    type Err = DigestError;
 
-    fn from_str(text: &str) -> Result<Digest, Self::Err> {
-        let wrong = "expected 64 hex digits";
+    fn from_str(text: &str) -> Result<Digest, DigestError> {
         if text.len() != 64 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-            return Err(wrong);
+            return Err(DigestError);
         }
         let mut bytes = [0; 32];
-        for (place, byte) in bytes.iter_mut().enumerate() {
-            *byte = u8::from_str_radix(&text[place * 2..place * 2 + 2], 16).map_err(|_| wrong)?;
+        for (index, byte) in bytes.iter_mut().enumerate() {
+            let digits = &text[index * 2..index * 2 + 2];
+            *byte = u8::from_str_radix(digits, 16).map_err(|_| DigestError)?;
         }
         Ok(Digest(bytes))
     }
 }
 
-/// A version as published: its number within a lineage, and what it says. Within a lineage numbers only grow, and
-/// one number never stands for two contents.
+/// A published version of a document. Within a lineage numbers only grow, and no number stands for two contents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version {
+    /// Its number within the lineage.
     pub number: u64,
+    /// The digest of its content.
     pub digest: Digest,
 }
 
 impl Display for Version {
-    fn fmt(&self, to: &mut Formatter<'_>) -> Written {
-        write!(to, "{} ({})", self.number, self.digest.short())
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
+        write!(formatter, "{} ({})", self.number, self.digest.short())
     }
 }
--- a/crates/hazelgrade-config/tests/documents.rs
+++ b/crates/hazelgrade-config/tests/documents.rs
@@ -1,7 +1,7 @@
 //! Documents read, wrong in every way, compared, and written again.
 
-use hazelgrade_config::fields::{FIELDS, Holds, LEVELS, REPEATS};
-use hazelgrade_config::{Difference, Document, Fields, Kind, Operator, Scalar, Takes};
+use hazelgrade_config::schema::{Applies, LOG_LEVELS, RETRY_MODES, SERVING_FIELDS, ValueType};
+use hazelgrade_config::{Difference, Document, Fields, Kind, OperatorConfig, Scalar};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::path::PathBuf;
 
@@ -60,7 +60,7 @@
     assert!(with("repeats = \"numbered\"\n").contains("field use_case.a.window_ms: expected more than 0"));
     assert!(with("[addresses]\nexecutor = \"localhost\"\n").contains("f.toml:5:1: field addresses.executor"));
     assert!(with("[limits]\nsockets = 32.5\n").contains("field limits.sockets: expected a whole number"));
-    let long = format!("{RIGHT}# {}", "x".repeat(hazelgrade_config::LONGEST_DOCUMENT));
+    let long = format!("{RIGHT}# {}", "x".repeat(hazelgrade_config::MAX_DOCUMENT_BYTES));
     assert!(fault(&long).contains("bytes at most"));
     let many: String =
         (0..65).map(|case| format!("[use_case.c{case}]\ngoal_ms = 10\ncut_off_ms = 20\n")).collect();
@@ -81,20 +81,24 @@
     fn arbitrary(g: &mut Gen) -> Right {
         let mut fields = Fields::default();
         let names = ["a", "b-c", "d.e", "f\"g", "ü"].map(|name| name.replace('ü', "u"));
-        for (which, field) in FIELDS.iter().enumerate() {
+        for (which, field) in SERVING_FIELDS.iter().enumerate() {
             for name in names.iter().take(if field.path.contains('*') { 1 + which % 5 } else { 1 }) {
-                if !field.needed && bool::arbitrary(g) {
+                if !field.required && bool::arbitrary(g) {
                     continue;
                 }
                 let part = f64::from(u16::arbitrary(g)) / 65536.0;
-                let value = match field.holds {
-                    Holds::Truth => Scalar::Truth(field.path.ends_with('/') || bool::arbitrary(g)),
-                    Holds::Number(least, most) => Scalar::Number(least + (most - least) * part),
-                    Holds::Whole(least, most) => Scalar::Number((least + (most - least) * part).floor()),
-                    Holds::Word(words) => Scalar::Word(words[u8::arbitrary(g) as usize % words.len()].into()),
-                    Holds::Text(_) => Scalar::Word("text".into()),
-                    Holds::Words(_) => Scalar::Words(vec!["one".into(), "two,3".into()]),
-                    Holds::Address => Scalar::Word(format!("127.0.0.1:{}", 1 + u16::arbitrary(g) / 2)),
+                let value = match field.value_type {
+                    ValueType::Bool => Scalar::Bool(field.path.ends_with('/') || bool::arbitrary(g)),
+                    ValueType::Number(least, most) => Scalar::Number(least + (most - least) * part),
+                    ValueType::Integer(least, most) => {
+                        Scalar::Number((least + (most - least) * part).floor())
+                    }
+                    ValueType::OneOf(words) => {
+                        Scalar::Text(words[u8::arbitrary(g) as usize % words.len()].into())
+                    }
+                    ValueType::Text(_) => Scalar::Text("text".into()),
+                    ValueType::TextList(_) => Scalar::TextList(vec!["one".into(), "two,3".into()]),
+                    ValueType::Address => Scalar::Text(format!("127.0.0.1:{}", 1 + u16::arbitrary(g) / 2)),
                 };
                 fields.0.insert(field.path.replace('*', name), value);
             }
@@ -111,7 +115,7 @@
                 fields.0.insert(at("earnings"), Scalar::Number(1.0));
             }
             if fields.0.contains_key(&format!("customer/{name}/quota_per_s")) {
-                fields.0.insert(format!("customer/{name}/"), Scalar::Truth(true));
+                fields.0.insert(format!("customer/{name}/"), Scalar::Bool(true));
             }
         }
         Right(fields)
@@ -121,14 +125,14 @@
 #[test]
 fn a_document_written_and_read_is_the_same_and_so_is_one_that_a_difference_made() {
     fn holds(Right(one): Right, Right(other): Right) -> bool {
-        let document = Document::of_fields(Kind::Serving, one.clone(), "one").expect("it is right");
+        let document = Document::from_fields(Kind::Serving, one.clone(), "one").expect("it is right");
         let again = Document::read(&document.to_toml(), "again").expect("what it writes is right");
         let difference = one.difference(&other);
-        let on_wire = Difference::of_json(&difference.to_json()).expect("it reads what it wrote");
+        let on_wire = Difference::from_json(&difference.to_json()).expect("it reads what it wrote");
         again == document
             && again.digest() == document.digest()
             && on_wire == difference
-            && one.with(&on_wire).as_ref() == Some(&other)
+            && one.apply(&on_wire).as_ref() == Some(&other)
             && (one == other) == (one.digest() == other.digest())
             && (one == other) == (difference.count() == 0)
     }
@@ -147,7 +151,7 @@
     assert_ne!(more.digest(), one.digest(), "a value that is said is not one that is left open");
     assert_eq!(one.fields().difference(more.fields()).count(), 1);
     assert_eq!(
-        one.fields().with(&more.fields().difference(one.fields())),
+        one.fields().apply(&more.fields().difference(one.fields())),
         None,
         "it takes away what isn't there"
     );
@@ -155,14 +159,17 @@
 
 #[test]
 fn what_only_a_start_takes_in_is_known_field_by_field() {
-    let staged: Vec<&str> =
-        FIELDS.iter().filter(|field| field.takes == Takes::AtStart).map(|field| field.path).collect();
+    let staged: Vec<&str> = SERVING_FIELDS
+        .iter()
+        .filter(|field| field.applies == Applies::AtStart)
+        .map(|field| field.path)
+        .collect();
     assert_eq!(staged, ["limits/sockets", "limits/memory_mb"]);
     let one = Document::read(RIGHT, "one").expect("right");
     let two = format!("log = \"debug\"\n{RIGHT}late_part = 0.5\n[limits]\nmemory_mb = 64\n");
     let two = Document::read(&two, "two").expect("right");
     assert_eq!(one.fields().difference(two.fields()).staged(), ["limits.memory_mb"]);
-    assert_eq!((LEVELS.len(), REPEATS.len()), (6, 3));
+    assert_eq!((LOG_LEVELS.len(), RETRY_MODES.len()), (6, 3));
 }
 
 #[test]
@@ -172,7 +179,7 @@
     );
     let document = Document::read(&text, "two").expect("right");
     let port = |address: Option<std::net::SocketAddr>| address.map(|address| address.port());
-    let (own, other) = (document.places("n1"), document.places("n2"));
+    let (own, other) = (document.addresses_for("n1"), document.addresses_for("n2"));
     assert_eq!((port(own.executor), port(own.registry), port(own.database)), (Some(3), Some(2), None));
     assert_eq!(port(other.executor), Some(1));
 }
@@ -180,14 +187,14 @@
 #[test]
 fn the_operators_file_is_read_or_told_what_is_wrong() {
     let text = "[stream]\ncontrol = [\"127.0.0.1:7400\", \"127.0.0.2:7400\"]\nstore = \"s\"\n[stream.trial]\nspan_ms = 500\n";
-    let stream = Operator::read(text, "o.toml").expect("right").stream.expect("switched on");
+    let stream = OperatorConfig::read(text, "o.toml").expect("right").stream.expect("switched on");
     assert_eq!(
-        (stream.control.len(), stream.store, stream.trial.span.as_ms()),
+        (stream.control_services.len(), stream.store, stream.trial.span.as_ms()),
         (2, PathBuf::from("s"), 500.0)
     );
-    assert_eq!(Operator::read("", "o.toml").expect("right").stream, None);
+    assert_eq!(OperatorConfig::read("", "o.toml").expect("right").stream, None);
     let shown = |text: &str| {
-        let faults = Operator::read(text, "o.toml").expect_err("it is wrong");
+        let faults = OperatorConfig::read(text, "o.toml").expect_err("it is wrong");
         faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
     };
     assert!(shown("[stream]\nstore = \"s\"\n").contains("field stream.control: is missing"));
--- a/crates/hazelgrade-config/tests/recorded_documents.rs
+++ b/crates/hazelgrade-config/tests/recorded_documents.rs
@@ -1,6 +1,6 @@
 //! The shipped documents are read, and wrong ones give the recorded messages, character by character.
 
-use hazelgrade_config::{Difference, Document, Kind, Operator};
+use hazelgrade_config::{Difference, Document, Kind, OperatorConfig};
 use serde_json::json;
 use std::fmt::Write;
 
@@ -127,7 +127,7 @@
         record(&mut messages, &format!("{kind:?}"), text, &errors);
     }
     for text in WRONG_OPERATOR_FILES {
-        let errors = Operator::read(text, "operator.toml").expect_err(text);
+        let errors = OperatorConfig::read(text, "operator.toml").expect_err(text);
         record(&mut messages, "operator", text, &errors);
     }
     let wrong_differences = [
@@ -138,10 +138,11 @@
         json!({"set": {}, "gone": [1]}),
     ];
     for value in wrong_differences {
-        let error = Difference::of_json(&value).expect_err("it is wrong");
+        let error = Difference::from_json(&value).expect_err("it is wrong");
         record(&mut messages, "difference", &value.to_string(), &[error]);
     }
-    let bare = Document::of_fields(Kind::Serving, Default::default(), "version 7").expect_err("it is empty");
+    let bare =
+        Document::from_fields(Kind::Serving, Default::default(), "version 7").expect_err("it is empty");
     record(&mut messages, "fields", "", &bare);
     assert_eq!(messages, include_str!("recorded_messages.txt"), "{messages}");
 }
@@ -164,17 +165,17 @@
 
 #[test]
 fn the_shipped_operator_file_switches_streaming_on_and_nothing_else() {
-    let operator =
-        Operator::read(include_str!("../../../deploy/operator.toml"), "operator.toml").expect("it is right");
+    let operator = OperatorConfig::read(include_str!("../../../deploy/operator.toml"), "operator.toml")
+        .expect("it is right");
     let stream = operator.stream.expect("streaming is on");
-    assert_eq!(stream.control, ["127.0.0.1:7400".parse().expect("an address")]);
+    assert_eq!(stream.control_services, ["127.0.0.1:7400".parse().expect("an address")]);
     assert_eq!(stream.store.to_str(), Some("/var/lib/hazelgrade/n1.store"));
     assert_eq!(stream.document.as_deref().and_then(|path| path.to_str()), Some("deploy/serving.toml"));
     assert_eq!(stream.lineage, None);
     assert_eq!(
-        (stream.trial.span.as_ms(), stream.trial.fall, stream.trial.least_jobs),
+        (stream.trial.span.as_ms(), stream.trial.max_success_drop_ratio, stream.trial.min_jobs),
         (10_000.0, 0.2, 50.0)
     );
     assert!(operator.identity.is_none() && operator.budgets.is_none());
-    assert!(operator.tls.is_none() && operator.for_tests.is_none());
+    assert!(operator.tls.is_none() && operator.test_faults.is_none());
 }
--- a/crates/hazelgrade-server/src/program/budgets.rs
+++ b/crates/hazelgrade-server/src/program/budgets.rs
@@ -12,8 +12,8 @@
 use hazelgrade_budget::keeper::Figures;
 use hazelgrade_budget::message::Word;
 use hazelgrade_budget::terms;
-use hazelgrade_config::operator::{Budgeted, Streamed};
-use hazelgrade_config::{Document, Kind, fault};
+use hazelgrade_config::operator::{BudgetConfig, StreamConfig};
+use hazelgrade_config::{Document, Kind, error_summary};
 use hazelgrade_net::bell::Bell;
 use hazelgrade_store::Store;
 use hazelgrade_stream::backoff::Backoff;
@@ -44,15 +44,15 @@
     let shown = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
     let read = Document::read_as(Kind::Budgets, &text, &shown);
-    read.map_err(|faults| fault::lines(&faults, FAULTS_NAMED))
+    read.map_err(|faults| error_summary(&faults, FAULTS_NAMED))
 }
 
 pub type Following = (Follow<Node>, Subscriber, Vec<Action>);
 
 /// Switches budgets on. Until a keeper grants some, calls below are bounded by what the node may use alone.
 pub fn start(
-    budgeted: &Budgeted,
-    streamed: &Streamed,
+    budgeted: &BudgetConfig,
+    streamed: &StreamConfig,
     kit: &Kit,
     deployment: &Deployment,
     parts: &Rc<Parts>,
@@ -62,9 +62,9 @@
     // Two processes under one name are two holders, so it can't be made from the name or the seed.
     let run = RandomState::new().hash_one((SystemTime::now(), std::process::id()));
     let start = Time::from_ms(0.0);
-    let holder = Holder::new(start, &deployment.name, run, &budgeted.alone, MultiplyWithCarry::new(run));
+    let holder = Holder::new(start, &deployment.name, run, &budgeted.standalone, MultiplyWithCarry::new(run));
     let linger = parts.site.borrow().linger;
-    let seat = Rc::new(Seat::new(holder, budgeted.in_hand.clone(), linger, rate));
+    let seat = Rc::new(Seat::new(holder, budgeted.call_budget.clone(), linger, rate));
     seat.bind(&BTreeMap::new());
     parts.rounds.by_budgets(seat.clone());
     let store = kit.store.clone();
@@ -85,7 +85,7 @@
         program: env!("CARGO_PKG_VERSION").into(),
         lineage: streamed.lineage.clone(),
         rules: budgeted.trial,
-        controls: streamed.control.len(),
+        controls: streamed.control_services.len(),
         chance: MultiplyWithCarry::new(deployment.seed.rotate_left(8)),
         backoff: Backoff::default(),
         kept,
@@ -94,7 +94,7 @@
     let mut first = Vec::new();
     let subscriber = Subscriber::start(parts.rounds.clock.now(), start, &mut first);
     let host = Rc::new(Node { parts: parts.clone(), seat, store, told: Cell::default() });
-    let (controls, tasks) = (streamed.control.clone(), Rc::default());
+    let (controls, tasks) = (streamed.control_services.clone(), Rc::default());
     Ok((Follow { host, controls, tasks, leaving: Rc::new(Bell::default()) }, subscriber, first))
 }
 
--- a/crates/hazelgrade-server/src/program/command.rs
+++ b/crates/hazelgrade-server/src/program/command.rs
@@ -2,7 +2,7 @@
 
 use super::streaming::read_document;
 use super::{budgets, configuration, control, identity, keys, logging, serve};
-use hazelgrade_config::{Operator, fault};
+use hazelgrade_config::{OperatorConfig, error_summary};
 use hazelgrade_settings::Site;
 use hazelgrade_stream::keeping;
 use hazelgrade_stream::service::Setup;
@@ -117,7 +117,7 @@
             let signals = serve::signals()?;
             let (deployment, path) = configured()?;
             let operator = files.operator()?.unwrap_or_default();
-            if operator.for_tests.is_some() && std::env::var_os("PROXY_CONFIG").is_some() {
+            if operator.test_faults.is_some() && std::env::var_os("PROXY_CONFIG").is_some() {
                 return Err(
                     "field for_tests_only: refused together with PROXY_CONFIG, the platform's start".into()
                 );
@@ -237,12 +237,12 @@
             || self.budgets.is_some()
     }
 
-    fn operator(&self) -> Result<Option<Operator>, String> {
+    fn operator(&self) -> Result<Option<OperatorConfig>, String> {
         let Some(path) = &self.operator else { return Ok(None) };
         let shown = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
-        let read = Operator::read(&text, &shown);
-        read.map(Some).map_err(|faults| fault::lines(&faults, FAULTS_SHOWN))
+        let read = OperatorConfig::read(&text, &shown);
+        read.map(Some).map_err(|faults| error_summary(&faults, FAULTS_SHOWN))
     }
 
     /// Says what these files would do.
@@ -250,7 +250,8 @@
         if let Some(operator) = self.operator()? {
             match operator.stream {
                 Some(stream) => {
-                    let control: Vec<String> = stream.control.iter().map(ToString::to_string).collect();
+                    let control: Vec<String> =
+                        stream.control_services.iter().map(ToString::to_string).collect();
                     println!("configuration is streamed from {}", control.join(", "));
                     println!("the last good version is kept in {}", stream.store.display());
                     println!("a version is on trial for {} ms", stream.trial.span.as_ms());
--- a/crates/hazelgrade-server/src/program/identity.rs
+++ b/crates/hazelgrade-server/src/program/identity.rs
@@ -7,8 +7,8 @@
 use futures_lite::future::{BoxedLocal, FutureExt};
 use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::Time;
-use hazelgrade_config::operator::{Identified, Streamed};
-use hazelgrade_config::{Document, Kind, fault};
+use hazelgrade_config::operator::{IdentityConfig, StreamConfig};
+use hazelgrade_config::{Document, Kind, error_summary};
 use hazelgrade_identity::Identity;
 use hazelgrade_net::bell::Bell;
 use hazelgrade_store::Store;
@@ -32,7 +32,7 @@
     let shown = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
     let read = Document::read_as(Kind::Identity, &text, &shown);
-    let document = read.map_err(|faults| fault::lines(&faults, FAULTS_NAMED))?;
+    let document = read.map_err(|faults| error_summary(&faults, FAULTS_NAMED))?;
     Identity::of(&document).map_err(|why| format!("{shown}: {why}"))?;
     Ok(document)
 }
@@ -64,8 +64,8 @@
 
 /// Switches identities on: from the file at once, and from the control services if they are streamed.
 pub fn start(
-    identified: &Identified,
-    streamed: Option<&Streamed>,
+    identified: &IdentityConfig,
+    streamed: Option<&StreamConfig>,
     kit: Option<&Kit>,
     deployment: &Deployment,
     parts: &Rc<Parts>,
@@ -99,7 +99,7 @@
         program: env!("CARGO_PKG_VERSION").into(),
         lineage: streamed.lineage.clone(),
         rules: identified.trial,
-        controls: streamed.control.len(),
+        controls: streamed.control_services.len(),
         chance: MultiplyWithCarry::new(deployment.seed.rotate_left(16)),
         backoff: Backoff::default(),
         kept,
@@ -108,7 +108,7 @@
     let mut first = Vec::new();
     let subscriber = Subscriber::start(parts.rounds.clock.now(), start, &mut first);
     let host = Rc::new(Node { parts: parts.clone(), store, told: Cell::default() });
-    let (controls, tasks) = (streamed.control.clone(), Rc::default());
+    let (controls, tasks) = (streamed.control_services.clone(), Rc::default());
     let follow = Follow { host, controls, tasks, leaving: Rc::new(Bell::default()) };
     Ok(Some((follow, subscriber, first)))
 }
--- a/crates/hazelgrade-server/src/program/keys.rs
+++ b/crates/hazelgrade-server/src/program/keys.rs
@@ -4,8 +4,8 @@
 use super::identity::read_document;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use hazelgrade_config::document::LONGEST_TOKEN_S;
-use hazelgrade_config::{Document, Kind, fault};
+use hazelgrade_config::document::DEFAULT_MAX_TOKEN_LIFETIME_S;
+use hazelgrade_config::{Document, Kind, error_summary};
 use hazelgrade_identity::issue::Signer;
 use hazelgrade_identity::token::Claims;
 use pico_args::Arguments;
@@ -89,7 +89,7 @@
     fn replace(&self, document: &DocumentMut) -> Result<(), String> {
         let (text, shown) = (document.to_string(), self.set.display().to_string());
         Document::read_as(Kind::Identity, &text, &shown)
-            .map_err(|faults| format!("{}\n{shown} is as it was", fault::lines(&faults, FAULTS_NAMED)))?;
+            .map_err(|faults| format!("{}\n{shown} is as it was", error_summary(&faults, FAULTS_NAMED)))?;
         let failed = |error: std::io::Error| format!("{shown}: {error}");
         let folder = self.set.parent().filter(|folder| !folder.as_os_str().is_empty());
         let mut file = tempfile::NamedTempFile::new_in(folder.unwrap_or(Path::new("."))).map_err(failed)?;
@@ -167,7 +167,7 @@
         let mut text = String::new();
         let mut jwks = Vec::new();
         for kid in fields.names("key") {
-            let word = |field: &str| fields.word(&format!("key/{kid}/{field}"));
+            let word = |field: &str| fields.text(&format!("key/{kid}/{field}"));
             let left = |field: &str| match fields.number(&format!("key/{kid}/{field}")) {
                 Some(at) => format!("{:.0} s", at - now()),
                 None => "-".into(),
@@ -179,8 +179,8 @@
                 jwk["y"] = json!(y);
             }
             jwks.push(jwk);
-            let listed = fields.words("revoked/keys").iter().any(|revoked| revoked == kid);
-            let revoked = listed || fields.truth(&format!("key/{kid}/revoked")) == Some(true);
+            let listed = fields.text_list("revoked/keys").iter().any(|revoked| revoked == kid);
+            let revoked = listed || fields.boolean(&format!("key/{kid}/revoked")) == Some(true);
             text.push_str(&format!(
                 "{kid}: {algorithm}, signs in {}, until in {}, valid until in {}{}\n",
                 left("active_from_s"),
@@ -190,7 +190,7 @@
             ));
         }
         for caller in fields.names("caller") {
-            let words = |field: &str| fields.words(&format!("caller/{caller}/{field}")).join(", ");
+            let words = |field: &str| fields.text_list(&format!("caller/{caller}/{field}")).join(", ");
             text.push_str(&format!("{caller}: {} for {}\n", words("use_cases"), words("customers")));
         }
         Ok(if self.jwks { format!("{}\n", json!({"keys": jwks})) } else { text })
@@ -207,11 +207,11 @@
         let number = |kid: &str, field: &str| fields.number(&format!("key/{kid}/{field}"));
         let signs = |kid: &&str| {
             let until = number(kid, "signs_until_s").or(number(kid, "valid_until_s")).unwrap_or(0.0);
-            let listed = fields.words("revoked/keys").iter().any(|revoked| revoked == kid);
+            let listed = fields.text_list("revoked/keys").iter().any(|revoked| revoked == kid);
             let active = number(kid, "active_from_s").is_some_and(|from| from <= now()) && now() < until;
             let there =
                 self.private.as_ref().is_some_and(|folder| folder.join(format!("{kid}.key")).exists());
-            (active && there && !listed && fields.truth(&format!("key/{kid}/revoked")) != Some(true))
+            (active && there && !listed && fields.boolean(&format!("key/{kid}/revoked")) != Some(true))
                 .then_some(until)
         };
         let kids = fields.names("key").into_iter().filter_map(|kid| signs(&kid).map(|until| (until, kid)));
@@ -227,7 +227,7 @@
         let signer = Signer::of_pkcs8(Zeroizing::new(pkcs8))?;
         let claims = Claims {
             sub: caller.to_owned(),
-            aud: fields.word("audience").unwrap_or_default().to_owned(),
+            aud: fields.text("audience").unwrap_or_default().to_owned(),
             iat: now().floor(),
             exp: (now() + self.lasts).floor(),
             nbf: None,
@@ -244,7 +244,7 @@
 fn longest(document: &DocumentMut) -> f64 {
     let longest = document.get("longest_token_s");
     let longest = longest.and_then(|item| item.as_float().or(item.as_integer().map(|whole| whole as f64)));
-    longest.unwrap_or(LONGEST_TOKEN_S)
+    longest.unwrap_or(DEFAULT_MAX_TOKEN_LIFETIME_S)
 }
 
 fn insert(document: &mut DocumentMut, kid: &str, table: Table) {
--- a/crates/hazelgrade-server/src/program/reload.rs
+++ b/crates/hazelgrade-server/src/program/reload.rs
@@ -6,7 +6,7 @@
 use crate::routing::rounds::Rounds;
 use crate::transport::executor::Link;
 use crate::transport::registry::Registry;
-use hazelgrade_config::document::Places;
+use hazelgrade_config::serving::NodeAddresses;
 use std::cell::Cell;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
     pub calls_below: bool,
     /// As the file says, and what a streamed document says beside that.
     pub file: Cell<Addresses>,
-    pub streamed: Cell<Places>,
+    pub streamed: Cell<NodeAddresses>,
     pub link: Rc<Link>,
     pub calls: Rc<Calls>,
     pub registry: Rc<Registry>,
@@ -55,14 +55,14 @@
     }
 
     /// What a streamed document says takes the place of what the file says.
-    pub fn stream(&self, streamed: Places) -> Result<(), String> {
+    pub fn stream(&self, streamed: NodeAddresses) -> Result<(), String> {
         if streamed.database.is_some() && !self.calls_below {
             return Err("field database: expected none, as this node calls nothing below".into());
         }
         self.move_to(self.file.get(), streamed).map(drop)
     }
 
-    fn move_to(&self, file: Addresses, streamed: Places) -> Result<Addresses, String> {
+    fn move_to(&self, file: Addresses, streamed: NodeAddresses) -> Result<Addresses, String> {
         let addresses = Addresses {
             executor: streamed.executor.unwrap_or(file.executor),
             registry: streamed.registry.unwrap_or(file.registry),
--- a/crates/hazelgrade-server/src/program/serve.rs
+++ b/crates/hazelgrade-server/src/program/serve.rs
@@ -25,7 +25,7 @@
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 use futures_lite::future::{BoxedLocal, or, poll_once};
-use hazelgrade_config::Operator;
+use hazelgrade_config::OperatorConfig;
 use hazelgrade_net::bell::Bell;
 use hazelgrade_stream::follow::Follow;
 use std::cell::{Cell, RefCell};
@@ -52,13 +52,18 @@
 pub fn serve(
     mut deployment: Deployment,
     path: PathBuf,
-    operator: Operator,
+    operator: OperatorConfig,
     log: (Level, LevelFilter),
     mut signals: Signals,
 ) -> Result<bool, String> {
-    let Operator { stream: streamed, identity: identified, budgets: budgeted, tls: encrypted, for_tests } =
-        operator;
-    let dies_at = for_tests.and_then(|for_tests| for_tests.store_dies_at);
+    let OperatorConfig {
+        stream: streamed,
+        identity: identified,
+        budgets: budgeted,
+        tls: encrypted,
+        test_faults,
+    } = operator;
+    let dies_at = test_faults.and_then(|faults| faults.kill_at_store_change);
     let kit = streamed.as_ref().map(|streamed| Kit::open(streamed, &deployment.name, dies_at)).transpose()?;
     if let Some(kit) = &kit {
         let (sockets, memory_mb) = kit.limits();
@@ -83,9 +88,9 @@
     let tasks = Rc::new(LocalExecutor::new());
     let link = Rc::new(Link::new(addresses.executor));
     let rounds = Rc::new(Rounds::new(control, site.tick, hand.clone(), result_cache.clone(), link.clone()));
-    if let Some(for_tests) = for_tests {
-        tracing::warn!(?for_tests, "this node is to fail, for tests");
-        rounds.clock.skew(for_tests.clock_off_ms, for_tests.clock_rate);
+    if let Some(test_faults) = test_faults {
+        tracing::warn!(?test_faults, "this node is to fail, for tests");
+        rounds.clock.skew(test_faults.clock_offset_ms, test_faults.clock_rate);
     }
     let most_below = deployment.connections_below();
     let calls = Rc::new(Calls::new(
@@ -150,7 +155,7 @@
     }
     let budgets_left = Rc::new(Bell::default());
     if let Some(((budgeted, kit), streamed)) = budgeted.as_ref().zip(kit.as_ref()).zip(streamed.as_ref()) {
-        let rate = for_tests.map_or(1.0, |for_tests| for_tests.clock_rate);
+        let rate = test_faults.map_or(1.0, |faults| faults.clock_rate);
         let (follow, subscriber, first) = budgets::start(budgeted, streamed, kit, &deployment, &parts, rate)?;
         let (tasks, leaving) = (tasks.clone(), budgets_left.clone());
         let follow = Follow { tasks, leaving, ..follow };
@@ -168,7 +173,7 @@
             calls_below: calls_may,
         };
         let (subscriber, first, node) = kit.start(&streamed, &deployment, surroundings);
-        let (host, controls) = (Rc::new(node), streamed.control);
+        let (host, controls) = (Rc::new(node), streamed.control_services);
         let follow = Follow { host, controls, tasks: tasks.clone(), leaving: left.clone() };
         start(Box::pin(async move { follow.run(subscriber, first).await }));
     }
--- a/crates/hazelgrade-server/src/program/streaming.rs
+++ b/crates/hazelgrade-server/src/program/streaming.rs
@@ -9,8 +9,8 @@
 use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::document::{MAX_JOB_CLASSES, MAX_TENANTS};
-use hazelgrade_config::operator::Streamed;
-use hazelgrade_config::{Document, Kind, fault};
+use hazelgrade_config::operator::StreamConfig;
+use hazelgrade_config::{Document, Kind, error_summary};
 use hazelgrade_settings::places::Places;
 use hazelgrade_settings::{Named, Site};
 use hazelgrade_store::{Fault, Store};
@@ -46,14 +46,14 @@
 pub fn read_document(path: &Path) -> Result<Document, String> {
     let shown = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
-    Document::read(&text, &shown).map_err(|faults| fault::lines(&faults, FAULTS_NAMED))
+    Document::read(&text, &shown).map_err(|faults| error_summary(&faults, FAULTS_NAMED))
 }
 
 impl Kit {
     /// Opens the store and reads the file. A store that is another's, or in use, is the operator's slip and ends the
     /// start. One that can't be used otherwise is left as it is, and the node starts by its file.
     /// `dies_at` is for tests.
-    pub fn open(streamed: &Streamed, owner: &str, dies_at: Option<u64>) -> Result<Kit, String> {
+    pub fn open(streamed: &StreamConfig, owner: &str, dies_at: Option<u64>) -> Result<Kit, String> {
         let shown = streamed.store.display();
         let file = streamed.document.as_deref().map(read_document).transpose()?;
         let mut kit = Kit { store: Err(String::new()), kept: Kept::default(), unread: None, file };
@@ -90,13 +90,15 @@
     /// What a start takes in of the document that it serves by: descriptors, and memory in MB.
     pub fn limits(&self) -> (Option<f64>, Option<f64>) {
         let good = self.kept.good.as_ref().map(|good| &good.document);
-        good.or(self.file.as_ref()).map_or((None, None), Document::limits)
+        good.or(self.file.as_ref())
+            .map(Document::resource_limits)
+            .map_or((None, None), |limits| (limits.sockets, limits.memory_mb))
     }
 
     /// The subscriber and its first actions, and the node around it.
     pub fn start(
         self,
-        streamed: &Streamed,
+        streamed: &StreamConfig,
         deployment: &Deployment,
         surroundings: Surroundings,
     ) -> (Subscriber, Vec<Action>, Node) {
@@ -107,7 +109,7 @@
             program: env!("CARGO_PKG_VERSION").into(),
             lineage: streamed.lineage.clone(),
             rules: streamed.trial,
-            controls: streamed.control.len(),
+            controls: streamed.control_services.len(),
             chance: MultiplyWithCarry::new(deployment.seed.rotate_left(32)),
             backoff: Backoff::default(),
             kept,
@@ -192,9 +194,9 @@
     fn serve_by(&self, document: Option<&Document>) -> Result<(), String> {
         let around = &self.surroundings;
         let (parts, now) = (&around.parts, around.parts.rounds.clock.now());
-        let serving = document.map(|document| document.serving(&around.promises));
+        let serving = document.map(|document| document.serving_settings(&around.promises));
         let (mut cases, tenants, promises) = match serving {
-            Some(serving) => (serving.job_classes, serving.tenants, serving.promises),
+            Some(serving) => (serving.job_classes, serving.tenants, serving.limits),
             None => (Vec::new(), Vec::new(), around.promises.clone()),
         };
         cases.iter_mut().for_each(|(_, case)| case.calls_dependency &= around.calls_below);
@@ -212,7 +214,7 @@
             |place| parts.hand.names(|_, tenant| tenant == place),
         )?;
         // The last that may fail goes first: after it all of the document takes effect.
-        let places = document.map(|document| document.places(&around.name)).unwrap_or_default();
+        let places = document.map(|document| document.addresses_for(&around.name)).unwrap_or_default();
         around.reload.stream(places)?;
         let in_use = |place: usize| job_classes.places.name(place).is_some_and(|(_, in_use)| in_use);
         let placed = |(place, figures): (usize, &JobClass)| ClassSlot {
@@ -248,7 +250,7 @@
         self.job_classes.replace(job_classes);
         self.tenants.replace(tenants);
         parts.rounds.set_ready(document.is_some());
-        let level = document.and_then(Document::log).and_then(|level| level.parse().ok());
+        let level = document.and_then(Document::log_level).and_then(|level| level.parse().ok());
         if around.level.modify(|now| *now = level.unwrap_or(around.usual_level)).is_err() {
             tracing::debug!("the log level can't be changed");
         }
--- a/crates/hazelgrade-server/src/program/tls.rs
+++ b/crates/hazelgrade-server/src/program/tls.rs
@@ -2,7 +2,7 @@
 
 use crate::routing::job::Parts;
 use crate::transport::tls::Tls;
-use hazelgrade_config::operator::Encrypted;
+use hazelgrade_config::operator::TlsConfig;
 use hazelgrade_identity::certificate;
 use rustls::crypto::ring::default_provider;
 use rustls::server::WebPkiClientVerifier;
@@ -16,7 +16,7 @@
 
 /// Takes the files as they are now: for connections from now on, and revocations for those that stand too. Files that are
 /// wrong change nothing.
-pub fn load(encrypted: &Encrypted, tls: &Tls, parts: &Parts) -> Result<(), String> {
+pub fn load(encrypted: &TlsConfig, tls: &Tls, parts: &Parts) -> Result<(), String> {
     let (config, revoked) = read(encrypted)?;
     parts.callers.revoke(revoked);
     tls.replace(Arc::new(config));
@@ -33,8 +33,8 @@
     if read.is_empty() { Err(wrong(field, path, "expected a certificate in PEM")) } else { Ok(read) }
 }
 
-fn read(encrypted: &Encrypted) -> Result<(ServerConfig, BTreeSet<String>), String> {
-    let Encrypted { certificate, key, clients, revoked } = encrypted;
+fn read(encrypted: &TlsConfig) -> Result<(ServerConfig, BTreeSet<String>), String> {
+    let TlsConfig { certificate, key, client_authorities: clients, client_revocations: revoked } = encrypted;
     let chain = certificates("certificate", certificate)?;
     let private = PrivateKeyDer::from_pem_file(key).map_err(|error| wrong("key", key, error))?;
     let provider = Arc::new(default_provider());
