--- a/crates/hazelgrade-budget/src/terms.rs
+++ b/crates/hazelgrade-budget/src/terms.rs
@@ -51,7 +51,7 @@
         let site = at("site/");
         let sites = fields.0.keys().filter_map(|path| path.strip_prefix(&site)).map(str::to_owned);
         Terms {
-            measure: match fields.word(&at("measure")) {
+            measure: match fields.text(&at("measure")) {
                 Some("rate") => Measure::Rate { burst: units("burst", whole) },
                 Some("tries") => {
                     Measure::Tries { per_mille: (number("part", 0.1) * 1000.0).round() as Units }
@@ -64,7 +64,7 @@
             floor: units("floor", 1),
             lease: Span::from_ms(number("lease_ms", LEASE_MS)),
             longest_use: Span::from_ms(number("longest_use_ms", LONGEST_USE_MS)),
-            tenant: fields.word(&at("customer")).map(str::to_owned),
+            tenant: fields.text(&at("customer")).map(str::to_owned),
         }
     };
     fields.names("budget").into_iter().map(|name| (name.to_owned(), one(name))).collect()
--- a/crates/hazelgrade-demo/src/measure/identity.rs
+++ b/crates/hazelgrade-demo/src/measure/identity.rs
@@ -5,8 +5,7 @@
 use crate::{ALLOCATIONS, SELF};
 use comfy_table::Table;
 use hazelgrade::time::Time;
-use hazelgrade_config::fields::{Fields, Kind, Scalar};
-use hazelgrade_config::{Document, fault};
+use hazelgrade_config::{Document, Fields, Kind, Scalar, error_summary};
 use hazelgrade_fakes::callers::{Fate, Token, Told};
 use hazelgrade_fakes::documents::{BOOK, READ, document};
 use hazelgrade_fakes::executor::Work;
@@ -53,20 +52,20 @@
     let mut fields = Fields::default();
     let (x, y) = signer.public();
     let mut put = |path: &str, value| fields.0.insert(path.to_owned(), value);
-    put("audience", Scalar::Word("measure".into()));
+    put("audience", Scalar::Text("measure".into()));
     put("longest_token_s", Scalar::Number(longest));
-    put("key/k1/algorithm", Scalar::Word(signer.algorithm().into()));
-    put("key/k1/x", Scalar::Word(x));
-    y.map(|y| put("key/k1/y", Scalar::Word(y)));
+    put("key/k1/algorithm", Scalar::Text(signer.algorithm().into()));
+    put("key/k1/x", Scalar::Text(x));
+    y.map(|y| put("key/k1/y", Scalar::Text(y)));
     put("key/k1/active_from_s", Scalar::Number(0.0));
     put("key/k1/valid_until_s", Scalar::Number(5e9));
     for caller in 0..callers {
-        let words = |words: &[String]| Scalar::Words(words.to_vec());
+        let words = |words: &[String]| Scalar::TextList(words.to_vec());
         put(&format!("caller/caller-{caller}/use_cases"), words(&["read".into(), "book".into()]));
         put(&format!("caller/caller-{caller}/customers"), words(&[format!("c{}", caller % 50), "c0".into()]));
         put(&format!("caller/caller-{caller}/networks"), words(&["127.0.0.0/8".into(), "10.0.0.0/8".into()]));
     }
-    Document::of_fields(Kind::Identity, fields, "measure").map_err(|faults| fault::lines(&faults, 3))
+    Document::from_fields(Kind::Identity, fields, "measure").map_err(|faults| error_summary(&faults, 3))
 }
 
 fn compiled(document: &Document) -> Result<Identity, String> {
--- a/crates/hazelgrade-fakes/src/documents.rs
+++ b/crates/hazelgrade-fakes/src/documents.rs
@@ -26,5 +26,5 @@
 /// The same, read.
 pub fn document(cases: &[Case], tenants: usize, rest: &str) -> Result<Document, String> {
     let read = Document::read(&text(cases, tenants, rest), "a fake document");
-    read.map_err(|faults| hazelgrade_config::fault::lines(&faults, 5))
+    read.map_err(|faults| hazelgrade_config::error_summary(&faults, 5))
 }
--- a/crates/hazelgrade-identity/src/set.rs
+++ b/crates/hazelgrade-identity/src/set.rs
@@ -6,7 +6,7 @@
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use fixedbitset::FixedBitSet;
 use hazelgrade::time::{Span, Time};
-use hazelgrade_config::document::LONGEST_TOKEN_S;
+use hazelgrade_config::document::DEFAULT_MAX_TOKEN_LIFETIME_S;
 use hazelgrade_config::{Document, Fields};
 use ipnet::IpNet;
 use jsonwebtoken::{Algorithm, DecodingKey};
@@ -68,7 +68,7 @@
 
 fn key(fields: &Fields, kid: &str, longest: f64) -> Result<Key, String> {
     let path = |field: &str| format!("key/{kid}/{field}");
-    let part = |field: &str| fields.word(&path(field)).unwrap_or_default();
+    let part = |field: &str| fields.text(&path(field)).unwrap_or_default();
     let bytes = |field: &str| {
         let bytes = URL_SAFE_NO_PAD.decode(part(field)).ok().filter(|bytes| bytes.len() == 32);
         bytes.ok_or_else(|| format!("field key.{kid}.{field}: expected 32 bytes in base64url"))
@@ -84,14 +84,14 @@
     };
     let number = |field: &str| fields.number(&path(field));
     let until = number("valid_until_s").unwrap_or(0.0);
-    let listed = fields.words("revoked/keys").iter().any(|revoked| revoked == kid);
+    let listed = fields.text_list("revoked/keys").iter().any(|revoked| revoked == kid);
     Ok(Key {
         algorithm,
         decoding,
         active_from: at(number("active_from_s").unwrap_or(0.0)),
         signs_until: at(number("signs_until_s").unwrap_or(until - longest)),
         valid_until: at(until),
-        revoked: listed || fields.truth(&path("revoked")) == Some(true),
+        revoked: listed || fields.boolean(&path("revoked")) == Some(true),
     })
 }
 
@@ -99,14 +99,14 @@
     /// Of an identity document; what the document's own checks can't see is told in words with its field.
     pub fn of(document: &Document) -> Result<Identity, String> {
         let fields = document.fields();
-        let longest = fields.number("longest_token_s").unwrap_or(LONGEST_TOKEN_S);
+        let longest = fields.number("longest_token_s").unwrap_or(DEFAULT_MAX_TOKEN_LIFETIME_S);
         let mut keys = HashMap::new();
         for kid in fields.names("key") {
             keys.insert(kid.to_owned(), key(fields, kid, longest)?);
         }
         let (mut callers, mut by_name, mut by_certificate) = (Vec::new(), HashMap::new(), HashMap::new());
         for name in fields.names("caller") {
-            let words = |field: &str| fields.words(&format!("caller/{name}/{field}")).to_vec();
+            let words = |field: &str| fields.text_list(&format!("caller/{name}/{field}")).to_vec();
             let id = CallerId(callers.len());
             for certificate in words("certificates") {
                 if by_certificate.insert(certificate.clone(), id).is_some() {
@@ -118,7 +118,7 @@
             by_name.insert(name.to_owned(), id);
             callers.push(Caller {
                 name: name.to_owned(),
-                revoked: fields.truth(&format!("caller/{name}/revoked")) == Some(true),
+                revoked: fields.boolean(&format!("caller/{name}/revoked")) == Some(true),
                 job_classes: words("use_cases"),
                 tenants: words("customers"),
                 networks: words("networks").iter().filter_map(|network| network.parse().ok()).collect(),
@@ -129,16 +129,16 @@
             });
         }
         Ok(Identity {
-            audience: fields.word("audience").unwrap_or_default().to_owned(),
+            audience: fields.text("audience").unwrap_or_default().to_owned(),
             skew: Span::from_ms(fields.number("skew_s").unwrap_or(SKEW_S) * 1000.0),
             longest_token: Span::from_ms(longest * 1000.0),
             keys,
             callers,
             by_name,
             by_certificate,
-            revoked_tokens: fields.words("revoked/tokens").iter().cloned().collect(),
+            revoked_tokens: fields.text_list("revoked/tokens").iter().cloned().collect(),
             revoked_certificates: fields
-                .words("revoked/certificates")
+                .text_list("revoked/certificates")
                 .iter()
                 .map(|serial| serial.to_lowercase())
                 .collect(),
--- a/crates/hazelgrade-identity/tests/identity.rs
+++ b/crates/hazelgrade-identity/tests/identity.rs
@@ -206,9 +206,9 @@
     from: IpAddr,
 ) -> Result<String, Refused> {
     let document = read(text).expect("right");
-    let words = |field: &str| document.fields().words(&format!("caller/{caller}/{field}")).to_vec();
+    let words = |field: &str| document.fields().text_list(&format!("caller/{caller}/{field}")).to_vec();
     let any = |list: &[String], name: &str| list.iter().any(|one| one == "*" || one == name);
-    if document.fields().truth(&format!("caller/{caller}/revoked")) == Some(true) {
+    if document.fields().boolean(&format!("caller/{caller}/revoked")) == Some(true) {
         return Err(Refused::Revoked);
     }
     let networks = words("networks");
--- a/crates/hazelgrade-stream/src/kept.rs
+++ b/crates/hazelgrade-stream/src/kept.rs
@@ -88,7 +88,7 @@
                 let version = version(&good["version"])?;
                 let text = good["text"].as_str().ok_or("the last good version lacks its text")?;
                 let document = Document::read_as(kind, text, "the last good version")
-                    .map_err(|faults| hazelgrade_config::fault::lines(&faults, 3))?;
+                    .map_err(|faults| hazelgrade_config::error_summary(&faults, 3))?;
                 if document.digest() != version.digest {
                     return Err("the last good version doesn't have its digest".into());
                 }
--- a/crates/hazelgrade-stream/src/protocol.rs
+++ b/crates/hazelgrade-stream/src/protocol.rs
@@ -9,7 +9,7 @@
 use serde_json::{Map, Value, json};
 
 /// The longest line: a document of the longest kind, each of its characters escaped, and room for the rest.
-pub const LONGEST_LINE: usize = 2 * hazelgrade_config::LONGEST_DOCUMENT + 16 * 1024;
+pub const LONGEST_LINE: usize = 2 * hazelgrade_config::MAX_DOCUMENT_BYTES + 16 * 1024;
 /// What a subscriber says is short; a reason is cut to fit.
 pub const LONGEST_SAID: usize = 16 * 1024;
 const LONGEST_REASON: usize = 2000;
@@ -267,7 +267,8 @@
                     Some(_) => return Err("field whole: expected a document".into()),
                     None => Content::Change {
                         base: version_of(params.get("base"), "base")?,
-                        difference: Difference::of_json(params.get("difference").unwrap_or(&Value::Null))?,
+                        difference: Difference::from_json(params.get("difference").unwrap_or(&Value::Null))
+                            .map_err(|error| error.to_string())?,
                     },
                 };
                 Ok(Published::Offer(Offer {
@@ -287,7 +288,7 @@
         match self {
             Said::Subscribe { node, program, kind, lineage, have, trial, known } => line(&json!({
                 "jsonrpc": "2.0", "method": "subscribe",
-                "params": {"node": node, "program": program, "kind": kind.word(), "lineage": lineage,
+                "params": {"node": node, "program": program, "kind": kind.name(), "lineage": lineage,
                     "have": optional(have), "trial": trial, "known": optional(known)}
             })),
             Said::Acknowledged { nonce, version, trial, staged } => line(&json!({
@@ -345,7 +346,7 @@
                     None | Some(Value::Null) => Kind::Serving,
                     some => some
                         .and_then(Value::as_str)
-                        .and_then(Kind::of_word)
+                        .and_then(Kind::from_name)
                         .ok_or("field kind: expected a kind of document")?,
                 },
                 lineage: match params.get("lineage") {
--- a/crates/hazelgrade-stream/src/service.rs
+++ b/crates/hazelgrade-stream/src/service.rs
@@ -11,7 +11,7 @@
 use futures_lite::io::BufReader;
 use hazelgrade::time::Time;
 use hazelgrade_budget::message::Word;
-use hazelgrade_config::{Document, Kind, Version, fault};
+use hazelgrade_config::{Document, Kind, Version, error_summary};
 use hazelgrade_net::ending::ConnectionEnd;
 use hazelgrade_net::outbox::Outbox;
 use serde_json::{Value, json};
@@ -150,7 +150,7 @@
         let counter = Counter { lineage: lineage.clone(), last };
         write_counter(&setup.documents, kind, &counter)
             .map_err(|error| format!("--documents {}: {error}", setup.documents.display()))?;
-        tracing::info!(listen = %setup.listen, lineage, kind = kind.word(), ?last, "control service");
+        tracing::info!(listen = %setup.listen, lineage, kind = kind.name(), ?last, "control service");
         let admission = Admission::new(setup.admitted.0, setup.admitted.1);
         publishers.insert(kind, RefCell::new(Publisher::new(counter, admission)));
     }
@@ -379,7 +379,7 @@
         let shown = path.display().to_string();
         let read = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"));
         let document = read.and_then(|text| {
-            Document::read_as(kind, &text, &shown).map_err(|faults| fault::lines(&faults, FAULTS_NAMED))
+            Document::read_as(kind, &text, &shown).map_err(|faults| error_summary(&faults, FAULTS_NAMED))
         });
         match document {
             Ok(document) => {
@@ -397,7 +397,7 @@
     fn report(&self) -> Value {
         let mut report = self.report_kind(Kind::Serving);
         for kind in [Kind::Identity, Kind::Budgets] {
-            report[kind.word()] = self.report_kind(kind);
+            report[kind.name()] = self.report_kind(kind);
         }
         report
     }
--- a/crates/hazelgrade-stream/src/subscriber.rs
+++ b/crates/hazelgrade-stream/src/subscriber.rs
@@ -17,7 +17,7 @@
 use crate::trial::{SAMPLES, Sample, Service, Trial, Verdict};
 use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
-use hazelgrade_config::{Document, Kind, Version, fault, operator};
+use hazelgrade_config::{ConfigError, Document, Kind, Version, error_summary, operator};
 use std::sync::Arc;
 
 /// Nothing heard for so long, with a ping due every third of it: the connection is dead.
@@ -404,7 +404,7 @@
             }
         }
         let name = format!("version {version}");
-        let malformed = |faults: Vec<fault::Fault>| Refusal::Malformed(fault::lines(&faults, FAULTS_NAMED));
+        let malformed = |faults: Vec<ConfigError>| Refusal::Malformed(error_summary(&faults, FAULTS_NAMED));
         let document = match &offer.content {
             Content::Whole(text) => {
                 let document = Document::read_as(self.kind, text, &name).map_err(malformed)?;
@@ -415,11 +415,11 @@
             }
             Content::Change { base, difference } => {
                 let has = self.has().filter(|(has, _)| has == base).ok_or(Refusal::UnknownBase)?;
-                let fields = has.1.fields().with(difference).ok_or(Refusal::UnknownBase)?;
+                let fields = has.1.fields().apply(difference).ok_or(Refusal::UnknownBase)?;
                 if fields.digest() != version.digest {
                     return Err(Refusal::WrongDigest);
                 }
-                Document::of_fields(self.kind, fields, &name).map_err(malformed)?
+                Document::from_fields(self.kind, fields, &name).map_err(malformed)?
             }
         };
         Ok(Some(document))
--- a/crates/hazelgrade-stream/src/trial.rs
+++ b/crates/hazelgrade-stream/src/trial.rs
@@ -107,7 +107,7 @@
 
     /// The part of jobs that were succeeded in the span before and on trial, where enough were answered.
     fn parts(&self) -> Option<(f64, f64)> {
-        let enough = |sums: Sums| sums.answered >= self.rules.least_jobs;
+        let enough = |sums: Sums| sums.answered >= self.rules.min_jobs;
         (enough(self.before) && enough(self.now)).then(|| (self.before.part(), self.now.part()))
     }
 
@@ -121,7 +121,9 @@
             let both =
                 (self.before.succeeded + self.now.succeeded) / (self.before.answered + self.now.answered);
             let spread = both * (1.0 - both) * (1.0 / self.before.answered + 1.0 / self.now.answered);
-            if after < before * (1.0 - self.rules.fall) && before - after > ERRORS * spread.max(0.0).sqrt() {
+            if after < before * (1.0 - self.rules.max_success_drop_ratio)
+                && before - after > ERRORS * spread.max(0.0).sqrt()
+            {
                 let [before, after] = [before, after].map(|part| (part * 100.0).round());
                 return Verdict::Bad(format!("{after} of 100 jobs were satisfied, {before} before"));
             }
--- a/crates/hazelgrade-stream/tests/common/mod.rs
+++ b/crates/hazelgrade-stream/tests/common/mod.rs
@@ -37,7 +37,7 @@
     }))
 }
 
-pub const RULES: Trial = Trial { span: Span::ZERO, fall: 0.2, least_jobs: 10.0 };
+pub const RULES: Trial = Trial { span: Span::ZERO, max_success_drop_ratio: 0.2, min_jobs: 10.0 };
 
 pub fn rules() -> Trial {
     Trial { span: Span::from_ms(1000.0), ..RULES }
