--- a/crates/hazelgrade-server/src/program/budgets.rs
+++ b/crates/hazelgrade-server/src/program/budgets.rs
@@ -127,7 +127,7 @@
             let store = store?;
             blocking::unblock(move || {
                 let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
-                let kept = store.keep(&[(kept::name(Kind::Budgets), Some(&bytes))]);
+                let kept = store.commit(&[(kept::name(Kind::Budgets), Some(&bytes))]);
                 kept.map_err(|fault| fault.to_string())
             })
             .await
--- a/crates/hazelgrade-server/src/program/streaming.rs
+++ b/crates/hazelgrade-server/src/program/streaming.rs
@@ -13,7 +13,7 @@
 use hazelgrade_config::{Document, Kind, error_summary};
 use hazelgrade_settings::places::Places;
 use hazelgrade_settings::{Named, Site};
-use hazelgrade_store::{Fault, Store};
+use hazelgrade_store::{Store, StoreError};
 use hazelgrade_stream::backoff::Backoff;
 use hazelgrade_stream::follow::Host;
 use hazelgrade_stream::kept::{self, Kept};
@@ -59,7 +59,7 @@
         let mut kit = Kit { store: Err(String::new()), kept: Kept::default(), unread: None, file };
         let opened = match dies_at {
             None => Store::open(&streamed.store, owner),
-            Some(dies_at) => Store::open_dying(&streamed.store, owner, dies_at),
+            Some(dies_at) => Store::open_with_kill_at(&streamed.store, owner, dies_at),
         };
         let opened = opened.and_then(|mut store| {
             let kept = store.get(kept::name(Kind::Serving))?;
@@ -76,7 +76,7 @@
                 }
                 kit.store = Ok(Arc::new(Mutex::new(store)));
             }
-            Err(fault @ (Fault::Other { .. } | Fault::InUse)) => {
+            Err(fault @ (StoreError::OtherOwner { .. } | StoreError::InUse)) => {
                 return Err(format!("field stream.store: {shown}: {fault}"));
             }
             Err(fault) => {
@@ -271,7 +271,7 @@
                 let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
                 let mut changes = vec![(kept::name(Kind::Serving), Some(bytes.as_slice()))];
                 changes.extend(unread.as_deref().map(|unread| (UNREAD, Some(unread))));
-                store.keep(&changes).map_err(|fault| fault.to_string())
+                store.commit(&changes).map_err(|fault| fault.to_string())
             })
             .await;
             if kept.is_ok() {
