--- a/crates/hazelgrade-demo/src/measure/streaming.rs
+++ b/crates/hazelgrade-demo/src/measure/streaming.rs
@@ -94,7 +94,7 @@
         let Some(store) = self.store.clone() else { return async { Ok(()) }.boxed_local() };
         let keeping = blocking::unblock(move || {
             let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
-            store.keep(&[(kept::name(Kind::Serving), Some(&bytes))]).map_err(failed)
+            store.commit(&[(kept::name(Kind::Serving), Some(&bytes))]).map_err(failed)
         });
         keeping.boxed_local()
     }
--- a/crates/hazelgrade-server/tests/streaming/node.rs
+++ b/crates/hazelgrade-server/tests/streaming/node.rs
@@ -334,7 +334,7 @@
     let strange: &[u8] = b"{\"good\": {\"text\": \"of another age\"}}";
     let open = || hazelgrade_store::Store::open(&plan.store(), "n1").expect("a store");
     open()
-        .keep(&[(hazelgrade_stream::kept::name(hazelgrade_config::Kind::Serving), Some(strange))])
+        .commit(&[(hazelgrade_stream::kept::name(hazelgrade_config::Kind::Serving), Some(strange))])
         .expect("it is kept");
     let mut node = plan.start().expect("it starts");
     assert!(node.becomes(true), "by its file");
--- a/crates/hazelgrade-stream/src/keeping.rs
+++ b/crates/hazelgrade-stream/src/keeping.rs
@@ -86,7 +86,7 @@
     if at.exists() {
         return Err(format!("{}: there is a keeper's store already", at.display()));
     }
-    let failed = |fault: hazelgrade_store::Fault| format!("{}: {fault}", at.display());
+    let failed = |fault: hazelgrade_store::StoreError| format!("{}: {fault}", at.display());
     let mut store = Store::open(&at, &owner(site, listen)).map_err(failed)?;
     // Greater than any number that counts starts, so that nobody takes it for an earlier one.
     let seconds = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs());
@@ -99,7 +99,7 @@
     };
     let ledger = Ledger::default();
     let (book, ledger) = (json!(book).to_string(), json!(ledger).to_string());
-    let kept = store.keep(&[(BOOK, Some(book.as_bytes())), (LEDGER, Some(ledger.as_bytes()))]);
+    let kept = store.commit(&[(BOOK, Some(book.as_bytes())), (LEDGER, Some(ledger.as_bytes()))]);
     kept.map_err(failed)?;
     let waits = if lost {
         format!("; it grants nothing new for {LONGEST_MS:.0} ms after its start")
@@ -131,7 +131,7 @@
         }
         let opened = match setup.dies_at {
             None => Store::open(&at, &whose),
-            Some(dies_at) => Store::open_dying(&at, &whose, dies_at),
+            Some(dies_at) => Store::open_with_kill_at(&at, &whose, dies_at),
         };
         let mut store = opened.map_err(|fault| format!("--keeper {}: {shown}: {fault}", setup.site))?;
         let book: Book = read(&mut store, BOOK, &shown)?;
@@ -174,7 +174,7 @@
 
     fn keep(&self, name: &str, value: &Value) -> Result<(), String> {
         let bytes = value.to_string();
-        let kept = self.store.borrow_mut().keep(&[(name, Some(bytes.as_bytes()))]);
+        let kept = self.store.borrow_mut().commit(&[(name, Some(bytes.as_bytes()))]);
         kept.map_err(|fault| fault.to_string())
     }
 
--- a/crates/hazelgrade-stream/tests/deaths.rs
+++ b/crates/hazelgrade-stream/tests/deaths.rs
@@ -7,7 +7,7 @@
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::{Kind, Version};
 use hazelgrade_store::Store;
-use hazelgrade_store::disk::{Disk, Plan};
+use hazelgrade_store::simulated_disk::{FaultPlan, SimulatedDisk};
 use hazelgrade_stream::kept::{self, Kept};
 use hazelgrade_stream::protocol::Said;
 use hazelgrade_stream::subscriber::{Action, Event, Serving, Subscriber};
@@ -29,7 +29,7 @@
 
 impl World {
     /// `None` once the disk is dead.
-    fn start(disk: &Disk) -> Option<World> {
+    fn start(disk: &SimulatedDisk) -> Option<World> {
         let storage = disk.clone();
         let mut store = Store::open_on(move || storage.clone(), "n").ok()?;
         let kept = store.get(kept::name(Kind::Serving)).ok()?;
@@ -44,17 +44,17 @@
         Some(world)
     }
 
-    fn tell(&mut self, event: Event, disk: &Disk) -> Option<()> {
+    fn tell(&mut self, event: Event, disk: &SimulatedDisk) -> Option<()> {
         let actions = take(&mut self.node, self.now, event);
         self.carry_out(actions, disk)
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>, disk: &Disk) -> Option<()> {
+    fn carry_out(&mut self, actions: Vec<Action>, disk: &SimulatedDisk) -> Option<()> {
         for action in actions {
             match action {
                 Action::Keep { ticket, kept } => {
-                    let done = self.store.keep(&[(kept::name(Kind::Serving), Some(&kept.encode()))]);
-                    if disk.is_dead() {
+                    let done = self.store.commit(&[(kept::name(Kind::Serving), Some(&kept.encode()))]);
+                    if disk.has_crashed() {
                         return None;
                     }
                     let done = done.map_err(|fault| fault.to_string());
@@ -70,7 +70,7 @@
     }
 
     /// A good version, one that fails, a good one, and a clean stop in a trial.
-    fn play(&mut self, disk: &Disk) -> Option<()> {
+    fn play(&mut self, disk: &SimulatedDisk) -> Option<()> {
         for (number, well) in [(1, true), (2, false), (3, true), (4, true)] {
             self.tell(whole(number, number, number), disk)?;
             if well {
@@ -90,19 +90,19 @@
 
 #[test]
 fn wherever_it_dies_it_starts_by_the_last_good_version_and_knows_what_was_on_trial() {
-    let made = Disk::default();
+    let made = SimulatedDisk::default();
     drop(World::start(&made).expect("a new disk"));
     let whole_run = made.after_crash(|| 1.0);
     let mut world = World::start(&whole_run).expect("a store");
     world.play(&whole_run).expect("nothing dies");
-    let (writes, all) = (whole_run.count(), world.run.good.clone());
+    let (writes, all) = (whole_run.operations(), world.run.good.clone());
     assert_eq!(all.iter().map(|version| version.number).collect::<Vec<_>>(), [1, 3, 4]);
     drop(world);
     let mut kills = 0;
     for dies_at in 0..writes {
         for seed in 0..4 {
             let disk = made.after_crash(|| 1.0);
-            disk.plan(Plan { dies_at: Some(dies_at), ..Plan::default() });
+            disk.set_plan(FaultPlan { crash_at: Some(dies_at), ..FaultPlan::default() });
             let run = match World::start(&disk) {
                 Some(mut world) => {
                     let _ = world.play(&disk);
@@ -143,15 +143,15 @@
 #[test]
 fn a_write_that_fails_at_any_point_turns_the_version_down_or_is_made_up_for() {
     let writes = {
-        let disk = Disk::default();
+        let disk = SimulatedDisk::default();
         let mut world = World::start(&disk).expect("a new disk");
         world.play(&disk).expect("nothing dies");
-        disk.count()
+        disk.operations()
     };
     for fails_at in 0..writes {
-        let disk = Disk::default();
+        let disk = SimulatedDisk::default();
         let Some(mut world) = World::start(&disk) else { panic!("a new disk") };
-        disk.plan(Plan { fails_at: Some(fails_at), ..Plan::default() });
+        disk.set_plan(FaultPlan { fail_at: Some(fails_at), ..FaultPlan::default() });
         world.play(&disk).expect("nothing dies");
         // After a pause what could not be kept is kept.
         world.now = world.now + Span::from_ms(60_000.0);
@@ -176,13 +176,13 @@
 #[test]
 fn on_a_disk_that_fills_up_the_last_good_version_stays() {
     for full_at in 0..60 {
-        let disk = Disk::default();
+        let disk = SimulatedDisk::default();
         let Some(mut world) = World::start(&disk) else { panic!("a new disk") };
         world.tell(whole(1, 1, 1), &disk);
         world.now = world.now + Span::from_ms(1001.0);
         world.tell(served(0.0, 1.0), &disk);
         assert_eq!(world.node.serving(), Serving::Good(version(1, 1)));
-        disk.plan(Plan { full_at: Some(full_at), ..Plan::default() });
+        disk.set_plan(FaultPlan { full_at: Some(full_at), ..FaultPlan::default() });
         let _ = world.play(&disk);
         let said = world.run.good.last().copied().unwrap_or(version(1, 1));
         drop(world);
