--- a/crates/hazelgrade-server/src/program/command.rs
+++ b/crates/hazelgrade-server/src/program/command.rs
@@ -3,7 +3,7 @@
 use super::streaming::read_document;
 use super::{budgets, configuration, control, identity, keys, logging, serve};
 use hazelgrade_config::{OperatorConfig, error_summary};
-use hazelgrade_settings::Site;
+use hazelgrade_settings::HostSettings;
 use hazelgrade_stream::keeping;
 use hazelgrade_stream::service::Setup;
 use pico_args::Arguments;
@@ -133,8 +133,8 @@
                 return Ok(ExitCode::SUCCESS);
             }
             let (deployment, _) = configured()?;
-            let (_, site) = hazelgrade_settings::instance(&deployment.settings, deployment.seed)
-                .map_err(|fault| format!("settings: {}", fault.0))?;
+            let (_, site) = hazelgrade_settings::decode(&deployment.settings, deployment.seed)
+                .map_err(|error| format!("settings: {error}"))?;
             println!("{} would listen on {}", deployment.name, deployment.listen);
             let addresses = deployment.addresses;
             println!("executor {}, registry {}", addresses.executor, addresses.registry);
@@ -144,7 +144,7 @@
             }
             println!("client connections: {} at most", deployment.connections());
             for case in &site.job_classes {
-                println!("use case {}: {:?}", case.name, case.repeats);
+                println!("use case {}: {:?}", case.name, case.idempotency);
             }
             println!("customers: {}", tenants(&site));
             println!(
@@ -188,7 +188,7 @@
     }
 }
 
-fn tenants(site: &Site) -> String {
+fn tenants(site: &HostSettings) -> String {
     let names: Vec<&str> = site.tenants.iter().flatten().map(String::as_str).collect();
     names.join(", ")
 }
--- a/crates/hazelgrade-server/src/program/identity.rs
+++ b/crates/hazelgrade-server/src/program/identity.rs
@@ -72,7 +72,7 @@
 ) -> Result<Option<Following>, String> {
     parts.callers.switch_on();
     let mut site = (**parts.site.borrow()).clone();
-    site.callers_known = true;
+    site.authenticates_callers = true;
     parts.site.replace(Rc::new(site));
     let file = identified.document.as_deref().map(read_document).transpose()?;
     let Some((streamed, kit)) = streamed.zip(kit).filter(|_| identified.streamed) else {
--- a/crates/hazelgrade-server/src/program/serve.rs
+++ b/crates/hazelgrade-server/src/program/serve.rs
@@ -70,8 +70,8 @@
         deployment.within(sockets, memory_mb);
         deployment.without_use_cases();
     }
-    let (control, site) = hazelgrade_settings::instance(&deployment.settings, deployment.seed)
-        .map_err(|fault| format!("settings: {}", fault.0))?;
+    let (control, site) = hazelgrade_settings::decode(&deployment.settings, deployment.seed)
+        .map_err(|error| format!("settings: {error}"))?;
     let mut reads_again = false;
     let Some(listener) = listen(deployment.listen, &mut signals, &mut reads_again)? else {
         tracing::info!("told to leave before it listened");
@@ -98,9 +98,9 @@
         hand.clone(),
         tasks.clone(),
     ));
-    let notices = Notices::new(rounds.clone(), hand.clone(), link.clone(), &site.gauges);
-    let list_follows_health = site.list_follows_health;
-    let (promises, calls_may) = (site.promises.clone(), site.calls_below);
+    let notices = Notices::new(rounds.clone(), hand.clone(), link.clone(), &site.gauge_names);
+    let list_follows_health = site.readiness_follows_health;
+    let (promises, calls_may) = (site.limits.clone(), site.calls_dependency);
     let parts = Rc::new(Parts {
         rounds: rounds.clone(),
         hand,
--- a/crates/hazelgrade-server/src/program/streaming.rs
+++ b/crates/hazelgrade-server/src/program/streaming.rs
@@ -11,8 +11,8 @@
 use hazelgrade_config::document::{MAX_JOB_CLASSES, MAX_TENANTS};
 use hazelgrade_config::operator::StreamConfig;
 use hazelgrade_config::{Document, Kind, error_summary};
-use hazelgrade_settings::places::Places;
-use hazelgrade_settings::{Named, Site};
+use hazelgrade_settings::slots::{NameRequest, Slots};
+use hazelgrade_settings::{HostSettings, JobClassEntry};
 use hazelgrade_store::{Store, StoreError};
 use hazelgrade_stream::backoff::Backoff;
 use hazelgrade_stream::follow::Host;
@@ -147,7 +147,7 @@
 
 /// Names at their places, with the figures that each had last.
 struct Table<T> {
-    places: Places,
+    places: Slots,
     figures: Vec<T>,
 }
 
@@ -163,7 +163,7 @@
 
 impl<T: Clone> Table<T> {
     fn empty() -> Table<T> {
-        Table { places: Places::default(), figures: Vec::new() }
+        Table { places: Slots::default(), figures: Vec::new() }
     }
 
     /// The table for other names, with their figures, and the places that stand for something else.
@@ -175,17 +175,19 @@
         most: usize,
         busy: impl Fn(usize) -> bool,
     ) -> Result<(Table<T>, Vec<usize>), String> {
-        let names: Vec<(&str, Span)> = named.iter().map(|(name, of)| (name.as_str(), rest(of))).collect();
-        let assigned = self.places.assign(now, &names, most * PLACES_A_NAME, busy)?;
+        let names: Vec<NameRequest> =
+            named.iter().map(|(name, of)| NameRequest { name, quarantine: rest(of) }).collect();
+        let assigned = self.places.assign(now, &names, most * PLACES_A_NAME, busy);
+        let assigned = assigned.map_err(|error| error.to_string())?;
         let mut figures = self.figures.clone();
         // New places are at the end, in the order of their names.
-        for (place, (_, of)) in assigned.at.iter().zip(named) {
+        for (place, (_, of)) in assigned.slot_of_name.iter().zip(named) {
             match figures.get_mut(*place) {
                 Some(figure) => *figure = of.clone(),
                 None => figures.push(of.clone()),
             }
         }
-        Ok((Table { places: assigned.places, figures }, assigned.anew))
+        Ok((Table { places: assigned.slots, figures }, assigned.reused))
     }
 }
 
@@ -231,15 +233,15 @@
         if !parts.rounds.revise(revision) {
             return Err("a place was taken away that jobs in hand may name".into());
         }
-        let named = |(place, case): (usize, &JobClass)| Named {
+        let named = |(place, case): (usize, &JobClass)| JobClassEntry {
             name: job_classes.places.name(place).map(|(name, _)| name.to_owned()).unwrap_or_default(),
-            repeats: case.idempotency,
+            idempotency: case.idempotency,
             deadline: case.deadline,
             in_use: in_use(place),
         };
         let tenant = |place| tenants.places.name(place).filter(|(_, in_use)| *in_use);
         let before = parts.site.borrow().clone();
-        parts.site.replace(Rc::new(Site {
+        parts.site.replace(Rc::new(HostSettings {
             job_classes: job_classes.figures.iter().enumerate().map(named).collect(),
             tenants: (0..tenants.places.count())
                 .map(|place| tenant(place).map(|(name, _)| name.to_owned()))
--- a/crates/hazelgrade-simulator-adapter/src/main.rs
+++ b/crates/hazelgrade-simulator-adapter/src/main.rs
@@ -4,7 +4,7 @@
 mod wire;
 
 use hazelgrade::controller::Controller;
-use hazelgrade_settings::Fault;
+use hazelgrade_settings::SettingsError;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -52,7 +52,7 @@
         }
         let mut reply = String::new();
         answer(&batch, &mut fleet, &mut reply)
-            .map_err(|(offset, Fault(message))| format!("line {}: {message}", first + offset))?;
+            .map_err(|(offset, error)| format!("line {}: {error}", first + offset))?;
         reply.push_str("ok\n");
         output
             .write_all(reply.as_bytes())
@@ -63,23 +63,23 @@
 
 /// Answers one batch. Events go to their instance in the order they came; a crash wipes what came before it
 /// for that instance, and a launch starts a new one in its place.
-fn answer(batch: &str, fleet: &mut Fleet, reply: &mut String) -> Result<(), (usize, Fault)> {
+fn answer(batch: &str, fleet: &mut Fleet, reply: &mut String) -> Result<(), (usize, SettingsError)> {
     let mut lines = batch.lines().enumerate();
     let mut clock = Fields::new(lines.next().map_or("", |(_, line)| line));
-    let head = || -> Result<_, Fault> {
+    let head = || -> Result<_, SettingsError> {
         if clock.text("message")? != "sync" {
-            return Err(Fault("field message: expected sync at the head of a batch".into()));
+            return Err(SettingsError::new("message", "sync at the head of a batch"));
         }
         let now = clock.time("clock")?;
         clock.end()?;
         Ok(now)
     };
-    let now = { head }().map_err(|fault| (0, fault))?;
+    let now = { head }().map_err(|error| (0, error))?;
     let mut order: Vec<u64> = Vec::new();
     let mut pending: BTreeMap<u64, Pending> = BTreeMap::new();
     for (offset, line) in lines.filter(|(_, line)| *line != "eof_batch") {
         let mut fields = Fields::new(line);
-        let mut decode = || -> Result<(), Fault> {
+        let mut decode = || -> Result<(), SettingsError> {
             let name = fields.text("message")?;
             let known = [
                 "launch",
@@ -93,7 +93,7 @@
                 "retire_soon",
             ];
             if !known.contains(&name) {
-                return Err(Fault(format!("field message: expected a known message name, found {name:?}")));
+                return Err(SettingsError::new("message", format!("a known message name, found {name:?}")));
             }
             let instance = fields.whole("i")?;
             match name {
@@ -108,7 +108,7 @@
                     pending.insert(instance, Vec::new());
                 }
                 _ if !fleet.contains_key(&instance) => {
-                    return Err(Fault("field i: expected an instance that was launched".into()));
+                    return Err(SettingsError::new("i", "an instance that was launched"));
                 }
                 _ => {
                     let start = line.match_indices('\t').nth(1).map_or(line.len(), |(at, _)| at + 1);
@@ -120,7 +120,7 @@
             }
             Ok(())
         };
-        decode().map_err(|fault| (offset, fault))?;
+        decode().map_err(|error| (offset, error))?;
     }
     for instance in order {
         let (Some(events), Some(Some((control, counts)))) =
@@ -131,8 +131,8 @@
         let mut outcome = Ok(());
         let feed = |sink: &mut hazelgrade::controller::EventSink| {
             for (offset, name, rest) in events {
-                if let Err(fault) = wire::tell(name, &mut Fields::new(rest), *counts, now, sink) {
-                    outcome = Err((offset, fault));
+                if let Err(error) = wire::tell(name, &mut Fields::new(rest), *counts, now, sink) {
+                    outcome = Err((offset, error));
                     return;
                 }
             }
--- a/crates/hazelgrade-simulator-adapter/src/wire.rs
+++ b/crates/hazelgrade-simulator-adapter/src/wire.rs
@@ -3,10 +3,15 @@
 use hazelgrade::api::*;
 use hazelgrade::controller::{Controller, EventSink};
 use hazelgrade::time::{Span, Time};
-use hazelgrade_settings::{Fault, fault};
+use hazelgrade_settings::SettingsError;
 use serde_json::Value;
 use std::fmt::Write;
 
+/// The error of a field of which `expected` was expected.
+fn invalid<T>(field: &str, expected: &str) -> Result<T, SettingsError> {
+    Err(SettingsError::new(field, expected))
+}
+
 /// The fields of a line, taken one after the other.
 pub struct Fields<'a> {
     rest: Option<&'a str>,
@@ -17,9 +22,9 @@
         Fields { rest: Some(line) }
     }
 
-    pub fn text(&mut self, field: &str) -> Result<&'a str, Fault> {
+    pub fn text(&mut self, field: &str) -> Result<&'a str, SettingsError> {
         let Some(rest) = self.rest else {
-            return fault(field, "one more field on the line");
+            return invalid(field, "one more field on the line");
         };
         let (now, later) = match rest.split_once('\t') {
             Some((now, later)) => (now, Some(later)),
@@ -30,46 +35,46 @@
     }
 
     /// All that is left of the line.
-    fn remainder(&mut self, field: &str) -> Result<&'a str, Fault> {
-        self.rest.take().map_or_else(|| fault(field, "text up to the end of the line"), Ok)
+    fn remainder(&mut self, field: &str) -> Result<&'a str, SettingsError> {
+        self.rest.take().map_or_else(|| invalid(field, "text up to the end of the line"), Ok)
     }
 
-    pub fn whole(&mut self, field: &str) -> Result<u64, Fault> {
+    pub fn whole(&mut self, field: &str) -> Result<u64, SettingsError> {
         let text = self.text(field)?;
         match text.parse::<u64>() {
             Ok(number) if number <= 1 << 63 => Ok(number),
-            _ => fault(field, "a whole number from 0 to 2^63"),
+            _ => invalid(field, "a whole number from 0 to 2^63"),
         }
     }
 
     /// A number from `least` up, or the value for an absent one.
-    fn number(&mut self, field: &str, least: f64, absent: Option<f64>) -> Result<f64, Fault> {
+    fn number(&mut self, field: &str, least: f64, absent: Option<f64>) -> Result<f64, SettingsError> {
         let text = self.text(field)?;
         match (text, absent) {
             ("-", Some(absent)) => Ok(absent),
             _ => match text.parse::<f64>() {
                 Ok(number) if number.is_finite() && number >= least && number.abs() < 1e15 => Ok(number),
-                _ => fault(field, "a finite number in range"),
+                _ => invalid(field, "a finite number in range"),
             },
         }
     }
 
-    pub fn time(&mut self, field: &str) -> Result<Time, Fault> {
+    pub fn time(&mut self, field: &str) -> Result<Time, SettingsError> {
         self.number(field, f64::MIN, None).map(Time::from_ms)
     }
 
-    fn span(&mut self, field: &str) -> Result<Span, Fault> {
+    fn span(&mut self, field: &str) -> Result<Span, SettingsError> {
         self.number(field, 0.0, None).map(Span::from_ms)
     }
 
-    fn id(&mut self, field: &str) -> Result<JobId, Fault> {
+    fn id(&mut self, field: &str) -> Result<JobId, SettingsError> {
         match self.text(field)? {
-            "" | "-" => fault(field, "a job's id"),
+            "" | "-" => invalid(field, "a job's id"),
             text => Ok(text.into()),
         }
     }
 
-    fn outcome(&mut self, field: &str) -> Result<Outcome, Fault> {
+    fn outcome(&mut self, field: &str) -> Result<Outcome, SettingsError> {
         Ok(match self.text(field)? {
             "completed" => Outcome::Completed,
             "errored" => Outcome::Failed,
@@ -79,12 +84,12 @@
             "severed" => Outcome::ConnectionLost,
             "recalled" => Outcome::Cancelled,
             "superseded" => Outcome::Superseded,
-            _ => return fault(field, "one of the outcome codes"),
+            _ => return invalid(field, "one of the outcome codes"),
         })
     }
 
-    pub fn end(&mut self) -> Result<(), Fault> {
-        if self.rest.is_some() { fault("after the last one", "the end of the line") } else { Ok(()) }
+    pub fn end(&mut self) -> Result<(), SettingsError> {
+        if self.rest.is_some() { invalid("after the last one", "the end of the line") } else { Ok(()) }
     }
 }
 
@@ -96,7 +101,7 @@
     counts: Counts,
     now: Time,
     sink: &mut EventSink,
-) -> Result<(), Fault> {
+) -> Result<(), SettingsError> {
     match name {
         "ingress" => {
             let job = job(fields, counts, now)?;
@@ -132,7 +137,7 @@
             fields.end()?;
             sink.timer_fired(token, cores_used);
         }
-        _ => return fault("message", "a known message name"),
+        _ => return invalid("message", "a known message name"),
     }
     Ok(())
 }
@@ -144,15 +149,15 @@
     tenants: usize,
 }
 
-fn job(fields: &mut Fields, counts: Counts, now: Time) -> Result<Job, Fault> {
+fn job(fields: &mut Fields, counts: Counts, now: Time) -> Result<Job, SettingsError> {
     let id = fields.id("handle")?;
     let job_class = fields.whole("category")? as usize;
     if job_class >= counts.job_classes {
-        return fault("category", "a place in the list of classes");
+        return invalid("category", "a place in the list of classes");
     }
     let tenant = fields.number("team", 0.0, Some(0.0))? as usize;
     if tenant >= counts.tenants.max(1) {
-        return fault("team", "a place in the list of customers");
+        return invalid("team", "a place in the list of customers");
     }
     fields.text("affinity")?;
     let expires = fields.number("expires", f64::MIN, Some(0.0))?;
@@ -160,11 +165,11 @@
     let queued_kb = fields.number("sizeKb", 0.0, Some(0.0))?;
     let rank = fields.number("standing", 0.0, Some(0.0))?;
     if rank >= 1.0 {
-        return fault("standing", "a number from 0 up to less than 1");
+        return invalid("standing", "a number from 0 up to less than 1");
     }
     let bits = match fields.number("opts", 0.0, Some(0.0))? {
         bits if bits.fract() == 0.0 => bits as u64,
-        _ => return fault("opts", "a sum of bit values"),
+        _ => return invalid("opts", "a sum of bit values"),
     };
     fields.number("srcPeer", 0.0, Some(0.0))?;
     let lay = Span::from_ms(fields.number("lay", 0.0, Some(0.0))?);
@@ -193,12 +198,12 @@
 }
 
 /// Checks the form of all gauges and picks the part of the cores that is busy, where it is among them.
-fn cores_used(text: &str) -> Result<Option<f64>, Fault> {
+fn cores_used(text: &str) -> Result<Option<f64>, SettingsError> {
     let mut used = None;
     for pair in text.split(',').filter(|pair| !matches!(*pair, "" | "-")) {
         let value = pair.split_once(':').and_then(|(name, value)| Some((name, value.parse::<f64>().ok()?)));
         let Some((name, value)) = value else {
-            return fault("serverStats", "name:value pairs with numbers for values");
+            return invalid("serverStats", "name:value pairs with numbers for values");
         };
         used = if name == "core_use" { Some(value).filter(|value| value.is_finite()) } else { used };
     }
@@ -206,14 +211,14 @@
 }
 
 /// Decodes the rest of a `launch` line into a new instance.
-pub fn launch(fields: &mut Fields) -> Result<(Controller, Counts), Fault> {
+pub fn launch(fields: &mut Fields) -> Result<(Controller, Counts), SettingsError> {
     let seed = fields.whole("prng")?;
     let text = fields.remainder("settings")?;
     let Ok(settings) = serde_json::from_str::<Value>(text) else {
-        return fault("settings", "a JSON object");
+        return invalid("settings", "a JSON object");
     };
-    let (control, site) = hazelgrade_settings::instance(&settings, seed)?;
-    Ok((control, Counts { job_classes: site.job_classes.len(), tenants: site.tenants.len() }))
+    let (control, host) = hazelgrade_settings::decode(&settings, seed)?;
+    Ok((control, Counts { job_classes: host.job_classes.len(), tenants: host.tenants.len() }))
 }
 
 /// Writes the decisions of one instance as lines of the reply.
