--- a/crates/hazelgrade-server/src/protocol/jsonrpc.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc.rs
@@ -4,7 +4,7 @@
 use hazelgrade::api::{Idempotency, Job, JobId};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_identity::token::LONGEST_TOKEN;
-use hazelgrade_settings::Site;
+use hazelgrade_settings::HostSettings;
 use serde_json::{Map, Value, json};
 
 /// The longest line of a client: a body of 2 KiB in base64, every character of it escaped, and room for the rest.
@@ -106,7 +106,7 @@
 }
 
 /// Decodes a line. `site` gives the job classes and tenants that a job may name.
-pub fn decode(line: &[u8], site: &Site) -> Result<Incoming, Wrong> {
+pub fn decode(line: &[u8], site: &HostSettings) -> Result<Incoming, Wrong> {
     let wrong = |call, code, message: &str| Wrong { call, not_here: false, code, message: message.into() };
     let value: Value = serde_json::from_slice(line)
         .map_err(|_| wrong(None, UNREADABLE, "the line is not a JSON value in UTF-8"))?;
@@ -136,7 +136,7 @@
     if method == "ping" {
         return Ok(Incoming::Check(number));
     }
-    if method == "hello" && site.callers_known {
+    if method == "hello" && site.authenticates_callers {
         let token = token(&mut params).map_err(|message| wrong(call, WRONG_PARAMS, &message))?;
         let token = token.ok_or_else(|| wrong(call, WRONG_PARAMS, "field token: expected a token"))?;
         return Ok(Incoming::Hello(number, token));
@@ -163,7 +163,7 @@
     }
 }
 
-fn asked(call: u64, job_class: usize, params: &mut Params, site: &Site) -> Result<Asked, String> {
+fn asked(call: u64, job_class: usize, params: &mut Params, site: &HostSettings) -> Result<Asked, String> {
     let id = params.text("req", "a job's id")?;
     if !id.bytes().all(|byte| byte.is_ascii_graphic()) {
         return Err("field req: expected a job's id without spaces".into());
@@ -178,7 +178,9 @@
     };
     let tenant = match tenant {
         Some(tenant) => tenant,
-        None if site.tenants.iter().all(Option::is_none) || (!for_customer && site.callers_known) => 0,
+        None if site.tenants.iter().all(Option::is_none) || (!for_customer && site.authenticates_callers) => {
+            0
+        }
         None => return Err("field owner: expected a customer of this site".into()),
     };
     let again = match params.0.get("resent") {
@@ -189,7 +191,7 @@
         params.number("need", |kb| kb > 0.0 && kb < 2000.0, "kilobytes, above 0 and under 2000")?;
     let rank = params.number("level", |rank| (0.0..1.0).contains(&rank), "from 0 to under 1")?;
     // The page of the protocol names no mark for keyed jobs; the site's list of names calls it `opkey`.
-    let (name, shown) = match site.job_classes[job_class].repeats {
+    let (name, shown) = match site.job_classes[job_class].idempotency {
         Idempotency::Idempotent => ("subject", "what a read is about"),
         _ => ("opkey", "the mark of a numbered job"),
     };
@@ -213,7 +215,7 @@
         over_caller_limit: false,
         lease_retry_after: None,
     };
-    let token = if site.callers_known { token(params)? } else { None };
+    let token = if site.authenticates_callers { token(params)? } else { None };
     Ok(Asked { call, job, body, mark, token, for_customer })
 }
 
--- a/crates/hazelgrade-server/src/routing/callers.rs
+++ b/crates/hazelgrade-server/src/routing/callers.rs
@@ -4,7 +4,7 @@
 use hazelgrade::time::Time;
 use hazelgrade_identity::desk::{Desk, Known};
 use hazelgrade_identity::{Identity, Refused};
-use hazelgrade_settings::Site;
+use hazelgrade_settings::HostSettings;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
@@ -39,7 +39,7 @@
     pub fn replace(
         &self,
         mut identity: Identity,
-        site: &Site,
+        site: &HostSettings,
         now: Time,
         back: bool,
     ) -> Result<(), &'static str> {
@@ -69,7 +69,7 @@
     }
 
     /// The site's names have other places.
-    pub fn compile(&self, site: &Site) {
+    pub fn compile(&self, site: &HostSettings) {
         if let Some(desk) = &mut *self.desk.borrow_mut() {
             let (job_classes, tenants) = places(site);
             desk.compile(&job_classes, &tenants);
@@ -134,7 +134,7 @@
     }
 }
 
-fn places(site: &Site) -> (BTreeMap<&str, usize>, BTreeMap<&str, usize>) {
+fn places(site: &HostSettings) -> (BTreeMap<&str, usize>, BTreeMap<&str, usize>) {
     let job_classes = site.job_classes.iter().enumerate().filter(|(_, case)| case.in_use);
     let tenants = site.tenants.iter().enumerate();
     (
--- a/crates/hazelgrade-server/src/routing/front.rs
+++ b/crates/hazelgrade-server/src/routing/front.rs
@@ -138,7 +138,7 @@
         let (deadline, numbered) = {
             let site = parts.site.borrow();
             let case = &site.job_classes[asked.job.job_class];
-            (case.deadline, case.repeats != Idempotency::Idempotent)
+            (case.deadline, case.idempotency != Idempotency::Idempotent)
         };
         let over = reached + deadline < now;
         if over && client.is_proved() {
--- a/crates/hazelgrade-server/src/routing/job.rs
+++ b/crates/hazelgrade-server/src/routing/job.rs
@@ -16,7 +16,7 @@
 use hazelgrade::api::{JobId, Outcome};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_net::ending::ConnectionEnd;
-use hazelgrade_settings::Site;
+use hazelgrade_settings::HostSettings;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -56,7 +56,7 @@
     pub calls: Rc<Calls>,
     pub link: Rc<Link>,
     /// As it is served now; a job that has arrived keeps its own.
-    pub site: RefCell<Rc<Site>>,
+    pub site: RefCell<Rc<HostSettings>>,
     pub tally: RefCell<Tally>,
     pub callers: Callers,
 }
