--- /dev/null
+++ b/crates/hazelgrade-server/src/program/command/budget.rs
@@ -0,0 +1,121 @@
+//! `budget`: creates the store of a site's lessor, and sends it an operator's requests.
+
+mod report;
+
+use hazelgrade_budget::message::Word;
+use hazelgrade_stream::{keeping, service};
+use pico_args::Arguments;
+use serde_json::Value;
+use std::hash::{BuildHasher, RandomState};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::time::{Duration, SystemTime};
+
+pub const USAGE: &str = "  hazelgrade budget found --documents DIR --keeper SITE --listen ADDRESS [--lost]
+                                     make the store of a site's keeper, once; --lost if there was one before
+  hazelgrade budget show|history|metrics|open --control ADDRESS
+                                     who holds what; what happened; figures as text; take up granting again
+  hazelgrade budget move --control ADDRESS --to SITE --budget NAME --units N [--id ID]
+  hazelgrade budget retire --control ADDRESS --site SITE [--id ID]
+                                     move units to another site; declare a site lost for good
+";
+
+/// A control service that does not answer within this is taken as down.
+const TIMEOUT: Duration = Duration::from_secs(5);
+
+/// The arguments of `budget`.
+pub enum BudgetCommand {
+    CreateStore {
+        documents: PathBuf,
+        site: String,
+        listen: SocketAddr,
+        /// There was a store before, which is lost.
+        lost: bool,
+    },
+    Request {
+        control_service: SocketAddr,
+        request: Word,
+        output: Output,
+    },
+}
+
+/// How an answer is shown.
+pub enum Output {
+    Tables,
+    Metrics,
+    History,
+    Line,
+}
+
+impl BudgetCommand {
+    pub fn parse(arguments: &mut Arguments) -> Result<BudgetCommand, pico_args::Error> {
+        let name = arguments.subcommand()?.unwrap_or_default();
+        if name == "found" {
+            return Ok(BudgetCommand::CreateStore {
+                documents: arguments.value_from_str("--documents")?,
+                site: arguments.value_from_str("--keeper")?,
+                listen: arguments.value_from_str("--listen")?,
+                lost: arguments.contains("--lost"),
+            });
+        }
+        let control_service = arguments.value_from_str("--control")?;
+        let (request, output) = match name.as_str() {
+            "show" => (Word::Show, Output::Tables),
+            "metrics" => (Word::Show, Output::Metrics),
+            "history" => (Word::History, Output::History),
+            "open" => (Word::Open, Output::Line),
+            "move" => (parse_move(arguments)?, Output::Line),
+            "retire" => (parse_retire(arguments)?, Output::Line),
+            _ => {
+                let expected = "found, show, history, metrics, move, retire or open";
+                let cause = format!("budget: expected one of {expected}");
+                return Err(pico_args::Error::ArgumentParsingFailed { cause });
+            }
+        };
+        Ok(BudgetCommand::Request { control_service, request, output })
+    }
+
+    /// Carries it out; gives the text to print.
+    pub fn run(self) -> Result<String, String> {
+        match self {
+            BudgetCommand::CreateStore { documents, site, listen, lost } => {
+                let message = keeping::found(&documents, &site, listen, lost)?;
+                Ok(format!("{message}\n"))
+            }
+            BudgetCommand::Request { control_service, request, output } => {
+                let answer = service::word(control_service, request, TIMEOUT)?;
+                Ok(output.format(&answer))
+            }
+        }
+    }
+}
+
+fn parse_move(arguments: &mut Arguments) -> Result<Word, pico_args::Error> {
+    Ok(Word::Move {
+        to: arguments.value_from_str("--to")?,
+        budget: arguments.value_from_str("--budget")?,
+        units: arguments.value_from_str("--units")?,
+        id: parse_id(arguments)?,
+    })
+}
+
+fn parse_retire(arguments: &mut Arguments) -> Result<Word, pico_args::Error> {
+    Ok(Word::Retire { site: arguments.value_from_str("--site")?, id: parse_id(arguments)? })
+}
+
+/// Names a change, so that a retry of it does nothing; a random name if none is given.
+fn parse_id(arguments: &mut Arguments) -> Result<String, pico_args::Error> {
+    let random = || format!("w{:016x}", RandomState::new().hash_one(SystemTime::now()));
+    Ok(arguments.opt_value_from_str("--id")?.unwrap_or_else(random))
+}
+
+impl Output {
+    fn format(&self, answer: &Value) -> String {
+        match self {
+            Output::Tables => report::tables(answer),
+            Output::Metrics => report::metrics_text(answer),
+            Output::History => report::history(answer),
+            Output::Line => format!("{}\n", answer.as_str().unwrap_or_default()),
+        }
+    }
+}
--- /dev/null
+++ b/crates/hazelgrade-server/src/program/command/control.rs
@@ -0,0 +1,95 @@
+//! `control`: runs a control service, which publishes documents and may be the lessor of a site's budgets.
+
+use super::serve::log_level;
+use crate::program::logging;
+use async_executor::LocalExecutor;
+use async_signal::{Signal, Signals};
+use futures_lite::StreamExt;
+use futures_lite::future::or;
+use hazelgrade_budget::keeper::Figures;
+use hazelgrade_stream::keeping::{self, Metrics};
+use hazelgrade_stream::service::{self, Setup};
+use pico_args::Arguments;
+use std::cell::Cell;
+use std::rc::Rc;
+use tracing::level_filters::LevelFilter;
+
+/// Subscribers admitted a second. A fleet of a thousand is back within seconds, at a pace that leaves room on one core.
+const DEFAULT_ADMITTED_PER_S: f64 = 200.0;
+
+/// Subscribers admitted at once after some quiet, as a ratio of those a second.
+const ADMISSION_BURST_RATIO: f64 = 0.25;
+
+/// The arguments of `control`.
+pub struct ControlCommand {
+    setup: Setup,
+    log_level: LevelFilter,
+}
+
+impl ControlCommand {
+    pub fn parse(arguments: &mut Arguments) -> Result<ControlCommand, pico_args::Error> {
+        let admitted_per_s = arguments.opt_value_from_str("--admit")?.unwrap_or(DEFAULT_ADMITTED_PER_S);
+        let setup = Setup {
+            documents: arguments.value_from_str("--documents")?,
+            listen: arguments.value_from_str("--listen")?,
+            lineage: arguments.opt_value_from_str("--lineage")?,
+            keeper: parse_lessor(arguments)?,
+            admitted: (admitted_per_s, admitted_per_s * ADMISSION_BURST_RATIO),
+        };
+        Ok(ControlCommand { setup, log_level: log_level(arguments)? })
+    }
+
+    /// Runs until SIGTERM or SIGINT. Nodes go on by what they have when it ends.
+    pub fn run(self) -> Result<(), String> {
+        let (log, _) = logging::start(self.log_level);
+        let ended = run_until_signal(self.setup);
+        drop(log);
+        ended
+    }
+}
+
+fn parse_lessor(arguments: &mut Arguments) -> Result<Option<keeping::Setup>, pico_args::Error> {
+    let Some(site) = arguments.opt_value_from_str("--keeper")? else { return Ok(None) };
+    let peers = arguments.values_from_fn("--peer", |text: &str| {
+        let expected = || "expected SITE=ADDRESS".to_owned();
+        let (site, address) = text.split_once('=').ok_or_else(expected)?;
+        let address = address.parse().map_err(|_| expected())?;
+        Ok::<_, String>((site.to_owned(), address))
+    })?;
+    let dies_at = arguments.opt_value_from_str("--keeper-dies-at-for-tests-only")?;
+    Ok(Some(keeping::Setup { site, peers, dies_at }))
+}
+
+fn run_until_signal(setup: Setup) -> Result<(), String> {
+    let signals = Signals::new([Signal::Term, Signal::Int]);
+    let mut signals = signals.map_err(|error| format!("signals: {error}"))?;
+    let tasks = Rc::new(LocalExecutor::new());
+    let serving = service::serve(tasks.clone(), setup, log_granted_units());
+    let signalled = async {
+        signals.next().await;
+        Ok(())
+    };
+    async_io::block_on(tasks.run(or(serving, signalled)))
+}
+
+/// Units of all budgets together.
+#[derive(Clone, Copy, PartialEq)]
+struct GrantedUnits {
+    granted: u32,
+    in_doubt: u32,
+}
+
+/// Logs the units that are granted, at each change. All figures are in `budget metrics`.
+fn log_granted_units() -> Metrics {
+    let before = Cell::new(None);
+    Box::new(move |budgets| {
+        let sum = |units: fn(&Figures) -> u32| budgets.values().map(units).fold(0, u32::saturating_add);
+        let now = GrantedUnits {
+            granted: sum(|figures| figures.granted),
+            in_doubt: sum(|figures| figures.in_doubt),
+        };
+        if before.replace(Some(now)) != Some(now) {
+            tracing::debug!(granted = now.granted, in_doubt = now.in_doubt, "budgets");
+        }
+    })
+}
--- /dev/null
+++ b/crates/hazelgrade-server/src/program/command/keys.rs
@@ -0,0 +1,348 @@
+//! `keys`: creates and rotates the signing keys of an identity document, and signs tokens. The document is replaced
+//! atomically, and only by one that is valid; its comments stay. Private keys are in files that only their owner reads.
+
+use crate::program::documents::{self, MAX_ERRORS_SHOWN};
+use base64::Engine;
+use base64::engine::general_purpose::STANDARD;
+use hazelgrade_config::document::DEFAULT_MAX_TOKEN_LIFETIME_S;
+use hazelgrade_config::{Document, Fields, Kind, error_summary};
+use hazelgrade_identity::issue::Signer;
+use hazelgrade_identity::token::Claims;
+use pico_args::Arguments;
+use serde_json::{Value, json};
+use std::fs::OpenOptions;
+use std::io::Write;
+use std::os::unix::fs::OpenOptionsExt;
+use std::path::{Path, PathBuf};
+use std::time::{SystemTime, UNIX_EPOCH};
+use toml_edit::{DocumentMut, Item, Table, value};
+use zeroize::Zeroizing;
+
+pub const USAGE: &str = "\
+  hazelgrade keys new    --set FILE --private DIR [--audience NAME] [--algorithm EdDSA|ES256]
+  hazelgrade keys rotate --set FILE --private DIR [--lead SECONDS] [--overlap SECONDS] [--algorithm EdDSA|ES256]
+  hazelgrade keys show   --set FILE [--jwks]
+  hazelgrade keys token  --set FILE --private DIR --caller NAME [--for SECONDS]
+                                     make and rotate the keys of an identity document, and sign tokens
+";
+
+/// How long a key signs if nobody rotates it: 30 days.
+const SIGNING_PERIOD_S: f64 = 30.0 * 86_400.0;
+
+/// How long a token is valid where the command line does not say.
+const DEFAULT_TOKEN_LIFETIME_S: f64 = 600.0;
+
+/// At a rotation keys overlap for the longest token lifetime divided by this, where the command line does not say.
+const DEFAULT_OVERLAP_DIVISOR: f64 = 10.0;
+
+/// The mode of files with private keys.
+const PRIVATE_FILE_MODE: u32 = 0o600;
+
+/// The arguments of `keys`. All are taken for each of its sub-commands.
+pub struct KeysCommand {
+    subcommand: String,
+    document: PathBuf,
+    private_folder: Option<PathBuf>,
+    audience: Option<String>,
+    algorithm: String,
+    /// How long after now a new key starts to sign.
+    lead_s: f64,
+    /// How long the keys before it go on signing from then on.
+    overlap_s: Option<f64>,
+    caller: Option<String>,
+    token_lifetime_s: f64,
+    as_jwks: bool,
+}
+
+impl KeysCommand {
+    pub fn parse(arguments: &mut Arguments) -> Result<KeysCommand, pico_args::Error> {
+        Ok(KeysCommand {
+            subcommand: arguments.subcommand()?.unwrap_or_default(),
+            document: arguments.value_from_str("--set")?,
+            private_folder: arguments.opt_value_from_str("--private")?,
+            audience: arguments.opt_value_from_str("--audience")?,
+            algorithm: arguments.opt_value_from_str("--algorithm")?.unwrap_or_else(|| "EdDSA".into()),
+            lead_s: arguments.opt_value_from_str("--lead")?.unwrap_or(0.0),
+            overlap_s: arguments.opt_value_from_str("--overlap")?,
+            caller: arguments.opt_value_from_str("--caller")?,
+            token_lifetime_s: arguments.opt_value_from_str("--for")?.unwrap_or(DEFAULT_TOKEN_LIFETIME_S),
+            as_jwks: arguments.contains("--jwks"),
+        })
+    }
+
+    /// Carries it out; gives the text to print.
+    pub fn run(&self) -> Result<String, String> {
+        match self.subcommand.as_str() {
+            "new" => self.create_key(),
+            "rotate" => self.rotate(),
+            "show" => self.show(),
+            "token" => self.sign_token(),
+            _ => Err(format!("keys: expected new, rotate, show or token\n{USAGE}")),
+        }
+    }
+
+    fn create_key(&self) -> Result<String, String> {
+        let mut document = self.read_editable()?;
+        if let Some(audience) = &self.audience {
+            document["audience"] = value(audience.as_str());
+        }
+        let max_token_lifetime_s = max_token_lifetime_s(&document);
+        let key = self.generate_key(&document, now_s(), max_token_lifetime_s)?;
+        insert_key(&mut document, &key);
+        self.replace_document(&document)?;
+        Ok(format!("key {} signs from now on\n", key.id))
+    }
+
+    /// A new key signs after the lead, and the others for the overlap after that; their tokens are accepted as long as
+    /// they may live.
+    fn rotate(&self) -> Result<String, String> {
+        let mut document = self.read_editable()?;
+        let max_token_lifetime_s = max_token_lifetime_s(&document);
+        let signs_from_s = now_s() + self.lead_s;
+        let overlap_s = self.overlap_s.unwrap_or(max_token_lifetime_s / DEFAULT_OVERLAP_DIVISOR);
+        let key = self.generate_key(&document, signs_from_s, max_token_lifetime_s)?;
+        let retired = retire_keys(&mut document, signs_from_s + overlap_s, max_token_lifetime_s);
+        insert_key(&mut document, &key);
+        self.replace_document(&document)?;
+        Ok(format!("key {} signs in {} s; retiring: {}\n", key.id, self.lead_s, retired.join(", ")))
+    }
+
+    fn show(&self) -> Result<String, String> {
+        let document = documents::read(Kind::Identity, &self.document)?;
+        let fields = document.fields();
+        let keys: Vec<PublishedKey> =
+            fields.names("key").into_iter().map(|id| PublishedKey { fields, id }).collect();
+        if self.as_jwks {
+            let jwks: Vec<Value> = keys.iter().map(PublishedKey::jwk).collect();
+            return Ok(format!("{}\n", json!({"keys": jwks})));
+        }
+        let mut text: String = keys.iter().map(PublishedKey::line).collect();
+        for caller in fields.names("caller") {
+            let list = |field: &str| fields.text_list(&format!("caller/{caller}/{field}")).join(", ");
+            text.push_str(&format!("{caller}: {} for {}\n", list("use_cases"), list("customers")));
+        }
+        Ok(text)
+    }
+
+    /// Signs with the key that signs for longest from now.
+    fn sign_token(&self) -> Result<String, String> {
+        let document = documents::read(Kind::Identity, &self.document)?;
+        let fields = document.fields();
+        let file = self.document.display();
+        let caller = self.caller.as_deref().ok_or("keys: --caller is missing")?;
+        if !fields.names("caller").contains(&caller) {
+            return Err(format!("{file}: field caller.{caller}: there is no such caller"));
+        }
+        let keys = fields.names("key").into_iter().map(|id| PublishedKey { fields, id });
+        let signing = keys.filter(|key| key.signs_now() && self.has_private_key(key.id));
+        let key = signing
+            .max_by(|one, other| one.signs_until_s().total_cmp(&other.signs_until_s()))
+            .ok_or_else(|| format!("{file}: no key that signs now has its private half there"))?;
+        let signer = read_private_key(&self.private_key_path(key.id)?)?;
+        let issued_s = now_s();
+        let claims = Claims {
+            sub: caller.to_owned(),
+            aud: fields.text("audience").unwrap_or_default().to_owned(),
+            iat: issued_s.floor(),
+            exp: (issued_s + self.token_lifetime_s).floor(),
+            nbf: None,
+            jti: Some(format!("{caller}-{:x}", (issued_s * 1e6) as u64)),
+        };
+        Ok(format!("{}\n", signer.sign(key.id, &claims)?))
+    }
+
+    fn private_folder(&self) -> Result<&Path, String> {
+        let folder = self.private_folder.as_deref();
+        folder.ok_or_else(|| "keys: --private is missing: where private keys lie".into())
+    }
+
+    fn private_key_path(&self, key: &str) -> Result<PathBuf, String> {
+        Ok(self.private_folder()?.join(format!("{key}.key")))
+    }
+
+    fn has_private_key(&self, key: &str) -> bool {
+        self.private_key_path(key).is_ok_and(|path| path.exists())
+    }
+
+    /// The document with its comments; an empty one if there is none yet.
+    fn read_editable(&self) -> Result<DocumentMut, String> {
+        let file = self.document.display();
+        let text = match std::fs::read_to_string(&self.document) {
+            Ok(text) => text,
+            Err(error) if error.kind() == std::io::ErrorKind::NotFound => String::new(),
+            Err(error) => return Err(format!("{file}: {error}")),
+        };
+        text.parse().map_err(|error| format!("{file}: {error}"))
+    }
+
+    /// Replaces the document atomically, if the new one is valid.
+    fn replace_document(&self, document: &DocumentMut) -> Result<(), String> {
+        let text = document.to_string();
+        let file = self.document.display().to_string();
+        Document::read_as(Kind::Identity, &text, &file)
+            .map_err(|errors| format!("{}\n{file} is as it was", error_summary(&errors, MAX_ERRORS_SHOWN)))?;
+        let io_error = |error: std::io::Error| format!("{file}: {error}");
+        let folder = self.document.parent().filter(|folder| !folder.as_os_str().is_empty());
+        let folder = folder.unwrap_or(Path::new("."));
+        let mut temporary = tempfile::NamedTempFile::new_in(folder).map_err(io_error)?;
+        temporary.write_all(text.as_bytes()).map_err(io_error)?;
+        temporary.as_file().sync_all().map_err(io_error)?;
+        temporary.persist(&self.document).map_err(|error| io_error(error.error))?;
+        Ok(())
+    }
+
+    /// Generates a key and writes its private half to a file.
+    fn generate_key(
+        &self,
+        document: &DocumentMut,
+        signs_from_s: f64,
+        max_token_lifetime_s: f64,
+    ) -> Result<NewKey, String> {
+        let signer = Signer::new(&self.algorithm)?;
+        let id = unused_key_id(document);
+        let folder = self.private_folder()?;
+        std::fs::create_dir_all(folder).map_err(|error| format!("{}: {error}", folder.display()))?;
+        write_private_key(&folder.join(format!("{id}.key")), &signer)?;
+        let (x, y) = signer.public();
+        let mut table = Table::new();
+        table["algorithm"] = value(signer.algorithm());
+        table["x"] = value(x);
+        if let Some(y) = y {
+            table["y"] = value(y);
+        }
+        table["active_from_s"] = value(signs_from_s);
+        table["signs_until_s"] = value(signs_from_s + SIGNING_PERIOD_S);
+        table["valid_until_s"] = value(signs_from_s + SIGNING_PERIOD_S + max_token_lifetime_s);
+        Ok(NewKey { id, table })
+    }
+}
+
+/// A generated key: its id, and its table for the identity document.
+struct NewKey {
+    id: String,
+    table: Table,
+}
+
+/// A key of an identity document.
+struct PublishedKey<'a> {
+    fields: &'a Fields,
+    id: &'a str,
+}
+
+impl PublishedKey<'_> {
+    fn path(&self, field: &str) -> String {
+        format!("key/{}/{field}", self.id)
+    }
+
+    fn text(&self, field: &str) -> Option<&str> {
+        self.fields.text(&self.path(field))
+    }
+
+    fn number(&self, field: &str) -> Option<f64> {
+        self.fields.number(&self.path(field))
+    }
+
+    fn is_revoked(&self) -> bool {
+        let is_listed = self.fields.text_list("revoked/keys").iter().any(|revoked| revoked == self.id);
+        is_listed || self.fields.boolean(&self.path("revoked")) == Some(true)
+    }
+
+    fn signs_until_s(&self) -> f64 {
+        self.number("signs_until_s").or(self.number("valid_until_s")).unwrap_or(0.0)
+    }
+
+    fn signs_now(&self) -> bool {
+        let has_started = self.number("active_from_s").is_some_and(|from_s| from_s <= now_s());
+        has_started && now_s() < self.signs_until_s() && !self.is_revoked()
+    }
+
+    fn line(&self) -> String {
+        let seconds_left = |field: &str| match self.number(field) {
+            Some(at_s) => format!("{:.0} s", at_s - now_s()),
+            None => "-".into(),
+        };
+        format!(
+            "{}: {}, signs in {}, until in {}, valid until in {}{}\n",
+            self.id,
+            self.text("algorithm").unwrap_or_default(),
+            seconds_left("active_from_s"),
+            seconds_left("signs_until_s"),
+            seconds_left("valid_until_s"),
+            if self.is_revoked() { ", revoked" } else { "" }
+        )
+    }
+
+    /// The key as a JSON Web Key (RFC 7517).
+    fn jwk(&self) -> Value {
+        let algorithm = self.text("algorithm").unwrap_or_default();
+        let (key_type, curve) = if algorithm == "EdDSA" { ("OKP", "Ed25519") } else { ("EC", "P-256") };
+        let mut jwk = json!({
+            "kid": self.id, "kty": key_type, "crv": curve, "alg": algorithm, "use": "sig", "x": self.text("x")
+        });
+        if let Some(y) = self.text("y") {
+            jwk["y"] = json!(y);
+        }
+        jwk
+    }
+}
+
+/// Seconds since 1970.
+fn now_s() -> f64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64())
+}
+
+fn number(item: &Item) -> Option<f64> {
+    item.as_float().or(item.as_integer().map(|number| number as f64))
+}
+
+fn max_token_lifetime_s(document: &DocumentMut) -> f64 {
+    document.get("longest_token_s").and_then(number).unwrap_or(DEFAULT_MAX_TOKEN_LIFETIME_S)
+}
+
+fn unused_key_id(document: &DocumentMut) -> String {
+    let is_used = |id: &str| document.get("key").and_then(|keys| keys.get(id)).is_some();
+    (1..).map(|count| format!("k{count}")).find(|id| !is_used(id)).unwrap_or_default()
+}
+
+fn insert_key(document: &mut DocumentMut, key: &NewKey) {
+    let keys = document.entry("key").or_insert_with(|| {
+        let mut keys = Table::new();
+        keys.set_implicit(true);
+        Item::Table(keys)
+    });
+    keys[&key.id] = Item::Table(key.table.clone());
+}
+
+/// Ends the signing of all keys that would sign past a time; gives their ids.
+fn retire_keys(document: &mut DocumentMut, signs_until_s: f64, max_token_lifetime_s: f64) -> Vec<String> {
+    let mut retired = Vec::new();
+    let Some(keys) = document.get_mut("key").and_then(Item::as_table_mut) else { return retired };
+    for (id, key) in keys.iter_mut() {
+        let signs_until = key.get("signs_until_s").and_then(number);
+        if signs_until.is_none_or(|signs_until| signs_until > signs_until_s) {
+            key["signs_until_s"] = value(signs_until_s);
+            key["valid_until_s"] = value(signs_until_s + max_token_lifetime_s);
+            retired.push(id.get().to_owned());
+        }
+    }
+    retired
+}
+
+/// Never overwrites another key: what it signed would be lost.
+fn write_private_key(path: &Path, signer: &Signer) -> Result<(), String> {
+    let io_error = |error: std::io::Error| format!("{}: {error}", path.display());
+    let text = Zeroizing::new(STANDARD.encode(signer.pkcs8()));
+    let mut options = OpenOptions::new();
+    options.write(true).create_new(true).mode(PRIVATE_FILE_MODE);
+    let mut file = options.open(path).map_err(io_error)?;
+    file.write_all(text.as_bytes()).map_err(io_error)?;
+    file.sync_all().map_err(io_error)
+}
+
+fn read_private_key(path: &Path) -> Result<Signer, String> {
+    let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
+    let text = Zeroizing::new(text);
+    let pkcs8 =
+        STANDARD.decode(text.trim()).map_err(|_| format!("{}: not a key of this program", path.display()))?;
+    Signer::of_pkcs8(Zeroizing::new(pkcs8))
+}
--- /dev/null
+++ b/crates/hazelgrade-server/src/program/command/operator_file.rs
@@ -0,0 +1,17 @@
+//! Reads the operator's file.
+
+use hazelgrade_config::{OperatorConfig, error_summary};
+use std::path::Path;
+
+/// Errors of the file that are shown.
+const MAX_ERRORS_SHOWN: usize = 20;
+
+/// Reads the operator's file.
+///
+/// # Errors
+/// Text that names file, line and field of each error.
+pub fn read(path: &Path) -> Result<OperatorConfig, String> {
+    let file = path.display().to_string();
+    let text = std::fs::read_to_string(path).map_err(|error| format!("{file}: {error}"))?;
+    OperatorConfig::read(&text, &file).map_err(|errors| error_summary(&errors, MAX_ERRORS_SHOWN))
+}
--- /dev/null
+++ b/crates/hazelgrade-server/src/program/command/status.rs
@@ -0,0 +1,57 @@
+//! `status`: a table of the nodes that a control service knows.
+
+use super::table;
+use hazelgrade_stream::service;
+use pico_args::Arguments;
+use serde_json::Value;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// A control service that does not answer within this is taken as down.
+const TIMEOUT: Duration = Duration::from_secs(5);
+
+/// The arguments of `status`.
+pub struct StatusCommand {
+    control_service: SocketAddr,
+}
+
+impl StatusCommand {
+    pub fn parse(arguments: &mut Arguments) -> Result<StatusCommand, pico_args::Error> {
+        Ok(StatusCommand { control_service: arguments.value_from_str("--control")? })
+    }
+
+    /// Asks the control service; gives the table.
+    pub fn run(self) -> Result<String, String> {
+        let report = service::status(self.control_service, TIMEOUT)?;
+        let mut text = format!(
+            "lineage {}, version {}\n",
+            text_or_dash(&report["lineage"]),
+            text_or_dash(&report["version"])
+        );
+        if let Some(error) = report["folder"].as_str() {
+            text.push_str(&format!("not published: {error}\n"));
+        }
+        let mut rows = vec![["node", "connected", "serves by", "offered", "standing", ""].map(str::to_owned)];
+        rows.extend(report["nodes"].as_array().into_iter().flatten().map(node_row));
+        text.push_str(&table::format(&rows, ""));
+        Ok(text)
+    }
+}
+
+fn text_or_dash(value: &Value) -> String {
+    value.as_str().unwrap_or("-").to_owned()
+}
+
+fn node_row(node: &Value) -> [String; 6] {
+    let staged: Vec<&str> =
+        node["staged"].as_array().into_iter().flatten().filter_map(Value::as_str).collect();
+    let staged = if staged.is_empty() { String::new() } else { format!("at a start: {}", staged.join(", ")) };
+    [
+        text_or_dash(&node["name"]),
+        if node["connected"] == true { "yes" } else { "no" }.to_owned(),
+        text_or_dash(&node["has"]),
+        text_or_dash(&node["of"]),
+        text_or_dash(&node["standing"]),
+        node["why"].as_str().map_or(staged, str::to_owned).replace('\n', "; "),
+    ]
+}
--- a/crates/hazelgrade-server/src/program/identity.rs
+++ b/crates/hazelgrade-server/src/program/identity.rs
@@ -1,6 +1,7 @@
 //! Keys, callers and rights in a serving node: from a file, or streamed as a kind of document of its own.
 
 use super::configuration::Deployment;
+use super::documents;
 use super::streaming::Kit;
 use crate::routing::job::Parts;
 use async_io::Timer;
@@ -8,7 +9,7 @@
 use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::Time;
 use hazelgrade_config::operator::{IdentityConfig, StreamConfig};
-use hazelgrade_config::{Document, Kind, error_summary};
+use hazelgrade_config::{Document, Kind};
 use hazelgrade_identity::Identity;
 use hazelgrade_net::bell::Bell;
 use hazelgrade_store::Store;
@@ -23,20 +24,9 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-const FAULTS_NAMED: usize = 5;
 /// Lines of refusals are due each second.
 const AUDIT_EVERY: Duration = Duration::from_secs(1);
 
-/// Reads an identity document from a file.
-pub fn read_document(path: &Path) -> Result<Document, String> {
-    let shown = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
-    let read = Document::read_as(Kind::Identity, &text, &shown);
-    let document = read.map_err(|faults| error_summary(&faults, FAULTS_NAMED))?;
-    Identity::of(&document).map_err(|why| format!("{shown}: {why}"))?;
-    Ok(document)
-}
-
 /// `back`: after a version that failed. What that one revoked stays revoked.
 fn take(document: &Document, parts: &Parts, back: bool) -> Result<(), String> {
     let identity = Identity::of(document)?;
@@ -46,7 +36,7 @@
 
 /// SIGHUP: the file as it is now; one that is wrong changes nothing.
 pub fn reload(path: &Path, parts: &Parts) {
-    match read_document(path).and_then(|document| take(&document, parts, false)) {
+    match documents::read(Kind::Identity, path).and_then(|document| take(&document, parts, false)) {
         Ok(()) => tracing::info!(path = %path.display(), "identities read again"),
         Err(fault) => tracing::error!(fault, "the new identities are wrong and change nothing"),
     }
@@ -74,7 +64,8 @@
     let mut site = (**parts.site.borrow()).clone();
     site.authenticates_callers = true;
     parts.site.replace(Rc::new(site));
-    let file = identified.document.as_deref().map(read_document).transpose()?;
+    let file =
+        identified.document.as_deref().map(|path| documents::read(Kind::Identity, path)).transpose()?;
     let Some((streamed, kit)) = streamed.zip(kit).filter(|_| identified.streamed) else {
         if let Some(document) = &file {
             take(document, parts, false).map_err(|why| format!("field identity.document: {why}"))?;
--- a/crates/hazelgrade-server/src/program/mod.rs
+++ b/crates/hazelgrade-server/src/program/mod.rs
@@ -3,10 +3,9 @@
 pub mod budgets;
 pub mod command;
 pub mod configuration;
-pub mod control;
+pub mod documents;
 pub mod drain;
 pub mod identity;
-pub mod keys;
 pub mod logging;
 pub mod reload;
 pub mod serve;
--- a/crates/hazelgrade-server/src/program/streaming.rs
+++ b/crates/hazelgrade-server/src/program/streaming.rs
@@ -1,6 +1,7 @@
 //! Streamed configuration in a serving node: what it was kept from, how a document takes effect, how service is told.
 
 use super::configuration::Deployment;
+use super::documents;
 use super::logging::Level;
 use super::reload::Reload;
 use crate::routing::job::Parts;
@@ -10,7 +11,7 @@
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::document::{MAX_JOB_CLASSES, MAX_TENANTS};
 use hazelgrade_config::operator::StreamConfig;
-use hazelgrade_config::{Document, Kind, error_summary};
+use hazelgrade_config::{Document, Kind};
 use hazelgrade_settings::slots::{NameRequest, Slots};
 use hazelgrade_settings::{HostSettings, JobClassEntry};
 use hazelgrade_store::{Store, StoreError};
@@ -20,7 +21,6 @@
 use hazelgrade_stream::subscriber::{Action, Start, Subscriber};
 use hazelgrade_stream::trial::Sample;
 use std::cell::{Cell, RefCell};
-use std::path::Path;
 use std::rc::Rc;
 use std::sync::{Arc, Mutex, PoisonError};
 use tracing::level_filters::LevelFilter;
@@ -31,7 +31,6 @@
 const PLACES_A_NAME: usize = 4;
 /// A name that was taken away rests for so many times the longest time in which a job or a repeat may name it.
 const REST: f64 = 2.0;
-const FAULTS_NAMED: usize = 5;
 
 /// What a node has to start from.
 pub struct Kit {
@@ -42,20 +41,14 @@
     file: Option<Document>,
 }
 
-/// Reads a document from a file.
-pub fn read_document(path: &Path) -> Result<Document, String> {
-    let shown = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
-    Document::read(&text, &shown).map_err(|faults| error_summary(&faults, FAULTS_NAMED))
-}
-
 impl Kit {
     /// Opens the store and reads the file. A store that is another's, or in use, is the operator's slip and ends the
     /// start. One that can't be used otherwise is left as it is, and the node starts by its file.
     /// `dies_at` is for tests.
     pub fn open(streamed: &StreamConfig, owner: &str, dies_at: Option<u64>) -> Result<Kit, String> {
         let shown = streamed.store.display();
-        let file = streamed.document.as_deref().map(read_document).transpose()?;
+        let file =
+            streamed.document.as_deref().map(|path| documents::read(Kind::Serving, path)).transpose()?;
         let mut kit = Kit { store: Err(String::new()), kept: Kept::default(), unread: None, file };
         let opened = match dies_at {
             None => Store::open(&streamed.store, owner),
