--- a/crates/hazelgrade-server/src/main.rs
+++ b/crates/hazelgrade-server/src/main.rs
@@ -1,3 +1,5 @@
+//! The program `hazelgrade`. See [`hazelgrade_server::program::command`].
+
 fn main() -> std::process::ExitCode {
     hazelgrade_server::program::command::main()
 }
--- a/crates/hazelgrade-server/src/program/budgets.rs
+++ b/crates/hazelgrade-server/src/program/budgets.rs
@@ -1,8 +1,10 @@
-//! Budgets that all nodes share: the node's side on the stream, and the operator's words to a keeper.
+//! Limits that hold for all nodes together: this node's part in them.
 
 use super::configuration::Deployment;
 use super::documents;
-use super::streaming::Kit;
+use super::serving_document::InitialConfiguration;
+use super::store::SharedStore;
+use super::subscription::{StartedSubscription, Subscription};
 use crate::routing::budgets::Seat;
 use crate::routing::job::Parts;
 use crate::routing::rounds::Event;
@@ -13,83 +15,82 @@
 use hazelgrade_budget::terms;
 use hazelgrade_config::operator::{BudgetConfig, StreamConfig};
 use hazelgrade_config::{Document, Kind};
-use hazelgrade_net::bell::Bell;
-use hazelgrade_store::Store;
-use hazelgrade_stream::backoff::Backoff;
-use hazelgrade_stream::follow::{Follow, Host};
-use hazelgrade_stream::kept::{self, Kept};
+use hazelgrade_stream::follow::Host;
+use hazelgrade_stream::kept;
 use hazelgrade_stream::protocol::{Published, Said};
-use hazelgrade_stream::subscriber::{Action, Start, Subscriber};
 use hazelgrade_stream::trial::Sample;
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, RandomState};
 use std::rc::Rc;
-use std::sync::{Arc, Mutex, PoisonError};
 use std::time::SystemTime;
 
-pub type Following = (Follow<Node>, Subscriber, Vec<Action>);
+/// A subscription to documents of budgets that has started, and the host for it.
+pub struct BudgetSubscription {
+    pub started: StartedSubscription,
+    pub host: BudgetHost,
+}
 
-/// Switches budgets on. Until a keeper grants some, calls below are bounded by what the node may use alone.
+/// Switches budgets on. Until a lessor grants some, calls are bounded by what the node may use on its own.
+/// `clock_rate` is the rate of this node's clock, 1 but in tests.
 pub fn start(
-    budgeted: &BudgetConfig,
-    streamed: &StreamConfig,
-    kit: &Kit,
+    config: &BudgetConfig,
+    stream: &StreamConfig,
+    initial: &InitialConfiguration,
     deployment: &Deployment,
     parts: &Rc<Parts>,
-    rate: f64,
-) -> Result<Following, String> {
-    let file = budgeted.document.as_deref().map(|path| documents::read(Kind::Budgets, path)).transpose()?;
-    // Two processes under one name are two holders, so it can't be made from the name or the seed.
-    let run = RandomState::new().hash_one((SystemTime::now(), std::process::id()));
-    let start = Time::from_ms(0.0);
-    let holder = Holder::new(start, &deployment.name, run, &budgeted.standalone, MultiplyWithCarry::new(run));
-    let linger = parts.site.borrow().linger;
-    let seat = Rc::new(Seat::new(holder, budgeted.call_budget.clone(), linger, rate));
+    clock_rate: f64,
+) -> Result<BudgetSubscription, String> {
+    let document = config.document.as_deref().map(|path| documents::read(Kind::Budgets, path)).transpose()?;
+    let seat = Rc::new(node_part(config, deployment, parts, clock_rate));
     seat.bind(&BTreeMap::new());
     parts.rounds.by_budgets(seat.clone());
-    let store = kit.store.clone();
-    let kept = store.as_ref().ok().and_then(|store| {
-        let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
-        store.get(kept::name(Kind::Budgets)).ok().flatten()
-    });
-    let kept = match kept.as_deref().map(|kept| Kept::decode(Kind::Budgets, kept)).transpose() {
-        Ok(kept) => kept.unwrap_or_default(),
-        Err(why) => {
-            tracing::error!(why, "the budgets that were kept can't be read");
-            Kept::default()
-        }
-    };
-    let start = Start {
+    let store = initial.store.clone();
+    let subscription = Subscription {
         kind: Kind::Budgets,
-        node: deployment.name.clone(),
-        program: env!("CARGO_PKG_VERSION").into(),
-        lineage: streamed.lineage.clone(),
-        rules: budgeted.trial,
-        controls: streamed.control_services.len(),
-        chance: MultiplyWithCarry::new(deployment.seed.rotate_left(8)),
-        backoff: Backoff::default(),
-        kept,
-        file,
+        deployment,
+        stream,
+        trial: config.trial,
+        stored: store.stored_state(Kind::Budgets),
+        initial: document,
     };
-    let mut first = Vec::new();
-    let subscriber = Subscriber::start(parts.rounds.clock.now(), start, &mut first);
-    let host = Rc::new(Node { parts: parts.clone(), seat, store, told: Cell::default() });
-    let (controls, tasks) = (streamed.control_services.clone(), Rc::default());
-    Ok((Follow { host, controls, tasks, leaving: Rc::new(Bell::default()) }, subscriber, first))
+    let started = subscription.start(parts.rounds.clock.now());
+    let host = BudgetHost { parts: parts.clone(), seat, store, counted: Cell::default() };
+    Ok(BudgetSubscription { started, host })
+}
+
+fn node_part(config: &BudgetConfig, deployment: &Deployment, parts: &Parts, clock_rate: f64) -> Seat {
+    // Two processes of one name are two holders, so the incarnation can't come from the name or the seed.
+    let incarnation = RandomState::new().hash_one((SystemTime::now(), std::process::id()));
+    let holder = Holder::new(
+        Time::from_ms(0.0),
+        &deployment.name,
+        incarnation,
+        &config.standalone,
+        MultiplyWithCarry::new(incarnation),
+    );
+    let linger = parts.site.borrow().linger;
+    Seat::new(holder, config.call_budget.clone(), linger, clock_rate)
 }
 
-/// What budgets reach of a node.
-pub struct Node {
+/// What a document of budgets, and leases, change of a node.
+pub struct BudgetHost {
     parts: Rc<Parts>,
     seat: Rc<Seat>,
-    store: Result<Arc<Mutex<Store>>, String>,
-    told: Cell<(u64, u64)>,
+    store: SharedStore,
+    counted: Cell<CountedJobs>,
 }
 
-impl Node {
-    /// The module goes by what is allowed now.
-    fn allow(&self) {
+/// Counters at the last sample.
+#[derive(Clone, Copy, Default)]
+struct CountedJobs {
+    answered: u64,
+    succeeded: u64,
+}
+
+impl BudgetHost {
+    /// Tells the controller what this node may use now.
+    fn update_allowance(&self) {
         let rounds = &self.parts.rounds;
         if let Some(allowance) = self.seat.allowance(rounds.clock.now()) {
             rounds.tell(Event::Allowed(allowance));
@@ -97,49 +98,42 @@
     }
 }
 
-impl Host for Node {
+impl Host for BudgetHost {
     fn now(&self) -> Time {
         self.parts.rounds.clock.now()
     }
 
     fn keep(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
-        let store = self.store.clone();
-        async move {
-            let store = store?;
-            blocking::unblock(move || {
-                let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
-                let kept = store.commit(&[(kept::name(Kind::Budgets), Some(&bytes))]);
-                kept.map_err(|fault| fault.to_string())
-            })
-            .await
-        }
-        .boxed_local()
+        self.store.write(vec![(kept::name(Kind::Budgets), bytes)])
     }
 
-    fn take_effect(&self, document: Option<&Document>, _back: bool) -> Result<(), String> {
+    fn take_effect(&self, document: Option<&Document>, _is_rollback: bool) -> Result<(), String> {
         self.seat.bind(&document.map(terms::read).unwrap_or_default());
-        self.allow();
+        self.update_allowance();
         Ok(())
     }
 
     fn sample(&self) -> Sample {
         let tally = *self.parts.tally.borrow();
-        let answered = tally.succeeded + tally.rejected + tally.failed;
-        let (answered_before, satisfied_before) = self.told.replace((answered, tally.succeeded));
+        let counted = CountedJobs {
+            answered: tally.succeeded + tally.rejected + tally.failed,
+            succeeded: tally.succeeded,
+        };
+        let before = self.counted.replace(counted);
         Sample {
-            answered: answered.saturating_sub(answered_before) as f64,
-            succeeded: tally.succeeded.saturating_sub(satisfied_before) as f64,
+            answered: counted.answered.saturating_sub(before.answered) as f64,
+            succeeded: counted.succeeded.saturating_sub(before.succeeded) as f64,
             linked: self.parts.link.is_up(),
         }
     }
 
     fn say(&self) -> Option<Said> {
-        let ask = self.seat.ask()?;
-        // Whoever leaves has given up something by saying so.
-        if ask.leaving {
-            self.allow();
+        let request = self.seat.ask()?;
+        // A node that drains has given units back by saying so.
+        if request.leaving {
+            self.update_allowance();
         }
-        Some(Said::Ask(ask))
+        Some(Said::Ask(request))
     }
 
     fn says_at(&self) -> Option<Time> {
@@ -159,9 +153,9 @@
         match published {
             Published::Grant(grant) => {
                 if self.seat.granted(grant) {
-                    self.allow();
+                    self.update_allowance();
                 } else {
-                    tracing::debug!(count = grant.count, "an answer about budgets that is not the latest");
+                    tracing::debug!(count = grant.count, "a grant that is not the latest");
                 }
             }
             Published::Nudge => self.seat.nudged(),
--- a/crates/hazelgrade-server/src/program/command/check.rs
+++ b/crates/hazelgrade-server/src/program/command/check.rs
@@ -132,7 +132,7 @@
         Some(database) => println!("calls below go to {database}"),
         None => println!("no calls below"),
     }
-    println!("client connections: {} at most", deployment.connections());
+    println!("client connections: {} at most", deployment.max_client_connections());
     for class in &host_settings.job_classes {
         println!("use case {}: {:?}", class.name, class.idempotency);
     }
--- a/crates/hazelgrade-server/src/program/command/serve.rs
+++ b/crates/hazelgrade-server/src/program/command/serve.rs
@@ -1,7 +1,8 @@
 //! `serve`: runs a service instance.
 
 use super::operator_file;
-use crate::program::{configuration, logging, serve};
+use crate::program::serve::{self, LogLevel, ServeOptions};
+use crate::program::{configuration, logging};
 use pico_args::Arguments;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -45,7 +46,7 @@
 
     /// Serves until the exit; the code says whether every answer was written.
     pub fn run(self) -> Result<ExitCode, String> {
-        let signals = serve::signals()?;
+        let signals = serve::install_signals()?;
         let configuration_path = self.configuration.ok_or(NO_CONFIGURATION)?;
         let deployment = configuration::read(&configuration_path)?;
         let operator = self.operator.as_deref().map(operator_file::read).transpose()?.unwrap_or_default();
@@ -55,8 +56,9 @@
             );
         }
         let (log, handle) = logging::start(self.log_level);
+        let log_level = LogLevel { handle, default: self.log_level };
         let all_written =
-            serve::serve(deployment, configuration_path, operator, (handle, self.log_level), signals);
+            serve::serve(ServeOptions { deployment, configuration_path, operator, log_level, signals });
         drop(log);
         Ok(if all_written? { ExitCode::SUCCESS } else { ExitCode::FAILURE })
     }
--- a/crates/hazelgrade-server/src/program/configuration.rs
+++ b/crates/hazelgrade-server/src/program/configuration.rs
@@ -1,115 +1,147 @@
-//! What a service instance is told when it starts.
+//! The platform's configuration file in JSON. Its field names are in this module alone.
 
 use crate::transport::database;
+use hazelgrade_config::serving::ResourceLimits;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
 
-/// Descriptors kept back for all that is not a client: log, links, registry, signals, the event queue, a file that
-/// is read again, one connection that was just accepted; and the connections below.
-const DESCRIPTORS_KEPT: usize = 16;
-/// Of the memory, kept results take this part at most; the rest is for jobs in hand and connections.
-const RESULTS_PART: f64 = 0.125;
+/// File descriptors reserved for all but clients and the dependency: log, executor, registry, signals, the event queue,
+/// a file that is read, one connection that was just accepted.
+const RESERVED_DESCRIPTORS: usize = 16;
 
-/// Where the others are: what a reload takes in.
+/// The part of the memory limit that cached results may take; the rest is for jobs in flight and connections.
+const RESULT_CACHE_RATIO: f64 = 0.125;
+
+/// File descriptors where the configuration sets no limit.
+const DEFAULT_SOCKETS: usize = 1024;
+
+/// The least limit on file descriptors.
+const MIN_SOCKETS: u64 = 32;
+
+/// Memory where the configuration sets no limit, in MiB.
+const DEFAULT_MEMORY_MB: f64 = 192.0;
+
+const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
+
+/// The addresses of the node's peers, which a reload changes.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
     pub executor: SocketAddr,
     pub registry: SocketAddr,
-    /// None for the last tier.
+    /// `None` for a node without a dependency to call.
     pub database: Option<SocketAddr>,
 }
 
+/// The platform's configuration of an instance.
 #[derive(Debug)]
 pub struct Deployment {
     pub name: String,
     pub listen: SocketAddr,
     pub addresses: Addresses,
+    /// Seeds all random numbers of decisions.
     pub seed: u64,
+    /// From SIGTERM until the platform kills the process.
     pub stop: Duration,
-    /// Descriptors that the process may hold, and its memory in MB.
+    /// File descriptors that the process may hold.
     pub sockets: usize,
+    /// Memory that the process may take, in MiB.
     pub memory_mb: f64,
+    /// The settings of the controller, not decoded.
     pub settings: Value,
-    pub fixed: Fixed,
+    pub start_fields: StartFields,
 }
 
 /// The fields that only a start takes in, as they were then.
 #[derive(Clone, Debug)]
-pub struct Fixed(Vec<(&'static str, Option<Value>)>);
+pub struct StartFields(Vec<(&'static str, Option<Value>)>);
 
-impl Fixed {
-    const FIELDS: [&str; 6] = ["name", "listen", "seed", "stop_ms", "limits", "settings"];
+impl StartFields {
+    const NAMES: [&str; 6] = ["name", "listen", "seed", "stop_ms", "limits", "settings"];
 
-    fn of(value: &Value) -> Fixed {
-        Fixed(Self::FIELDS.iter().map(|field| (*field, value.get(field).cloned())).collect())
+    fn from_configuration(value: &Value) -> StartFields {
+        StartFields(Self::NAMES.iter().map(|field| (*field, value.get(field).cloned())).collect())
     }
 
-    /// The fields that are not the same in this configuration.
+    /// The names of those that another configuration has otherwise.
     pub fn differing(&self, value: &Value) -> Vec<&'static str> {
-        let differ = self.0.iter().filter(|(field, before)| value.get(field) != before.as_ref());
-        differ.map(|(field, _)| *field).collect()
+        let differing = self.0.iter().filter(|(field, before)| value.get(field) != before.as_ref());
+        differing.map(|(field, _)| *field).collect()
     }
 }
 
-/// Reads the file; what is wrong with it is told in one line that names the field.
+/// Reads the configuration.
+///
+/// # Errors
+/// One line that names the file and the field.
 pub fn read(path: &Path) -> Result<Deployment, String> {
-    decode(read_value(path)?).map_err(|message| format!("{}: {message}", path.display()))
+    decode(read_json(path)?).map_err(|message| format!("{}: {message}", path.display()))
 }
 
-pub fn read_value(path: &Path) -> Result<Value, String> {
+/// Reads a file of JSON.
+///
+/// # Errors
+/// One line that names the file.
+pub fn read_json(path: &Path) -> Result<Value, String> {
     let text = std::fs::read(path).map_err(|error| format!("{}: {error}", path.display()))?;
     serde_json::from_slice(&text).map_err(|error| format!("{}: {error}", path.display()))
 }
 
-fn wrong(field: &str, expected: &str) -> String {
+fn field_error(field: &str, expected: &str) -> String {
     format!("field {field}: expected {expected}")
 }
 
-fn address(value: &Value, field: &str) -> Result<SocketAddr, String> {
+fn decode_address(value: &Value, field: &str) -> Result<SocketAddr, String> {
     let text = value.get(field).and_then(Value::as_str);
-    text.and_then(|text| text.parse().ok()).ok_or_else(|| wrong(field, "an address like 127.0.0.1:9090"))
+    text.and_then(|text| text.parse().ok())
+        .ok_or_else(|| field_error(field, "an address like 127.0.0.1:9090"))
 }
 
 impl Addresses {
+    /// Decodes the addresses of a configuration.
     pub fn decode(value: &Value) -> Result<Addresses, String> {
         let database = match value.get("db") {
             None | Some(Value::Null) => None,
-            Some(_) => Some(address(value, "db")?),
+            Some(_) => Some(decode_address(value, "db")?),
         };
         Ok(Addresses {
-            executor: address(value, "executor")?,
-            registry: address(value, "registry")?,
+            executor: decode_address(value, "executor")?,
+            registry: decode_address(value, "registry")?,
             database,
         })
     }
 }
 
 impl Deployment {
-    /// Connections below that may be open at once: with few descriptors, half of what is not kept back.
-    pub fn connections_below(&self) -> usize {
-        database::MOST.min(self.sockets.saturating_sub(DESCRIPTORS_KEPT) / 2).max(1)
+    /// Connections to the dependency that may be open at once: with few descriptors, half of those not reserved.
+    pub fn max_dependency_connections(&self) -> usize {
+        database::MOST.min(self.sockets.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(1)
     }
 
     /// Client connections that may be open at once.
-    pub fn connections(&self) -> usize {
-        self.sockets.saturating_sub(DESCRIPTORS_KEPT + self.connections_below()).max(1)
+    pub fn max_client_connections(&self) -> usize {
+        let reserved = RESERVED_DESCRIPTORS + self.max_dependency_connections();
+        self.sockets.saturating_sub(reserved).max(1)
     }
 
-    /// What kept results of keyed jobs may take.
-    pub fn result_bytes(&self) -> usize {
-        (self.memory_mb * RESULTS_PART * 1024.0 * 1024.0) as usize
+    /// Bytes that cached results of keyed jobs may take.
+    pub fn max_result_cache_bytes(&self) -> usize {
+        (self.memory_mb * RESULT_CACHE_RATIO * BYTES_PER_MB) as usize
     }
 
-    /// A document may ask for less than the platform grants, never for more.
-    pub fn within(&mut self, sockets: Option<f64>, memory_mb: Option<f64>) {
-        self.sockets = sockets.map_or(self.sockets, |sockets| self.sockets.min(sockets as usize));
-        self.memory_mb = memory_mb.map_or(self.memory_mb, |memory_mb| self.memory_mb.min(memory_mb));
+    /// Lowers the limits of the process to those of a document, which can't raise them.
+    pub fn lower_limits(&mut self, limits: ResourceLimits) {
+        if let Some(sockets) = limits.sockets {
+            self.sockets = self.sockets.min(sockets as usize);
+        }
+        if let Some(memory_mb) = limits.memory_mb {
+            self.memory_mb = self.memory_mb.min(memory_mb);
+        }
     }
 
-    /// The settings without job classes and tenants: these come as documents.
-    pub fn without_use_cases(&mut self) {
+    /// Removes job classes and tenants from the settings, as they come from documents.
+    pub fn remove_job_classes_and_tenants(&mut self) {
         if let Some(settings) = self.settings.as_object_mut() {
             settings.remove("classes");
             settings.remove("customers");
@@ -117,44 +149,66 @@
     }
 }
 
+/// Decodes a configuration.
+///
+/// # Errors
+/// One line that names the field.
 pub fn decode(mut value: Value) -> Result<Deployment, String> {
     if !value.is_object() {
         return Err("expected a JSON object".into());
     }
-    let name =
-        value.get("name").and_then(Value::as_str).filter(|name| !name.is_empty() && !name.contains(' '));
-    let name = name.ok_or_else(|| wrong("name", "a word"))?.to_owned();
-    let seed = match value.get("seed") {
-        Some(Value::String(hex)) => u64::from_str_radix(hex, 16).ok(),
-        Some(number) => number.as_u64(),
-        None => None,
-    };
-    let stop = value.get("stop_ms").and_then(Value::as_f64).filter(|ms| (0.0..1e9).contains(ms));
-    let sockets = match value.get("limits").and_then(|limits| limits.get("sockets")) {
-        None | Some(Value::Null) => 1024,
-        Some(sockets) => sockets.as_u64().filter(|sockets| *sockets >= 32).unwrap_or_default() as usize,
-    };
-    if sockets == 0 {
-        return Err(wrong("limits.sockets", "a whole number from 32 up"));
-    }
-    let memory_mb = match value.get("limits").and_then(|limits| limits.get("memory_mb")) {
-        None | Some(Value::Null) => 192.0,
-        Some(memory) => memory.as_f64().filter(|mb| (1.0..1e6).contains(mb)).unwrap_or_default(),
-    };
-    if memory_mb == 0.0 {
-        return Err(wrong("limits.memory_mb", "a number from 1 up"));
-    }
-    let (listen, addresses, fixed) =
-        (address(&value, "listen")?, Addresses::decode(&value)?, Fixed::of(&value));
+    let name = decode_name(&value)?;
+    let seed = decode_seed(&value);
+    let stop_ms = value.get("stop_ms").and_then(Value::as_f64).filter(|ms| (0.0..1e9).contains(ms));
+    let sockets = decode_sockets(&value)?;
+    let memory_mb = decode_memory_mb(&value)?;
+    let listen = decode_address(&value, "listen")?;
+    let addresses = Addresses::decode(&value)?;
+    let start_fields = StartFields::from_configuration(&value);
+    let seed = seed.ok_or_else(|| field_error("seed", "16 hex digits"))?;
+    let stop_ms = stop_ms.ok_or_else(|| field_error("stop_ms", "milliseconds"))?;
+    let settings = value.get_mut("settings").map(Value::take);
     Ok(Deployment {
         name,
         listen,
         addresses,
-        fixed,
-        seed: seed.ok_or_else(|| wrong("seed", "16 hex digits"))?,
-        stop: Duration::from_secs_f64(stop.ok_or_else(|| wrong("stop_ms", "milliseconds"))? / 1000.0),
+        seed,
+        stop: Duration::from_secs_f64(stop_ms / 1000.0),
         sockets,
         memory_mb,
-        settings: value.get_mut("settings").map(Value::take).ok_or_else(|| wrong("settings", "an object"))?,
+        settings: settings.ok_or_else(|| field_error("settings", "an object"))?,
+        start_fields,
     })
 }
+
+fn decode_name(value: &Value) -> Result<String, String> {
+    let name = value.get("name").and_then(Value::as_str);
+    let name = name.filter(|name| !name.is_empty() && !name.contains(' '));
+    name.map(str::to_owned).ok_or_else(|| field_error("name", "a word"))
+}
+
+/// Hex digits, or a whole number.
+fn decode_seed(value: &Value) -> Option<u64> {
+    match value.get("seed")? {
+        Value::String(hex) => u64::from_str_radix(hex, 16).ok(),
+        number => number.as_u64(),
+    }
+}
+
+fn limit<'a>(value: &'a Value, field: &str) -> Option<&'a Value> {
+    value.get("limits").and_then(|limits| limits.get(field)).filter(|limit| !limit.is_null())
+}
+
+fn decode_sockets(value: &Value) -> Result<usize, String> {
+    let Some(sockets) = limit(value, "sockets") else { return Ok(DEFAULT_SOCKETS) };
+    let sockets = sockets.as_u64().filter(|sockets| *sockets >= MIN_SOCKETS);
+    sockets
+        .map(|sockets| sockets as usize)
+        .ok_or_else(|| field_error("limits.sockets", "a whole number from 32 up"))
+}
+
+fn decode_memory_mb(value: &Value) -> Result<f64, String> {
+    let Some(memory_mb) = limit(value, "memory_mb") else { return Ok(DEFAULT_MEMORY_MB) };
+    let memory_mb = memory_mb.as_f64().filter(|memory_mb| (1.0..1e6).contains(memory_mb));
+    memory_mb.ok_or_else(|| field_error("limits.memory_mb", "a number from 1 up"))
+}
--- a/crates/hazelgrade-server/src/program/drain.rs
+++ b/crates/hazelgrade-server/src/program/drain.rs
@@ -1,5 +1,6 @@
-//! Leaving: from the notice to the exit.
+//! Shutdown: from the signal to the exit. [`drain`] has its order.
 
+use super::serve::Services;
 use crate::protocol::jsonrpc;
 use crate::routing::front::Front;
 use crate::routing::rounds::Event;
@@ -7,65 +8,154 @@
 use async_executor::Task;
 use async_io::{Async, Timer};
 use hazelgrade::time::{Span, Time};
+use hazelgrade_net::bell::Bell;
 use std::net::TcpListener;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The listener closes this long before the stop, at the latest.
-const CLOSED_BEFORE: Duration = Duration::from_millis(150);
-/// With no client connected for this long, nobody comes any more.
-const ALONE_FOR: Duration = Duration::from_millis(1500);
-/// With every answer written, it exits this long before the stop, whatever peers still hold their connections.
-const EXIT_BEFORE: Duration = Duration::from_millis(20);
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+/// The listener closes this long before the platform kills the process, at the latest.
+const LISTENER_CLOSES_BEFORE_STOP: Duration = Duration::from_millis(150);
+/// With no client connected for this long, no more will come.
+const NO_CLIENTS_FOR: Duration = Duration::from_millis(1500);
+/// With every answer written, it exits this long before it would be killed, even if peers still hold connections.
+const EXITS_BEFORE_STOP: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Answers all that comes from the notice until the stop is near or all clients have left; `true` if every answer was written.
-pub async fn leave(
-    front: &Rc<Front>,
+/// Tells the subscriptions to documents that the node drains.
+#[derive(Default)]
+pub struct DrainNotices {
+    pub serving: Rc<Bell>,
+    pub identity: Rc<Bell>,
+    pub budgets: Rc<Bell>,
+}
+
+impl DrainNotices {
+    fn notify(&self) {
+        self.serving.ring();
+        self.identity.ring();
+        self.budgets.ring();
+    }
+}
+
+/// Drains the node: answers all that comes until the stop is near or all clients have left. `true` if every answer was
+/// written.
+///
+/// `requested_at` is when shutdown was requested; `stop` is how long after it the platform kills the process.
+pub async fn drain(
+    services: &Services,
+    notices: &DrainNotices,
     accepting: Task<()>,
     listener: Rc<Async<TcpListener>>,
-    noticed: Time,
+    requested_at: Time,
     stop: Duration,
 ) -> bool {
-    let parts = &front.parts;
-    let late = Duration::from_secs_f64(parts.rounds.clock.now().since(noticed).as_ms() / 1000.0).min(stop);
-    let began = Instant::now().checked_sub(late).unwrap_or_else(Instant::now);
-    let stopped_at = noticed + Span::from_ms(stop.as_secs_f64() * 1000.0);
-    tracing::info!(
-        in_hand = parts.hand.count(),
-        owed = parts.hand.owed(),
-        stop_ms = stop.as_millis(),
-        "leaving"
-    );
-    parts.rounds.begin();
-    parts.rounds.tell(Event::Leaving(stopped_at));
-    front.clients.tell_all(jsonrpc::DRAINING);
-    let settled = || parts.hand.owed() == 0 && front.clients.all_quiet();
-    let mut alone_since = None;
-    while began.elapsed() + CLOSED_BEFORE < stop {
-        Timer::after(LOOK_EVERY).await;
-        let alone = front.clients.count() == 0 && settled();
-        alone_since = alone.then(|| alone_since.unwrap_or_else(Instant::now));
-        if alone_since.is_some_and(|since: Instant| since.elapsed() >= ALONE_FOR) {
-            break;
+    announce(services, notices);
+    let drain = Drain::new(&services.front, requested_at, stop);
+    drain.tell_controller_and_clients(requested_at);
+    drain.wait_for_clients_to_leave().await;
+    // What the system has accepted counts, even unread: all of it is taken before the listener closes.
+    accepting.cancel().await;
+    drain.take_backlog(&listener).await;
+    drop(listener);
+    drain.write_last_answers().await;
+    drain.log_end();
+    drain.is_settled()
+}
+
+/// The registry hears that the node is not ready, control services and lessors that it drains.
+fn announce(services: &Services, notices: &DrainNotices) {
+    services.is_draining.set(true);
+    notices.notify();
+    if let Some(seat) = services.rounds.seat() {
+        seat.leave();
+    }
+    services.rounds.beat_now();
+}
+
+struct Drain<'a> {
+    front: &'a Rc<Front>,
+    began: Instant,
+    stop: Duration,
+}
+
+impl Drain<'_> {
+    fn new(front: &Rc<Front>, requested_at: Time, stop: Duration) -> Drain<'_> {
+        let elapsed = front.parts.rounds.clock.now().since(requested_at);
+        let elapsed = Duration::from_secs_f64(elapsed.as_ms() / 1000.0).min(stop);
+        let began = Instant::now().checked_sub(elapsed).unwrap_or_else(Instant::now);
+        Drain { front, began, stop }
+    }
+
+    fn elapsed(&self) -> Duration {
+        self.began.elapsed()
+    }
+
+    /// No answer is owed, and all that was written has left the process.
+    fn is_settled(&self) -> bool {
+        self.front.parts.hand.owed() == 0 && self.front.clients.all_quiet()
+    }
+
+    fn tell_controller_and_clients(&self, requested_at: Time) {
+        let parts = &self.front.parts;
+        let stop_at = requested_at + Span::from_ms(self.stop.as_secs_f64() * 1000.0);
+        tracing::info!(
+            in_flight = parts.hand.count(),
+            unanswered = parts.hand.owed(),
+            stop_ms = self.stop.as_millis(),
+            "draining"
+        );
+        parts.rounds.begin();
+        parts.rounds.tell(Event::Leaving(stop_at));
+        self.front.clients.tell_all(jsonrpc::DRAINING);
+    }
+
+    async fn wait_for_clients_to_leave(&self) {
+        let mut no_clients_since: Option<Instant> = None;
+        while self.elapsed() + LISTENER_CLOSES_BEFORE_STOP < self.stop {
+            Timer::after(POLL_INTERVAL).await;
+            if self.front.clients.count() > 0 || !self.is_settled() {
+                no_clients_since = None;
+                continue;
+            }
+            let since = *no_clients_since.get_or_insert_with(Instant::now);
+            if since.elapsed() >= NO_CLIENTS_FOR {
+                break;
+            }
         }
     }
-    // What the system has accepted counts, even unread: all of it is taken before the listener goes.
-    accepting.cancel().await;
-    let take = || take_backlog(&listener, &front.clients, |stream| front.start(stream));
-    while !take() && began.elapsed() < stop {
-        front.clients.make_room();
-        Timer::after(LOOK_EVERY).await;
+
+    async fn take_backlog(&self, listener: &Async<TcpListener>) {
+        let clients = &self.front.clients;
+        while !take_backlog(listener, clients, |stream| self.front.start(stream))
+            && self.elapsed() < self.stop
+        {
+            clients.make_room();
+            Timer::after(POLL_INTERVAL).await;
+        }
     }
-    drop(listener);
-    // The module's last answers come shortly before the stop. A connection on which nothing is owed is ended as any other,
-    // so that nothing that is still on its way to its peer goes with the process.
-    let by = || stop.saturating_sub(if settled() { EXIT_BEFORE } else { Duration::ZERO });
-    while (front.clients.count() > 0 || !settled()) && began.elapsed() < by() {
-        Timer::after(LOOK_EVERY).await;
-        front.clients.end_quiet();
+
+    /// The controller's last answers come shortly before the stop. A connection on which nothing is owed is closed as
+    /// any other, so that nothing on its way to the peer is lost with the process.
+    async fn write_last_answers(&self) {
+        let clients = &self.front.clients;
+        while clients.count() > 0 || !self.is_settled() {
+            let reserve = if self.is_settled() { EXITS_BEFORE_STOP } else { Duration::ZERO };
+            if self.elapsed() >= self.stop.saturating_sub(reserve) {
+                break;
+            }
+            Timer::after(POLL_INTERVAL).await;
+            clients.end_quiet();
+        }
+    }
+
+    fn log_end(&self) {
+        let parts = &self.front.parts;
+        tracing::info!(
+            tally = ?*parts.tally.borrow(),
+            unanswered = parts.hand.owed(),
+            connections = self.front.clients.count(),
+            after_ms = self.elapsed().as_millis(),
+            "drained"
+        );
     }
-    let (tally, owed, connections) = (*parts.tally.borrow(), parts.hand.owed(), front.clients.count());
-    tracing::info!(?tally, owed, connections, after_ms = began.elapsed().as_millis(), "left");
-    settled()
 }
--- a/crates/hazelgrade-server/src/program/identity.rs
+++ b/crates/hazelgrade-server/src/program/identity.rs
@@ -1,138 +1,119 @@
-//! Keys, callers and rights in a serving node: from a file, or streamed as a kind of document of its own.
+//! Signing keys, callers and rights in a serving node: from a file, or streamed as a kind of document of its own.
 
 use super::configuration::Deployment;
 use super::documents;
-use super::streaming::Kit;
+use super::serving_document::InitialConfiguration;
+use super::store::SharedStore;
+use super::subscription::{StartedSubscription, Subscription};
 use crate::routing::job::Parts;
 use async_io::Timer;
-use futures_lite::future::{BoxedLocal, FutureExt};
-use hazelgrade::random::MultiplyWithCarry;
+use futures_lite::future::BoxedLocal;
 use hazelgrade::time::Time;
 use hazelgrade_config::operator::{IdentityConfig, StreamConfig};
 use hazelgrade_config::{Document, Kind};
 use hazelgrade_identity::Identity;
-use hazelgrade_net::bell::Bell;
-use hazelgrade_store::Store;
-use hazelgrade_stream::backoff::Backoff;
-use hazelgrade_stream::follow::{Follow, Host};
-use hazelgrade_stream::kept::{self, Kept};
-use hazelgrade_stream::subscriber::{Action, Start, Subscriber};
+use hazelgrade_stream::follow::Host;
+use hazelgrade_stream::kept;
 use hazelgrade_stream::trial::Sample;
 use std::cell::Cell;
 use std::path::Path;
 use std::rc::Rc;
-use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Lines of refusals are due each second.
-const AUDIT_EVERY: Duration = Duration::from_secs(1);
+/// Denied requests are logged, summed up, once in this time.
+const AUDIT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// `back`: after a version that failed. What that one revoked stays revoked.
-fn take(document: &Document, parts: &Parts, back: bool) -> Result<(), String> {
+/// Makes the node go by an identity document. `is_rollback`: after a version that failed; what that one revoked stays
+/// revoked.
+fn apply(document: &Document, parts: &Parts, is_rollback: bool) -> Result<(), String> {
     let identity = Identity::of(document)?;
     let now = parts.rounds.clock.now();
-    parts.callers.replace(identity, &parts.site.borrow(), now, back).map_err(str::to_owned)
+    parts.callers.replace(identity, &parts.site.borrow(), now, is_rollback).map_err(str::to_owned)
 }
 
-/// SIGHUP: the file as it is now; one that is wrong changes nothing.
+/// Reads the identity document again, on SIGHUP; one that is wrong changes nothing.
 pub fn reload(path: &Path, parts: &Parts) {
-    match documents::read(Kind::Identity, path).and_then(|document| take(&document, parts, false)) {
-        Ok(()) => tracing::info!(path = %path.display(), "identities read again"),
-        Err(fault) => tracing::error!(fault, "the new identities are wrong and change nothing"),
+    let applied = documents::read(Kind::Identity, path).and_then(|document| apply(&document, parts, false));
+    match applied {
+        Ok(()) => tracing::info!(path = %path.display(), "identities reloaded"),
+        Err(error) => tracing::error!(error, "the new identities are wrong and change nothing"),
     }
 }
 
-/// Writes what refusals are due.
-pub async fn audit(parts: &Parts) {
+/// Logs denied requests until it is dropped.
+pub async fn log_denied_requests(parts: &Parts) {
     loop {
-        Timer::after(AUDIT_EVERY).await;
+        Timer::after(AUDIT_INTERVAL).await;
         parts.callers.audit(parts.rounds.clock.now());
     }
 }
 
-pub type Following = (Follow<Node>, Subscriber, Vec<Action>);
+/// A subscription to identity documents that has started, and the host for it.
+pub struct IdentitySubscription {
+    pub started: StartedSubscription,
+    pub host: IdentityHost,
+}
 
-/// Switches identities on: from the file at once, and from the control services if they are streamed.
+/// Switches authentication on: from the file at once, and by a subscription if identities are streamed.
 pub fn start(
-    identified: &IdentityConfig,
-    streamed: Option<&StreamConfig>,
-    kit: Option<&Kit>,
+    config: &IdentityConfig,
+    stream: Option<&StreamConfig>,
+    initial: Option<&InitialConfiguration>,
     deployment: &Deployment,
     parts: &Rc<Parts>,
-) -> Result<Option<Following>, String> {
+) -> Result<Option<IdentitySubscription>, String> {
     parts.callers.switch_on();
-    let mut site = (**parts.site.borrow()).clone();
-    site.authenticates_callers = true;
-    parts.site.replace(Rc::new(site));
-    let file =
-        identified.document.as_deref().map(|path| documents::read(Kind::Identity, path)).transpose()?;
-    let Some((streamed, kit)) = streamed.zip(kit).filter(|_| identified.streamed) else {
-        if let Some(document) = &file {
-            take(document, parts, false).map_err(|why| format!("field identity.document: {why}"))?;
+    let mut host_settings = (**parts.site.borrow()).clone();
+    host_settings.authenticates_callers = true;
+    parts.site.replace(Rc::new(host_settings));
+    let document =
+        config.document.as_deref().map(|path| documents::read(Kind::Identity, path)).transpose()?;
+    let Some((stream, initial)) = stream.zip(initial).filter(|_| config.streamed) else {
+        if let Some(document) = &document {
+            apply(document, parts, false).map_err(|error| format!("field identity.document: {error}"))?;
         }
         return Ok(None);
     };
-    let store = kit.store.clone();
-    let kept = store.as_ref().ok().and_then(|store| {
-        let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
-        store.get(kept::name(Kind::Identity)).ok().flatten()
-    });
-    let kept = match kept.as_deref().map(|kept| Kept::decode(Kind::Identity, kept)).transpose() {
-        Ok(kept) => kept.unwrap_or_default(),
-        Err(why) => {
-            tracing::error!(why, "the identities that were kept can't be read");
-            Kept::default()
-        }
-    };
-    let start = Start {
+    let store = initial.store.clone();
+    let subscription = Subscription {
         kind: Kind::Identity,
-        node: deployment.name.clone(),
-        program: env!("CARGO_PKG_VERSION").into(),
-        lineage: streamed.lineage.clone(),
-        rules: identified.trial,
-        controls: streamed.control_services.len(),
-        chance: MultiplyWithCarry::new(deployment.seed.rotate_left(16)),
-        backoff: Backoff::default(),
-        kept,
-        file,
+        deployment,
+        stream,
+        trial: config.trial,
+        stored: store.stored_state(Kind::Identity),
+        initial: document,
     };
-    let mut first = Vec::new();
-    let subscriber = Subscriber::start(parts.rounds.clock.now(), start, &mut first);
-    let host = Rc::new(Node { parts: parts.clone(), store, told: Cell::default() });
-    let (controls, tasks) = (streamed.control_services.clone(), Rc::default());
-    let follow = Follow { host, controls, tasks, leaving: Rc::new(Bell::default()) };
-    Ok(Some((follow, subscriber, first)))
+    let started = subscription.start(parts.rounds.clock.now());
+    let host = IdentityHost { parts: parts.clone(), store, counted: Cell::default() };
+    Ok(Some(IdentitySubscription { started, host }))
 }
 
-/// What identities reach of a node.
-pub struct Node {
+/// What an identity document changes of a node.
+pub struct IdentityHost {
     parts: Rc<Parts>,
-    store: Result<Arc<Mutex<Store>>, String>,
-    told: Cell<(u64, u64)>,
+    store: SharedStore,
+    counted: Cell<CountedJobs>,
 }
 
-impl Host for Node {
+/// Counters at the last sample.
+#[derive(Clone, Copy, Default)]
+struct CountedJobs {
+    authenticated: u64,
+    unverified: u64,
+}
+
+impl Host for IdentityHost {
     fn now(&self) -> Time {
         self.parts.rounds.clock.now()
     }
 
     fn keep(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
-        let store = self.store.clone();
-        async move {
-            let store = store?;
-            blocking::unblock(move || {
-                let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
-                let kept = store.commit(&[(kept::name(Kind::Identity), Some(&bytes))]);
-                kept.map_err(|fault| fault.to_string())
-            })
-            .await
-        }
-        .boxed_local()
+        self.store.write(vec![(kept::name(Kind::Identity), bytes)])
     }
 
-    fn take_effect(&self, document: Option<&Document>, back: bool) -> Result<(), String> {
+    fn take_effect(&self, document: Option<&Document>, is_rollback: bool) -> Result<(), String> {
         match document {
-            Some(document) => take(document, &self.parts, back),
+            Some(document) => apply(document, &self.parts, is_rollback),
             None => {
                 self.parts.callers.none();
                 Ok(())
@@ -140,14 +121,17 @@
         }
     }
 
-    /// What keys refuse counts, what rights and revocations refuse does not: else a revocation would be taken back for
-    /// doing what it is for.
+    /// Requests that signing keys deny count as failures, those that rights and revocations deny do not: else a
+    /// revocation would be rolled back for doing what it is for.
     fn sample(&self) -> Sample {
         let tally = *self.parts.tally.borrow();
-        let done = tally.succeeded + tally.rejected + tally.failed;
-        let (done_before, unverified_before) = self.told.replace((done, tally.unverified));
-        let done = done.saturating_sub(done_before) as f64;
-        let unverified = tally.unverified.saturating_sub(unverified_before) as f64;
-        Sample { answered: done + unverified, succeeded: done, linked: true }
+        let counted = CountedJobs {
+            authenticated: tally.succeeded + tally.rejected + tally.failed,
+            unverified: tally.unverified,
+        };
+        let before = self.counted.replace(counted);
+        let authenticated = counted.authenticated.saturating_sub(before.authenticated) as f64;
+        let unverified = counted.unverified.saturating_sub(before.unverified) as f64;
+        Sample { answered: authenticated + unverified, succeeded: authenticated, linked: true }
     }
 }
--- a/crates/hazelgrade-server/src/program/mod.rs
+++ b/crates/hazelgrade-server/src/program/mod.rs
@@ -1,13 +1,16 @@
-//! The program round the service instance: its command line, configuration, signals, reload, drain and log.
+//! The program around the service instance: command line, configuration, start, signals, reload, shutdown and log.
 
-pub mod budgets;
 pub mod command;
-pub mod configuration;
-pub mod documents;
-pub mod drain;
-pub mod identity;
-pub mod logging;
-pub mod reload;
-pub mod serve;
-pub mod streaming;
-pub mod tls;
+
+mod budgets;
+mod configuration;
+mod documents;
+mod drain;
+mod identity;
+mod logging;
+mod reload;
+mod serve;
+mod serving_document;
+mod store;
+mod subscription;
+mod tls;
--- a/crates/hazelgrade-server/src/program/reload.rs
+++ b/crates/hazelgrade-server/src/program/reload.rs
@@ -1,7 +1,7 @@
-//! SIGHUP: the configuration is read again, and each link hears of its new address. What can't be changed while
-//! serving stays as it was, and a file that is wrong changes nothing.
+//! SIGHUP: the configuration is read again, and each link goes to its new address. What can't be changed while serving
+//! stays as it was, and a file that is wrong changes nothing.
 
-use super::configuration::{Addresses, Fixed, read_value};
+use super::configuration::{Addresses, StartFields, read_json};
 use crate::routing::calls::Calls;
 use crate::routing::rounds::Rounds;
 use crate::transport::executor::Link;
@@ -11,13 +11,16 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
+/// What addresses are changed of.
 pub struct Reload {
-    pub path: PathBuf,
-    /// What the configuration said at the start.
-    pub fixed: Fixed,
-    pub calls_below: bool,
-    /// As the file says, and what a streamed document says beside that.
+    pub configuration_path: PathBuf,
+    /// The fields that only a start takes in, as they were then.
+    pub start_fields: StartFields,
+    /// Whether the node has a dependency to call.
+    pub calls_dependency: bool,
+    /// The addresses of the configuration file.
     pub file: Cell<Addresses>,
+    /// The addresses of the serving document, which take precedence.
     pub streamed: Cell<NodeAddresses>,
     pub link: Rc<Link>,
     pub calls: Rc<Calls>,
@@ -26,56 +29,64 @@
 }
 
 impl Reload {
-    /// Takes the file as it is now.
+    /// Reads the configuration file again.
     pub fn reload(&self) {
-        match self.take() {
-            Ok(addresses) => {
-                let Addresses { executor, registry, database } = addresses;
-                tracing::info!(%executor, %registry, ?database, "configuration read again");
+        match self.read_again() {
+            Ok(Addresses { executor, registry, database }) => {
+                tracing::info!(%executor, %registry, ?database, "configuration reloaded");
             }
-            Err(fault) => tracing::error!(fault, "the new configuration is wrong and changes nothing"),
+            Err(error) => tracing::error!(error, "the new configuration is wrong and changes nothing"),
         }
     }
 
-    fn take(&self) -> Result<Addresses, String> {
-        let value = read_value(&self.path)?;
-        let wrong = |message: String| format!("{}: {message}", self.path.display());
-        let addresses = Addresses::decode(&value).map_err(wrong)?;
-        if addresses.database.is_some() != self.calls_below {
+    fn read_again(&self) -> Result<Addresses, String> {
+        let value = read_json(&self.configuration_path)?;
+        let with_path = |message: String| format!("{}: {message}", self.configuration_path.display());
+        let addresses = Addresses::decode(&value).map_err(with_path)?;
+        if addresses.database.is_some() != self.calls_dependency {
             let expected =
-                if self.calls_below { "an address, as at the start" } else { "none, as at the start" };
-            return Err(wrong(format!("field db: expected {expected}")));
+                if self.calls_dependency { "an address, as at the start" } else { "none, as at the start" };
+            return Err(with_path(format!("field db: expected {expected}")));
         }
-        let addresses = self.move_to(addresses, self.streamed.get()).map_err(wrong)?;
-        let differ = self.fixed.differing(&value);
-        if !differ.is_empty() {
-            tracing::warn!(fields = differ.join(", "), "changed in the file, but only a start takes them in");
+        let addresses = self.change_addresses(addresses, self.streamed.get()).map_err(with_path)?;
+        let differing = self.start_fields.differing(&value);
+        if !differing.is_empty() {
+            tracing::warn!(
+                fields = differing.join(", "),
+                "changed in the file, but only a start takes them in"
+            );
         }
         Ok(addresses)
     }
 
-    /// What a streamed document says takes the place of what the file says.
-    pub fn stream(&self, streamed: NodeAddresses) -> Result<(), String> {
-        if streamed.database.is_some() && !self.calls_below {
+    /// Takes the addresses of a serving document, which take precedence over those of the file.
+    ///
+    /// # Errors
+    /// A database for a node that has no dependency to call, or a registry of another address family; nothing is changed
+    /// then.
+    pub fn set_streamed(&self, streamed: NodeAddresses) -> Result<(), String> {
+        if streamed.database.is_some() && !self.calls_dependency {
             return Err("field database: expected none, as this node calls nothing below".into());
         }
-        self.move_to(self.file.get(), streamed).map(drop)
+        self.change_addresses(self.file.get(), streamed).map(drop)
     }
 
-    fn move_to(&self, file: Addresses, streamed: NodeAddresses) -> Result<Addresses, String> {
+    fn change_addresses(&self, file: Addresses, streamed: NodeAddresses) -> Result<Addresses, String> {
         let addresses = Addresses {
             executor: streamed.executor.unwrap_or(file.executor),
             registry: streamed.registry.unwrap_or(file.registry),
-            database: streamed.database.filter(|_| self.calls_below).or(file.database),
+            database: streamed.database.filter(|_| self.calls_dependency).or(file.database),
         };
-        // It goes first, as nothing has changed yet.
+        // The registry comes first, as it may refuse and nothing has changed yet.
         if !self.registry.move_to(addresses.registry) {
             return Err("field registry: expected an address of the same family as at the start".into());
         }
         self.file.set(file);
         self.streamed.set(streamed);
         self.link.move_to(addresses.executor);
-        addresses.database.iter().for_each(|database| self.calls.move_to(*database));
+        if let Some(database) = addresses.database {
+            self.calls.move_to(database);
+        }
         self.rounds.beat_now();
         Ok(addresses)
     }
--- a/crates/hazelgrade-server/src/program/serve.rs
+++ b/crates/hazelgrade-server/src/program/serve.rs
@@ -1,318 +1,236 @@
 //! `serve`: one service instance, from its start to its exit.
+//!
+//! [`serve`] has the order of start; [`super::drain`] has the order of shutdown.
+
+mod bind;
+mod reports;
+mod services;
+mod signals;
+
+pub use signals::install as install_signals;
 
 use super::configuration::Deployment;
-use super::logging::Level;
+use super::drain::{self, DrainNotices};
+use super::logging::LevelHandle;
 use super::reload::Reload;
-use super::streaming::{Kit, Surroundings};
-use super::{budgets, drain, identity, tls};
-use crate::protocol::registry;
-use crate::routing::callers::Callers;
-use crate::routing::calls::Calls;
-use crate::routing::front::Front;
-use crate::routing::hand::Hand;
-use crate::routing::job::{Parts, Tally};
+use super::serving_document::{InitialConfiguration, ServingContext};
+use super::{budgets, identity, tls};
 use crate::routing::notices::Notices;
-use crate::routing::result_cache::ResultCache;
-use crate::routing::rounds::Rounds;
-use crate::transport::clients::Clients;
-use crate::transport::database::Database;
-use crate::transport::executor::Link;
 use crate::transport::listener;
-use crate::transport::registry::Registry;
-use crate::transport::tls::Tls;
-use async_executor::LocalExecutor;
-use async_io::{Async, Timer, block_on};
-use async_signal::{Signal, Signals};
-use futures_lite::StreamExt;
-use futures_lite::future::{BoxedLocal, or, poll_once};
+use async_executor::Task;
+use async_io::{Async, block_on};
+use async_signal::Signals;
+use bind::Bound;
+use futures_lite::future::or;
+use hazelgrade::api::ServiceLimits;
 use hazelgrade_config::OperatorConfig;
-use hazelgrade_net::bell::Bell;
-use hazelgrade_stream::follow::Follow;
-use std::cell::{Cell, RefCell};
-use std::io::ErrorKind;
-use std::net::{SocketAddr, TcpListener};
+use hazelgrade_config::operator::{BudgetConfig, IdentityConfig, StreamConfig};
+pub use services::Services;
+use signals::{Reloader, ShutdownRequest};
+use std::cell::Cell;
+use std::net::TcpListener;
 use std::path::PathBuf;
 use std::rc::Rc;
-use std::time::{Duration, Instant};
 use tracing::level_filters::LevelFilter;
 
-/// Reports get lost; so many go out in the three seconds after which an instance is taken off the list.
-const BEAT_EVERY: Duration = Duration::from_millis(250);
-/// The database closes or forgets connections that lie idle, some early; opening one costs little.
-const DATABASE_IDLE: Duration = Duration::from_secs(1);
-const SUMMARY_EVERY: Duration = Duration::from_secs(10);
-/// A process that is being ended still holds its address; one that is held for longer is another's.
-const ADDRESS_FREE_WITHIN: Duration = Duration::from_secs(3);
-const LISTEN_AGAIN_AFTER: Duration = Duration::from_millis(10);
+/// The log of the program, whose level documents change.
+pub struct LogLevel {
+    pub handle: LevelHandle,
+    /// The level of the command line.
+    pub default: LevelFilter,
+}
+
+/// What the command line gives to an instance.
+pub struct ServeOptions {
+    pub deployment: Deployment,
+    /// The file that the deployment was read from, which SIGHUP reads again.
+    pub configuration_path: PathBuf,
+    pub operator: OperatorConfig,
+    pub log_level: LogLevel,
+    /// Caught since before the configuration was read.
+    pub signals: Signals,
+}
 
-/// Serves until the notice to leave, then leaves; each SIGHUP until the end has the file at `path` read again. `Ok(true)` if every answer was written.
+/// Serves until SIGTERM or SIGINT, then drains; SIGHUP reloads until the exit. `Ok(true)` if every answer was written.
 ///
-/// With `[stream]` in the operator's file, job classes, tenants, promises and addresses come as documents; what the deployment says of job classes and
-/// tenants doesn't count then.
-pub fn serve(
-    mut deployment: Deployment,
-    path: PathBuf,
-    operator: OperatorConfig,
-    log: (Level, LevelFilter),
-    mut signals: Signals,
-) -> Result<bool, String> {
-    let OperatorConfig {
-        stream: streamed,
-        identity: identified,
-        budgets: budgeted,
-        tls: encrypted,
-        test_faults,
-    } = operator;
-    let dies_at = test_faults.and_then(|faults| faults.kill_at_store_change);
-    let kit = streamed.as_ref().map(|streamed| Kit::open(streamed, &deployment.name, dies_at)).transpose()?;
-    if let Some(kit) = &kit {
-        let (sockets, memory_mb) = kit.limits();
-        deployment.within(sockets, memory_mb);
-        deployment.without_use_cases();
-    }
-    let (control, site) = hazelgrade_settings::decode(&deployment.settings, deployment.seed)
+/// With `[stream]` in the operator's file, job classes, tenants, limits and addresses come as documents; what the
+/// deployment says of job classes and tenants does not count then.
+///
+/// # Errors
+/// What is wrong with a file or address, with its field; nothing was served then.
+pub fn serve(options: ServeOptions) -> Result<bool, String> {
+    let ServeOptions { mut deployment, configuration_path, operator, log_level, mut signals } = options;
+    let initial = open_initial_configuration(&operator, &mut deployment)?;
+    let (controller, host_settings) = hazelgrade_settings::decode(&deployment.settings, deployment.seed)
         .map_err(|error| format!("settings: {error}"))?;
-    let mut reads_again = false;
-    let Some(listener) = listen(deployment.listen, &mut signals, &mut reads_again)? else {
-        tracing::info!("told to leave before it listened");
-        return Ok(true);
-    };
-    let addresses = deployment.addresses;
-    let registry = Registry::new(addresses.registry)
-        .map_err(|error| format!("field registry: {}: {error}", addresses.registry))?;
-    let registry = Rc::new(registry);
-    tracing::info!(name = deployment.name, listen = %deployment.listen, "started");
-
-    let (hand, result_cache) =
-        (Rc::new(Hand::default()), Rc::new(ResultCache::new(deployment.result_bytes())));
-    let tasks = Rc::new(LocalExecutor::new());
-    let link = Rc::new(Link::new(addresses.executor));
-    let rounds = Rc::new(Rounds::new(control, site.tick, hand.clone(), result_cache.clone(), link.clone()));
-    if let Some(test_faults) = test_faults {
-        tracing::warn!(?test_faults, "this node is to fail, for tests");
-        rounds.clock.skew(test_faults.clock_offset_ms, test_faults.clock_rate);
-    }
-    let most_below = deployment.connections_below();
-    let calls = Rc::new(Calls::new(
-        addresses.database.map(|address| Database::new(address, most_below, DATABASE_IDLE)),
-        hand.clone(),
-        tasks.clone(),
-    ));
-    let notices = Notices::new(rounds.clone(), hand.clone(), link.clone(), &site.gauge_names);
-    let list_follows_health = site.readiness_follows_health;
-    let (promises, calls_may) = (site.limits.clone(), site.calls_dependency);
-    let parts = Rc::new(Parts {
-        rounds: rounds.clone(),
-        hand,
-        result_cache,
-        calls: calls.clone(),
-        link: link.clone(),
-        site: RefCell::new(Rc::new(site)),
-        tally: RefCell::new(Tally::default()),
-        callers: Callers::default(),
-    });
-    let front = Rc::new(Front {
-        parts: parts.clone(),
-        clients: Clients::new(deployment.connections()),
-        tasks: tasks.clone(),
-        bad_lines: Cell::new(0),
-        tls: Rc::new(Tls::default()),
-    });
-    if let Some(encrypted) = &encrypted {
-        tls::load(encrypted, &front.tls, &parts)?;
-    }
-    let start = |task: BoxedLocal<()>| tasks.spawn(task).detach();
-    let leaving = Rc::new(Cell::new(false));
-    let beats =
-        beat(registry.clone(), deployment.name.clone(), rounds.clone(), leaving.clone(), list_follows_health);
-    start(Box::pin(beats));
-    start(Box::pin(summary(front.clone())));
-    let watched = front.clone();
-    start(Box::pin(async move { watched.clients.watch().await }));
-    let reload = Rc::new(Reload {
-        path,
-        fixed: deployment.fixed.clone(),
-        calls_below: addresses.database.is_some(),
-        file: Cell::new(addresses),
-        streamed: Cell::default(),
-        link,
-        calls,
-        registry,
-        rounds: rounds.clone(),
-    });
-    let (left, identity_left) = (Rc::new(Bell::default()), Rc::new(Bell::default()));
-    let identity_file = RefCell::new(None);
-    if let Some(identified) = identified {
-        let known = identity::start(&identified, streamed.as_ref(), kit.as_ref(), &deployment, &parts)?;
-        if let Some((follow, subscriber, first)) = known {
-            let (tasks, leaving) = (tasks.clone(), identity_left.clone());
-            let follow = Follow { tasks, leaving, ..follow };
-            start(Box::pin(async move { follow.run(subscriber, first).await }));
+    let (listener, reload_requested) = match bind::bind(deployment.listen, &mut signals)? {
+        Bound::Listening { listener, reload_requested } => (listener, reload_requested),
+        Bound::ShutdownRequested => {
+            tracing::info!("shutdown was requested before it listened");
+            return Ok(true);
         }
-        identity_file.replace(identified.document.filter(|_| !identified.streamed));
-        let audited = parts.clone();
-        start(Box::pin(async move { identity::audit(&audited).await }));
-    }
-    let budgets_left = Rc::new(Bell::default());
-    if let Some(((budgeted, kit), streamed)) = budgeted.as_ref().zip(kit.as_ref()).zip(streamed.as_ref()) {
-        let rate = test_faults.map_or(1.0, |faults| faults.clock_rate);
-        let (follow, subscriber, first) = budgets::start(budgeted, streamed, kit, &deployment, &parts, rate)?;
-        let (tasks, leaving) = (tasks.clone(), budgets_left.clone());
-        let follow = Follow { tasks, leaving, ..follow };
-        start(Box::pin(async move { follow.run(subscriber, first).await }));
+    };
+    let default_limits = host_settings.limits.clone();
+    let services = Services::new(&deployment, controller, host_settings, operator.test_faults)?;
+    let notices = services.notices();
+    if let Some(config) = &operator.tls {
+        tls::load(config, &services.front.tls, &services.parts)?;
     }
-    if let Some((kit, streamed)) = kit.zip(streamed) {
-        let (level, usual_level) = log;
-        let surroundings = Surroundings {
-            name: deployment.name.clone(),
-            parts: parts.clone(),
-            reload: reload.clone(),
-            level,
-            usual_level,
-            promises,
-            calls_below: calls_may,
-        };
-        let (subscriber, first, node) = kit.start(&streamed, &deployment, surroundings);
-        let (host, controls) = (Rc::new(node), streamed.control_services);
-        let follow = Follow { host, controls, tasks: tasks.clone(), leaving: left.clone() };
-        start(Box::pin(async move { follow.run(subscriber, first).await }));
+    let instance = Instance { deployment, services, drain_notices: DrainNotices::default() };
+
+    instance.start_reports();
+    let reload = Rc::new(instance.reload(configuration_path));
+    instance.start_identity(operator.identity.as_ref(), operator.stream.as_ref(), initial.as_ref())?;
+    let clock_rate = operator.test_faults.map_or(1.0, |faults| faults.clock_rate);
+    instance.start_budgets(
+        operator.budgets.as_ref(),
+        operator.stream.as_ref(),
+        initial.as_ref(),
+        clock_rate,
+    )?;
+    if let Some((initial, stream)) = initial.zip(operator.stream.as_ref()) {
+        instance.start_serving_documents(initial, stream, &reload, log_level, default_limits);
     }
-    let (for_link, for_rounds) = (tasks.clone(), rounds.clone());
-    start(Box::pin(async move { notices.keep(&for_link).await }));
-    start(Box::pin(async move { for_rounds.run().await }));
+    instance.start_rounds(notices);
     let listener = Rc::new(listener);
-    let accepting = {
-        let (listener, front) = (listener.clone(), front.clone());
-        async move { listener::accept(&listener, &front.clients, |stream| front.start(stream)).await }
-    };
-    let accepting = tasks.spawn(accepting);
+    let accepting = instance.start_accepting(&listener);
 
-    let (notice, noticed) = (Bell::default(), Cell::new(None));
-    let read_again = || {
-        reload.reload();
-        match encrypted.as_ref().map(|encrypted| tls::load(encrypted, &front.tls, &parts)) {
-            Some(Ok(())) => tracing::info!("certificates read again"),
-            Some(Err(fault)) => tracing::error!(fault, "the new certificates are wrong and change nothing"),
-            None => {}
-        }
-        if let Some(path) = &*identity_file.borrow() {
-            identity::reload(path, &parts);
-        }
-    };
-    let signalled = async {
-        if reads_again {
-            read_again();
-        }
-        while let Some(signal) = signals.next().await {
-            match signal {
-                Ok(Signal::Hup) => read_again(),
-                _ if noticed.get().is_none() => {
-                    // If the process stood still, the notice came while it did: at the worst, as soon as it was
-                    // last seen to run.
-                    noticed.set(Some(rounds.alive()));
-                    notice.ring();
-                }
-                _ => {}
-            }
-        }
-        std::future::pending().await
-    };
-    let served = async {
-        notice.heard().await;
-        let noticed = noticed.get().unwrap_or_else(|| rounds.alive());
-        leaving.set(true);
-        left.ring();
-        identity_left.ring();
-        budgets_left.ring();
-        if let Some(seat) = rounds.seat() {
-            seat.leave();
-        }
-        rounds.beat_now();
-        Ok(drain::leave(&front, accepting, listener, noticed, deployment.stop).await)
+    let Instance { deployment, services, drain_notices } = instance;
+    let shutdown = ShutdownRequest::default();
+    let reloader = Reloader::new(&operator, reload, &services);
+    let handle_signals = signals::handle(signals, reload_requested, &reloader, &shutdown, &services.rounds);
+    let serve_and_drain = async {
+        let requested_at = shutdown.requested(&services.rounds).await;
+        let all_written =
+            drain::drain(&services, &drain_notices, accepting, listener, requested_at, deployment.stop);
+        Ok(all_written.await)
     };
-    block_on(tasks.run(or(served, signalled)))
+    block_on(services.tasks.run(or(serve_and_drain, handle_signals)))
 }
 
-/// Catches the signals from here on. It comes before anything that may wait: uncaught, each ends the process.
-pub fn signals() -> Result<Signals, String> {
-    Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(|error| format!("signals: {error}"))
+/// Opens the store of a node that follows control services. Its document lowers the limits of the process.
+fn open_initial_configuration(
+    operator: &OperatorConfig,
+    deployment: &mut Deployment,
+) -> Result<Option<InitialConfiguration>, String> {
+    let Some(stream) = &operator.stream else { return Ok(None) };
+    let kill_at = operator.test_faults.and_then(|faults| faults.kill_at_store_change);
+    let initial = InitialConfiguration::open(stream, &deployment.name, kill_at)?;
+    deployment.lower_limits(initial.resource_limits());
+    deployment.remove_job_classes_and_tenants();
+    Ok(Some(initial))
 }
 
-/// Listens, unless the notice to leave came first. The process before this one may still hold the address for a moment.
-fn listen(
-    address: SocketAddr,
-    signals: &mut Signals,
-    reads_again: &mut bool,
-) -> Result<Option<Async<TcpListener>>, String> {
-    let by = Instant::now() + ADDRESS_FREE_WITHIN;
-    loop {
-        while let Some(Some(Ok(signal))) = block_on(poll_once(signals.next())) {
-            if signal != Signal::Hup {
-                return Ok(None);
-            }
-            *reads_again = true;
-        }
-        match listener::bind(address) {
-            Ok(listener) => return Ok(Some(listener)),
-            Err(error) if error.kind() == ErrorKind::AddrInUse && Instant::now() < by => {
-                std::thread::sleep(LISTEN_AGAIN_AFTER);
-            }
-            Err(error) => return Err(format!("field listen: {address}: {error}")),
-        }
-    }
+/// The steps of the start, after all parts of the instance were made. Each spawns tasks that run once all steps are done.
+struct Instance {
+    deployment: Deployment,
+    services: Services,
+    drain_notices: DrainNotices,
 }
 
-/// Reports to the registry, now and then and at each change of health.
-async fn beat(
-    registry: Rc<Registry>,
-    name: String,
-    rounds: Rc<Rounds>,
-    leaving: Rc<Cell<bool>>,
-    list_follows_health: bool,
-) {
-    loop {
-        let ready = !leaving.get() && (rounds.good() || !list_follows_health);
-        registry.send(&registry::encode(&name, ready));
-        rounds.alive();
-        let due = async {
-            Timer::after(BEAT_EVERY).await;
+impl Instance {
+    /// Heartbeats, the summary in the log, and the watch over silent clients.
+    fn start_reports(&self) {
+        let Services { rounds, registry, front, is_draining, .. } = &self.services;
+        let readiness_follows_health = self.services.parts.site.borrow().readiness_follows_health;
+        let heartbeat = reports::Heartbeat {
+            registry: registry.clone(),
+            node: self.deployment.name.clone(),
+            rounds: rounds.clone(),
+            is_draining: is_draining.clone(),
+            readiness_follows_health,
         };
-        or(rounds.health_changed(), due).await;
+        self.services.spawn(async move { heartbeat.run().await });
+        let summarized = front.clone();
+        self.services.spawn(async move { reports::log_summaries(&summarized).await });
+        let watched = front.clone();
+        self.services.spawn(async move { watched.clients.watch().await });
     }
-}
 
-/// Says now and then what was answered.
-async fn summary(front: Rc<Front>) {
-    let mut before = 0;
-    loop {
-        Timer::after(SUMMARY_EVERY).await;
-        let (parts, tally) = (&front.parts, *front.parts.tally.borrow());
-        if tally.arrived == before {
-            continue;
+    fn reload(&self, configuration_path: PathBuf) -> Reload {
+        let addresses = self.deployment.addresses;
+        Reload {
+            configuration_path,
+            start_fields: self.deployment.start_fields.clone(),
+            calls_dependency: addresses.database.is_some(),
+            file: Cell::new(addresses),
+            streamed: Cell::default(),
+            link: self.services.parts.link.clone(),
+            calls: self.services.parts.calls.clone(),
+            registry: self.services.registry.clone(),
+            rounds: self.services.rounds.clone(),
         }
-        before = tally.arrived;
-        tracing::info!(
-            ?tally,
-            in_hand = parts.hand.count(),
-            connections = front.clients.count(),
-            rounds = parts.rounds.rounds.get(),
-            longest_round_us = parts.rounds.longest.take().as_micros(),
-            calls_below = parts.calls.connections(),
-            calls_lost = parts.calls.lost.get(),
-            replies_unknown = parts.calls.unknown.get(),
-            unknown = parts.hand.unknown.get(),
-            bad_lines = front.bad_lines.get(),
-            turned_out = front.clients.turned_out.get(),
-            no_handshake = front.tls.ended(),
-            "so far"
-        );
-        if let Some(seat) = parts.rounds.seat() {
-            tracing::info!(
-                short = seat.short.get(),
-                calls_too_late = seat.too_late.get(),
-                answers_not_taken = seat.refused(),
-                "budgets so far"
-            );
+    }
+
+    fn start_identity(
+        &self,
+        config: Option<&IdentityConfig>,
+        stream: Option<&StreamConfig>,
+        initial: Option<&InitialConfiguration>,
+    ) -> Result<(), String> {
+        let Some(config) = config else { return Ok(()) };
+        let Services { parts, tasks, .. } = &self.services;
+        let subscription = identity::start(config, stream, initial, &self.deployment, parts)?;
+        if let Some((subscription, stream)) = subscription.zip(stream) {
+            let draining = self.drain_notices.identity.clone();
+            subscription.started.follow(subscription.host, stream, tasks, draining);
         }
+        let audited = parts.clone();
+        self.services.spawn(async move { identity::log_denied_requests(&audited).await });
+        Ok(())
+    }
+
+    fn start_budgets(
+        &self,
+        config: Option<&BudgetConfig>,
+        stream: Option<&StreamConfig>,
+        initial: Option<&InitialConfiguration>,
+        clock_rate: f64,
+    ) -> Result<(), String> {
+        let Some(((config, stream), initial)) = config.zip(stream).zip(initial) else { return Ok(()) };
+        let Services { parts, tasks, .. } = &self.services;
+        let subscription = budgets::start(config, stream, initial, &self.deployment, parts, clock_rate)?;
+        let draining = self.drain_notices.budgets.clone();
+        subscription.started.follow(subscription.host, stream, tasks, draining);
+        Ok(())
+    }
+
+    fn start_serving_documents(
+        &self,
+        initial: InitialConfiguration,
+        stream: &StreamConfig,
+        reload: &Rc<Reload>,
+        log_level: LogLevel,
+        default_limits: ServiceLimits,
+    ) {
+        let Services { parts, tasks, .. } = &self.services;
+        let context = ServingContext {
+            node: self.deployment.name.clone(),
+            parts: parts.clone(),
+            reload: reload.clone(),
+            log_level: log_level.handle,
+            default_log_level: log_level.default,
+            default_limits,
+            calls_dependency: parts.site.borrow().calls_dependency,
+        };
+        let (started, host) = initial.start(stream, &self.deployment, context);
+        started.follow(host, stream, tasks, self.drain_notices.serving.clone());
+    }
+
+    /// The link to the executor, and the rounds of the controller.
+    fn start_rounds(&self, notices: Notices) {
+        let Services { rounds, tasks, .. } = &self.services;
+        let link_tasks = tasks.clone();
+        self.services.spawn(async move { notices.keep(&link_tasks).await });
+        let rounds = rounds.clone();
+        self.services.spawn(async move { rounds.run().await });
+    }
+
+    fn start_accepting(&self, listener: &Rc<Async<TcpListener>>) -> Task<()> {
+        let listener = listener.clone();
+        let front = self.services.front.clone();
+        let accept =
+            async move { listener::accept(&listener, &front.clients, |stream| front.start(stream)).await };
+        self.services.tasks.spawn(accept)
     }
 }
--- /dev/null
+++ b/crates/hazelgrade-server/src/program/serving_document/host.rs
@@ -0,0 +1,225 @@
+//! How a serving document takes effect in a node, and how the node's service under it is measured.
+
+use super::slot_table::{RevisedTable, SlotTable};
+use crate::program::logging::LevelHandle;
+use crate::program::reload::Reload;
+use crate::program::store::SharedStore;
+use crate::routing::job::Parts;
+use futures_lite::future::{BoxedLocal, FutureExt};
+use hazelgrade::api::{ClassSlot, JobClass, ServiceLimits, SettingsUpdate, Tenant};
+use hazelgrade::time::{Span, Time};
+use hazelgrade_config::document::{MAX_JOB_CLASSES, MAX_TENANTS};
+use hazelgrade_config::serving::ServingSettings;
+use hazelgrade_config::{Document, Kind};
+use hazelgrade_settings::{HostSettings, JobClassEntry};
+use hazelgrade_stream::follow::Host;
+use hazelgrade_stream::kept;
+use hazelgrade_stream::trial::Sample;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use tracing::level_filters::LevelFilter;
+
+/// Stored state that can't be read is put aside under this name before its own name is written.
+const UNREADABLE_NAME: &str = "configuration.unread";
+
+/// A removed name's slot is quarantined for this many times the longest time in which a job or a retry may refer to it.
+const QUARANTINE_FACTOR: f64 = 2.0;
+
+/// What of the program a serving document changes.
+pub struct ServingContext {
+    pub node: String,
+    pub parts: Rc<Parts>,
+    pub reload: Rc<Reload>,
+    pub log_level: LevelHandle,
+    /// The level of the command line, for documents that have none.
+    pub default_log_level: LevelFilter,
+    /// The limits of the settings, for what a document leaves open.
+    pub default_limits: ServiceLimits,
+    /// Whether the node has a dependency to call.
+    pub calls_dependency: bool,
+}
+
+/// The node, to its subscription to serving documents.
+pub struct ServingHost {
+    context: ServingContext,
+    store: SharedStore,
+    /// Stored state that can't be read, until it is put aside.
+    unreadable: Rc<RefCell<Option<Vec<u8>>>>,
+    job_classes: RefCell<SlotTable<JobClass>>,
+    tenants: RefCell<SlotTable<Tenant>>,
+    counted: Cell<CountedJobs>,
+}
+
+/// Counters at the last sample.
+#[derive(Clone, Copy, Default)]
+struct CountedJobs {
+    answered: u64,
+    succeeded: u64,
+}
+
+impl ServingHost {
+    pub fn new(context: ServingContext, store: SharedStore, unreadable: Option<Vec<u8>>) -> ServingHost {
+        ServingHost {
+            context,
+            store,
+            unreadable: Rc::new(RefCell::new(unreadable)),
+            job_classes: RefCell::default(),
+            tenants: RefCell::default(),
+            counted: Cell::default(),
+        }
+    }
+
+    /// Makes controller, fronts and links go by a document; by no job classes at all if there is none. An error changes
+    /// nothing.
+    fn apply(&self, document: Option<&Document>) -> Result<(), String> {
+        let context = &self.context;
+        let parts = &context.parts;
+        let now = parts.rounds.clock.now();
+        let settings = self.settings_of(document);
+        let job_classes = self.revised_job_classes(now, &settings)?;
+        let tenants = self.revised_tenants(now, &settings)?;
+        // Of all that may fail this is the last; after it all of the document takes effect.
+        let addresses = document.map(|document| document.addresses_for(&context.node)).unwrap_or_default();
+        context.reload.set_streamed(addresses)?;
+        if !parts.rounds.revise(settings_update(settings.limits, &job_classes, &tenants)) {
+            return Err("a place was taken away that jobs in hand may name".into());
+        }
+        let before = parts.site.borrow().clone();
+        parts.site.replace(Rc::new(HostSettings {
+            job_classes: job_class_entries(&job_classes.table),
+            tenants: tenant_names(&tenants.table),
+            ..(*before).clone()
+        }));
+        parts.callers.compile(&parts.site.borrow());
+        self.job_classes.replace(job_classes.table);
+        self.tenants.replace(tenants.table);
+        parts.rounds.set_ready(document.is_some());
+        self.set_log_level(document);
+        Ok(())
+    }
+
+    fn settings_of(&self, document: Option<&Document>) -> ServingSettings {
+        let default_limits = &self.context.default_limits;
+        let settings = document.map(|document| document.serving_settings(default_limits));
+        let mut settings = settings.unwrap_or_else(|| ServingSettings {
+            job_classes: Vec::new(),
+            tenants: Vec::new(),
+            limits: default_limits.clone(),
+        });
+        for (_, class) in &mut settings.job_classes {
+            class.calls_dependency &= self.context.calls_dependency;
+        }
+        settings
+    }
+
+    fn revised_job_classes(
+        &self,
+        now: Time,
+        settings: &ServingSettings,
+    ) -> Result<RevisedTable<JobClass>, String> {
+        let parts = &self.context.parts;
+        let is_busy = |slot| parts.hand.names(|job_class, _| job_class == slot);
+        let job_classes = self.job_classes.borrow();
+        job_classes
+            .revised(now, &settings.job_classes, quarantine, MAX_JOB_CLASSES, is_busy)
+            .map_err(|error| error.to_string())
+    }
+
+    fn revised_tenants(&self, now: Time, settings: &ServingSettings) -> Result<RevisedTable<Tenant>, String> {
+        let parts = &self.context.parts;
+        let is_busy = |slot| parts.hand.names(|_, tenant| tenant == slot);
+        let classes = settings.job_classes.iter();
+        let longest = classes.map(|(_, class)| quarantine(class)).max().unwrap_or(Span::ZERO);
+        let tenants = self.tenants.borrow();
+        tenants
+            .revised(now, &settings.tenants, |_| longest, MAX_TENANTS, is_busy)
+            .map_err(|error| error.to_string())
+    }
+
+    fn set_log_level(&self, document: Option<&Document>) {
+        let level = document.and_then(Document::log_level).and_then(|level| level.parse().ok());
+        let level = level.unwrap_or(self.context.default_log_level);
+        if self.context.log_level.modify(|current| *current = level).is_err() {
+            tracing::debug!("the log level can't be changed");
+        }
+    }
+}
+
+/// How long a retry may refer to a job class after its removal, with a margin.
+fn quarantine(class: &JobClass) -> Span {
+    (class.deadline + class.retry_window) * QUARANTINE_FACTOR
+}
+
+fn settings_update(
+    limits: ServiceLimits,
+    job_classes: &RevisedTable<JobClass>,
+    tenants: &RevisedTable<Tenant>,
+) -> SettingsUpdate {
+    let classes = job_classes.table.settings.iter().enumerate();
+    let class_slot = |(slot, class): (usize, &JobClass)| ClassSlot {
+        class: class.clone(),
+        in_use: job_classes.table.is_in_use(slot),
+    };
+    SettingsUpdate {
+        job_classes: classes.map(class_slot).collect(),
+        tenants: tenants.table.settings.clone(),
+        limits,
+        reset_classes: job_classes.reused.clone(),
+        reset_tenants: tenants.reused.clone(),
+    }
+}
+
+fn job_class_entries(table: &SlotTable<JobClass>) -> Vec<JobClassEntry> {
+    let entry = |(slot, class): (usize, &JobClass)| JobClassEntry {
+        name: table.name(slot),
+        idempotency: class.idempotency,
+        deadline: class.deadline,
+        in_use: table.is_in_use(slot),
+    };
+    table.settings.iter().enumerate().map(entry).collect()
+}
+
+fn tenant_names(table: &SlotTable<Tenant>) -> Vec<Option<String>> {
+    (0..table.slots.count()).map(|slot| table.is_in_use(slot).then(|| table.name(slot))).collect()
+}
+
+impl Host for ServingHost {
+    fn now(&self) -> Time {
+        self.context.parts.rounds.clock.now()
+    }
+
+    fn keep(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
+        let store = self.store.clone();
+        let unreadable = self.unreadable.clone();
+        async move {
+            let mut values = vec![(kept::name(Kind::Serving), bytes)];
+            let put_aside = unreadable.borrow().clone();
+            values.extend(put_aside.map(|bytes| (UNREADABLE_NAME, bytes)));
+            let written = store.write(values).await;
+            if written.is_ok() {
+                unreadable.replace(None);
+            }
+            written
+        }
+        .boxed_local()
+    }
+
+    fn take_effect(&self, document: Option<&Document>, _is_rollback: bool) -> Result<(), String> {
+        self.apply(document)
+    }
+
+    fn sample(&self) -> Sample {
+        let parts = &self.context.parts;
+        let tally = *parts.tally.borrow();
+        let counted = CountedJobs {
+            answered: tally.succeeded + tally.rejected + tally.failed + tally.not_here + tally.unverified,
+            succeeded: tally.succeeded,
+        };
+        let before = self.counted.replace(counted);
+        Sample {
+            answered: counted.answered.saturating_sub(before.answered) as f64,
+            succeeded: counted.succeeded.saturating_sub(before.succeeded) as f64,
+            linked: parts.link.is_up(),
+        }
+    }
+}
--- a/crates/hazelgrade-server/src/program/tls.rs
+++ b/crates/hazelgrade-server/src/program/tls.rs
@@ -1,11 +1,13 @@
-//! The files of TLS: the node's certificate and key, whose certificates clients may show, and which of these are revoked.
+//! The files of TLS: the node's certificate and key, the authorities of client certificates, and revocation lists.
 
 use crate::routing::job::Parts;
 use crate::transport::tls::Tls;
 use hazelgrade_config::operator::TlsConfig;
 use hazelgrade_identity::certificate;
+use rustls::crypto::CryptoProvider;
 use rustls::crypto::ring::default_provider;
 use rustls::server::WebPkiClientVerifier;
+use rustls::server::danger::ClientCertVerifier;
 use rustls::{RootCertStore, ServerConfig};
 use rustls_pki_types::pem::PemObject;
 use rustls_pki_types::{CertificateDer, CertificateRevocationListDer, PrivateKeyDer};
@@ -14,65 +16,92 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Takes the files as they are now: for connections from now on, and revocations for those that stand too. Files that are
-/// wrong change nothing.
-pub fn load(encrypted: &TlsConfig, tls: &Tls, parts: &Parts) -> Result<(), String> {
-    let (config, revoked) = read(encrypted)?;
-    parts.callers.revoke(revoked);
-    tls.replace(Arc::new(config));
+/// Takes in the files as they are now: all of it for new connections, revocations for open ones too.
+///
+/// # Errors
+/// The first file that is wrong, with its field; nothing is changed then.
+pub fn load(config: &TlsConfig, tls: &Tls, parts: &Parts) -> Result<(), String> {
+    let LoadedTls { server, revoked_serials } = read(config)?;
+    parts.callers.revoke(revoked_serials);
+    tls.replace(Arc::new(server));
     Ok(())
 }
 
-fn wrong(field: &str, path: &Path, why: impl std::fmt::Display) -> String {
-    format!("field tls.{field}: {}: {why}", path.display())
+struct LoadedTls {
+    server: ServerConfig,
+    revoked_serials: BTreeSet<String>,
 }
 
-fn certificates(field: &str, path: &Path) -> Result<Vec<CertificateDer<'static>>, String> {
-    let read = CertificateDer::pem_file_iter(path).and_then(Iterator::collect::<Result<Vec<_>, _>>);
-    let read = read.map_err(|error| wrong(field, path, error))?;
-    if read.is_empty() { Err(wrong(field, path, "expected a certificate in PEM")) } else { Ok(read) }
+fn field_error(field: &str, path: &Path, error: impl std::fmt::Display) -> String {
+    format!("field tls.{field}: {}: {error}", path.display())
 }
 
-fn read(encrypted: &TlsConfig) -> Result<(ServerConfig, BTreeSet<String>), String> {
-    let TlsConfig { certificate, key, client_authorities: clients, client_revocations: revoked } = encrypted;
-    let chain = certificates("certificate", certificate)?;
-    let private = PrivateKeyDer::from_pem_file(key).map_err(|error| wrong("key", key, error))?;
+fn read(config: &TlsConfig) -> Result<LoadedTls, String> {
+    let chain = read_certificates("certificate", &config.certificate)?;
+    let key_error = |error: &dyn std::fmt::Display| field_error("key", &config.key, error);
+    let key = PrivateKeyDer::from_pem_file(&config.key).map_err(|error| key_error(&error))?;
     let provider = Arc::new(default_provider());
-    let config = ServerConfig::builder_with_provider(provider.clone())
+    let server = ServerConfig::builder_with_provider(provider.clone())
         .with_safe_default_protocol_versions()
         .map_err(|error| error.to_string())?;
-    let mut serials = BTreeSet::new();
-    let config = match clients {
-        None => config.with_no_client_auth(),
-        Some(path) => {
-            let mut roots = RootCertStore::empty();
-            for certificate in certificates("clients", path)? {
-                roots.add(certificate).map_err(|error| wrong("clients", path, error))?;
-            }
-            let mut verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider);
-            if let Some(path) = revoked {
-                let lists = CertificateRevocationListDer::pem_file_iter(path)
-                    .and_then(Iterator::collect::<Result<Vec<_>, _>>)
-                    .map_err(|error| wrong("revoked", path, error))?;
-                for list in &lists {
-                    let (of_list, next) =
-                        certificate::read_revoked(list).map_err(|error| wrong("revoked", path, error))?;
-                    serials.extend(of_list);
-                    let now = SystemTime::now()
-                        .duration_since(UNIX_EPOCH)
-                        .map_or(0, |since| since.as_secs() as i64);
-                    if next.is_some_and(|next| next < now) {
-                        // It still says who was revoked; without it more would be let in, or nobody.
-                        tracing::warn!(path = %path.display(), "the list of revoked certificates is past its next update");
-                    }
-                }
-                verifier = verifier.with_crls(lists).allow_unknown_revocation_status();
-            }
-            // Who shows none may still name itself by a token.
-            let verifier = verifier.allow_unauthenticated().build();
-            config.with_client_cert_verifier(verifier.map_err(|error| wrong("clients", path, error))?)
+    let mut revoked_serials = BTreeSet::new();
+    let server = match &config.client_authorities {
+        None => server.with_no_client_auth(),
+        Some(authorities) => {
+            let revocations = config.client_revocations.as_deref();
+            let verifier = client_verifier(authorities, revocations, provider, &mut revoked_serials)?;
+            server.with_client_cert_verifier(verifier)
         }
     };
-    let config = config.with_single_cert(chain, private).map_err(|error| wrong("key", key, error))?;
-    Ok((config, serials))
+    let server = server.with_single_cert(chain, key).map_err(|error| key_error(&error))?;
+    Ok(LoadedTls { server, revoked_serials })
+}
+
+fn read_certificates(field: &str, path: &Path) -> Result<Vec<CertificateDer<'static>>, String> {
+    let certificates = CertificateDer::pem_file_iter(path).and_then(Iterator::collect::<Result<Vec<_>, _>>);
+    let certificates = certificates.map_err(|error| field_error(field, path, error))?;
+    if certificates.is_empty() {
+        return Err(field_error(field, path, "expected a certificate in PEM"));
+    }
+    Ok(certificates)
+}
+
+/// Clients may show a certificate and need not: those that show none may still authenticate by a token.
+fn client_verifier(
+    authorities: &Path,
+    revocations: Option<&Path>,
+    provider: Arc<CryptoProvider>,
+    revoked_serials: &mut BTreeSet<String>,
+) -> Result<Arc<dyn ClientCertVerifier>, String> {
+    let authorities_error = |error: &dyn std::fmt::Display| field_error("clients", authorities, error);
+    let mut roots = RootCertStore::empty();
+    for certificate in read_certificates("clients", authorities)? {
+        roots.add(certificate).map_err(|error| authorities_error(&error))?;
+    }
+    let mut verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider);
+    if let Some(path) = revocations {
+        let lists = read_revocation_lists(path, revoked_serials)?;
+        verifier = verifier.with_crls(lists).allow_unknown_revocation_status();
+    }
+    verifier.allow_unauthenticated().build().map_err(|error| authorities_error(&error))
+}
+
+fn read_revocation_lists(
+    path: &Path,
+    revoked_serials: &mut BTreeSet<String>,
+) -> Result<Vec<CertificateRevocationListDer<'static>>, String> {
+    let list_error = |error: &dyn std::fmt::Display| field_error("revoked", path, error);
+    let lists = CertificateRevocationListDer::pem_file_iter(path)
+        .and_then(Iterator::collect::<Result<Vec<_>, _>>)
+        .map_err(|error| list_error(&error))?;
+    for list in &lists {
+        let (serials, next_update_s) = certificate::read_revoked(list).map_err(|error| list_error(&error))?;
+        revoked_serials.extend(serials);
+        let now_s = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs() as i64);
+        if next_update_s.is_some_and(|next_update_s| next_update_s < now_s) {
+            // It still says who was revoked; without it revoked clients would be accepted, or all rejected.
+            tracing::warn!(path = %path.display(), "the list of revoked certificates is past its next update");
+        }
+    }
+    Ok(lists)
 }
