--- a/crates/hazelgrade-config/tests/documents.rs
+++ b/crates/hazelgrade-config/tests/documents.rs
@@ -1,19 +1,19 @@
-//! Documents read, wrong in every way, compared, and written again.
+//! Documents are read with all their errors, compared, and written again.
 
 use hazelgrade_config::schema::{Applies, LOG_LEVELS, RETRY_MODES, SERVING_FIELDS, ValueType};
 use hazelgrade_config::{Difference, Document, Fields, Kind, OperatorConfig, Scalar};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::path::PathBuf;
 
-const RIGHT: &str = "[use_case.a]\ngoal_ms = 10\ncut_off_ms = 20\n";
+const VALID: &str = "[use_case.a]\ngoal_ms = 10\ncut_off_ms = 20\n";
 
-/// The first fault of a text that must be wrong, as it is shown.
-fn fault(text: &str) -> String {
+/// The first error of a text that must be wrong, as it is shown.
+fn first_error(text: &str) -> String {
     Document::read(text, "f.toml").expect_err("it is wrong")[0].to_string()
 }
 
 #[test]
-fn each_fault_names_file_line_column_and_field() {
+fn each_error_names_file_line_column_and_field() {
     let wrong = [
         ("goal_ms", "f.toml:1:8"),
         ("[use_case.a]\ngoal_ms = 10\n", "f.toml:2:1: field use_case.a.cut_off_ms: is missing"),
@@ -52,19 +52,19 @@
         ("", "f.toml:1:1: field use_case: expected at least one use case"),
     ];
     for (text, expected) in wrong {
-        let shown = fault(text);
+        let shown = first_error(text);
         assert!(shown.starts_with(expected), "{text:?}: {shown}");
     }
-    let with = |rest: &str| fault(&format!("{RIGHT}{rest}"));
+    let with = |rest: &str| first_error(&format!("{VALID}{rest}"));
     assert!(with("earnings = 0\n").contains("expected at least one use case that earns something"));
     assert!(with("repeats = \"numbered\"\n").contains("field use_case.a.window_ms: expected more than 0"));
     assert!(with("[addresses]\nexecutor = \"localhost\"\n").contains("f.toml:5:1: field addresses.executor"));
     assert!(with("[limits]\nsockets = 32.5\n").contains("field limits.sockets: expected a whole number"));
-    let long = format!("{RIGHT}# {}", "x".repeat(hazelgrade_config::MAX_DOCUMENT_BYTES));
-    assert!(fault(&long).contains("bytes at most"));
+    let long = format!("{VALID}# {}", "x".repeat(hazelgrade_config::MAX_DOCUMENT_BYTES));
+    assert!(first_error(&long).contains("bytes at most"));
     let many: String =
         (0..65).map(|case| format!("[use_case.c{case}]\ngoal_ms = 10\ncut_off_ms = 20\n")).collect();
-    assert!(fault(&many).contains("field use_case: expected 64 at most, not 65"));
+    assert!(first_error(&many).contains("field use_case: expected 64 at most, not 65"));
     let several = "log = 1\n[use_case.a]\ngoal_ms = 5\ncut_off_ms = 2\nwindow = 1\n";
     assert_eq!(
         Document::read(several, "f.toml").expect_err("wrong").len(),
@@ -75,10 +75,10 @@
 
 /// Any fields that pass the checks.
 #[derive(Clone, Debug)]
-struct Right(Fields);
+struct ValidFields(Fields);
 
-impl Arbitrary for Right {
-    fn arbitrary(g: &mut Gen) -> Right {
+impl Arbitrary for ValidFields {
+    fn arbitrary(g: &mut Gen) -> ValidFields {
         let mut fields = Fields::default();
         let names = ["a", "b-c", "d.e", "f\"g", "ü"].map(|name| name.replace('ü', "u"));
         for (which, field) in SERVING_FIELDS.iter().enumerate() {
@@ -103,11 +103,11 @@
                 fields.0.insert(field.path.replace('*', name), value);
             }
         }
-        // What goes together is made to.
+        // Fields that depend on each other.
         for name in &names {
             let at = |field: &str| format!("use_case/{name}/{field}");
-            let of_case = fields.0.keys().any(|path| path.starts_with(&at("")));
-            if of_case {
+            let has_fields = fields.0.keys().any(|path| path.starts_with(&at("")));
+            if has_fields {
                 let (goal, more) = (1.0 + f64::from(u16::arbitrary(g)), f64::from(u8::arbitrary(g)));
                 fields.0.insert(at("goal_ms"), Scalar::Number(goal));
                 fields.0.insert(at("cut_off_ms"), Scalar::Number(goal + more));
@@ -118,13 +118,13 @@
                 fields.0.insert(format!("customer/{name}/"), Scalar::Bool(true));
             }
         }
-        Right(fields)
+        ValidFields(fields)
     }
 }
 
 #[test]
-fn a_document_written_and_read_is_the_same_and_so_is_one_that_a_difference_made() {
-    fn holds(Right(one): Right, Right(other): Right) -> bool {
+fn a_document_is_the_same_after_writing_and_reading_and_after_its_difference_is_applied() {
+    fn holds(ValidFields(one): ValidFields, ValidFields(other): ValidFields) -> bool {
         let document = Document::from_fields(Kind::Serving, one.clone(), "one").expect("it is right");
         let again = Document::read(&document.to_toml(), "again").expect("what it writes is right");
         let difference = one.difference(&other);
@@ -139,15 +139,15 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 16))
         .tests(300)
-        .quickcheck(holds as fn(Right, Right) -> bool);
+        .quickcheck(holds as fn(ValidFields, ValidFields) -> bool);
 }
 
 #[test]
-fn the_digest_is_of_what_is_said_not_of_how() {
-    let one = Document::read(RIGHT, "one").expect("right");
+fn the_digest_depends_on_the_fields_and_not_on_their_layout() {
+    let one = Document::read(VALID, "one").expect("right");
     let other = "# the same\n[use_case]\n[use_case.'a']\ncut_off_ms = 2e1\n  goal_ms = 10.0";
     assert_eq!(Document::read(other, "other").expect("right").digest(), one.digest());
-    let more = Document::read(&format!("{RIGHT}earnings = 1\n"), "more").expect("right");
+    let more = Document::read(&format!("{VALID}earnings = 1\n"), "more").expect("right");
     assert_ne!(more.digest(), one.digest(), "a value that is said is not one that is left open");
     assert_eq!(one.fields().difference(more.fields()).count(), 1);
     assert_eq!(
@@ -158,24 +158,24 @@
 }
 
 #[test]
-fn what_only_a_start_takes_in_is_known_field_by_field() {
+fn changed_fields_that_apply_at_a_start_are_staged() {
     let staged: Vec<&str> = SERVING_FIELDS
         .iter()
         .filter(|field| field.applies == Applies::AtStart)
         .map(|field| field.path)
         .collect();
     assert_eq!(staged, ["limits/sockets", "limits/memory_mb"]);
-    let one = Document::read(RIGHT, "one").expect("right");
-    let two = format!("log = \"debug\"\n{RIGHT}late_part = 0.5\n[limits]\nmemory_mb = 64\n");
+    let one = Document::read(VALID, "one").expect("right");
+    let two = format!("log = \"debug\"\n{VALID}late_part = 0.5\n[limits]\nmemory_mb = 64\n");
     let two = Document::read(&two, "two").expect("right");
     assert_eq!(one.fields().difference(two.fields()).staged(), ["limits.memory_mb"]);
     assert_eq!((LOG_LEVELS.len(), RETRY_MODES.len()), (6, 3));
 }
 
 #[test]
-fn a_node_has_its_own_addresses_where_there_are_such() {
+fn a_nodes_own_addresses_take_precedence() {
     let text = format!(
-        "{RIGHT}[addresses]\nexecutor = \"127.0.0.1:1\"\nregistry = \"127.0.0.1:2\"\n[node.n1]\nexecutor = \"127.0.0.1:3\"\n"
+        "{VALID}[addresses]\nexecutor = \"127.0.0.1:1\"\nregistry = \"127.0.0.1:2\"\n[node.n1]\nexecutor = \"127.0.0.1:3\"\n"
     );
     let document = Document::read(&text, "two").expect("right");
     let port = |address: Option<std::net::SocketAddr>| address.map(|address| address.port());
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn the_operators_file_is_read_or_told_what_is_wrong() {
+fn the_operators_file_is_read_or_its_errors_name_the_field() {
     let text = "[stream]\ncontrol = [\"127.0.0.1:7400\", \"127.0.0.2:7400\"]\nstore = \"s\"\n[stream.trial]\nspan_ms = 500\n";
     let stream = OperatorConfig::read(text, "o.toml").expect("right").stream.expect("switched on");
     assert_eq!(
@@ -194,8 +194,8 @@
     );
     assert_eq!(OperatorConfig::read("", "o.toml").expect("right").stream, None);
     let shown = |text: &str| {
-        let faults = OperatorConfig::read(text, "o.toml").expect_err("it is wrong");
-        faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
+        let errors = OperatorConfig::read(text, "o.toml").expect_err("it is wrong");
+        errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
     };
     assert!(shown("[stream]\nstore = \"s\"\n").contains("field stream.control: is missing"));
     assert!(shown("[stream]\ncontrol = \"127.0.0.1:1\"\n").contains("field stream.store: is missing"));
