--- a/crates/hazelgrade-server/src/program/command/check.rs
+++ b/crates/hazelgrade-server/src/program/command/check.rs
@@ -122,7 +122,7 @@
 }
 
 fn check_configuration(path: &Path) -> Result<(), String> {
-    let deployment = configuration::read(path)?;
+    let deployment = configuration::read(path).map_err(|error| error.to_string())?;
     let (_, host_settings) = hazelgrade_settings::decode(&deployment.settings, deployment.seed)
         .map_err(|error| format!("settings: {error}"))?;
     println!("{} would listen on {}", deployment.name, deployment.listen);
--- a/crates/hazelgrade-server/src/program/command/serve.rs
+++ b/crates/hazelgrade-server/src/program/command/serve.rs
@@ -48,7 +48,7 @@
     pub fn run(self) -> Result<ExitCode, String> {
         let signals = serve::install_signals()?;
         let configuration_path = self.configuration.ok_or(NO_CONFIGURATION)?;
-        let deployment = configuration::read(&configuration_path)?;
+        let deployment = configuration::read(&configuration_path).map_err(|error| error.to_string())?;
         let operator = self.operator.as_deref().map(operator_file::read).transpose()?.unwrap_or_default();
         if operator.test_faults.is_some() && std::env::var_os(CONFIGURATION_VARIABLE).is_some() {
             return Err(
--- a/crates/hazelgrade-server/src/program/configuration.rs
+++ b/crates/hazelgrade-server/src/program/configuration.rs
@@ -4,7 +4,7 @@
 use hazelgrade_config::serving::ResourceLimits;
 use serde_json::Value;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 /// File descriptors reserved for all but clients and the dependency: log, executor, registry, signals, the event queue,
@@ -71,28 +71,60 @@
     }
 }
 
+/// A configuration that can't be used.
+#[derive(Debug, thiserror::Error)]
+#[error("{}: {reason}", path.display())]
+pub struct ConfigurationError {
+    path: PathBuf,
+    reason: ErrorReason,
+}
+
+/// Why a configuration can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ErrorReason {
+    #[error(transparent)]
+    Unreadable(#[from] std::io::Error),
+    #[error(transparent)]
+    InvalidJson(#[from] serde_json::Error),
+    #[error("expected a JSON object")]
+    NotAnObject,
+    #[error(transparent)]
+    Field(#[from] FieldError),
+}
+
+impl ErrorReason {
+    /// The error of the file at this path.
+    pub fn of_file(self, path: &Path) -> ConfigurationError {
+        ConfigurationError { path: path.to_owned(), reason: self }
+    }
+}
+
+/// A field that is missing or wrong.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("field {field}: expected {expected}")]
+pub struct FieldError {
+    pub field: &'static str,
+    pub expected: &'static str,
+}
+
 /// Reads the configuration.
 ///
 /// # Errors
-/// One line that names the file and the field.
-pub fn read(path: &Path) -> Result<Deployment, String> {
-    decode(read_json(path)?).map_err(|message| format!("{}: {message}", path.display()))
+/// A file that can't be read, or the first field that is wrong.
+pub fn read(path: &Path) -> Result<Deployment, ConfigurationError> {
+    read_json(path).and_then(decode).map_err(|reason| reason.of_file(path))
 }
 
 /// Reads a file of JSON.
-///
-/// # Errors
-/// One line that names the file.
-pub fn read_json(path: &Path) -> Result<Value, String> {
-    let text = std::fs::read(path).map_err(|error| format!("{}: {error}", path.display()))?;
-    serde_json::from_slice(&text).map_err(|error| format!("{}: {error}", path.display()))
+pub fn read_json(path: &Path) -> Result<Value, ErrorReason> {
+    Ok(serde_json::from_slice(&std::fs::read(path)?)?)
 }
 
-fn field_error(field: &str, expected: &str) -> String {
-    format!("field {field}: expected {expected}")
+fn field_error(field: &'static str, expected: &'static str) -> FieldError {
+    FieldError { field, expected }
 }
 
-fn decode_address(value: &Value, field: &str) -> Result<SocketAddr, String> {
+fn decode_address(value: &Value, field: &'static str) -> Result<SocketAddr, FieldError> {
     let text = value.get(field).and_then(Value::as_str);
     text.and_then(|text| text.parse().ok())
         .ok_or_else(|| field_error(field, "an address like 127.0.0.1:9090"))
@@ -100,7 +132,7 @@
 
 impl Addresses {
     /// Decodes the addresses of a configuration.
-    pub fn decode(value: &Value) -> Result<Addresses, String> {
+    pub fn decode(value: &Value) -> Result<Addresses, FieldError> {
         let database = match value.get("db") {
             None | Some(Value::Null) => None,
             Some(_) => Some(decode_address(value, "db")?),
@@ -152,10 +184,10 @@
 /// Decodes a configuration.
 ///
 /// # Errors
-/// One line that names the field.
-pub fn decode(mut value: Value) -> Result<Deployment, String> {
+/// The first field that is wrong.
+fn decode(mut value: Value) -> Result<Deployment, ErrorReason> {
     if !value.is_object() {
-        return Err("expected a JSON object".into());
+        return Err(ErrorReason::NotAnObject);
     }
     let name = decode_name(&value)?;
     let seed = decode_seed(&value);
@@ -181,7 +213,7 @@
     })
 }
 
-fn decode_name(value: &Value) -> Result<String, String> {
+fn decode_name(value: &Value) -> Result<String, FieldError> {
     let name = value.get("name").and_then(Value::as_str);
     let name = name.filter(|name| !name.is_empty() && !name.contains(' '));
     name.map(str::to_owned).ok_or_else(|| field_error("name", "a word"))
@@ -199,7 +231,7 @@
     value.get("limits").and_then(|limits| limits.get(field)).filter(|limit| !limit.is_null())
 }
 
-fn decode_sockets(value: &Value) -> Result<usize, String> {
+fn decode_sockets(value: &Value) -> Result<usize, FieldError> {
     let Some(sockets) = limit(value, "sockets") else { return Ok(DEFAULT_SOCKETS) };
     let sockets = sockets.as_u64().filter(|sockets| *sockets >= MIN_SOCKETS);
     sockets
@@ -207,7 +239,7 @@
         .ok_or_else(|| field_error("limits.sockets", "a whole number from 32 up"))
 }
 
-fn decode_memory_mb(value: &Value) -> Result<f64, String> {
+fn decode_memory_mb(value: &Value) -> Result<f64, FieldError> {
     let Some(memory_mb) = limit(value, "memory_mb") else { return Ok(DEFAULT_MEMORY_MB) };
     let memory_mb = memory_mb.as_f64().filter(|memory_mb| (1.0..1e6).contains(memory_mb));
     memory_mb.ok_or_else(|| field_error("limits.memory_mb", "a number from 1 up"))
--- a/crates/hazelgrade-server/src/program/reload.rs
+++ b/crates/hazelgrade-server/src/program/reload.rs
@@ -1,12 +1,13 @@
 //! SIGHUP: the configuration is read again, and each link goes to its new address. What can't be changed while serving
 //! stays as it was, and a file that is wrong changes nothing.
 
-use super::configuration::{Addresses, StartFields, read_json};
+use super::configuration::{Addresses, ConfigurationError, ErrorReason, FieldError, StartFields, read_json};
 use crate::routing::calls::Calls;
 use crate::routing::rounds::Rounds;
 use crate::transport::executor::Link;
 use crate::transport::registry::Registry;
 use hazelgrade_config::serving::NodeAddresses;
+use serde_json::Value;
 use std::cell::Cell;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -35,20 +36,15 @@
             Ok(Addresses { executor, registry, database }) => {
                 tracing::info!(%executor, %registry, ?database, "configuration reloaded");
             }
-            Err(error) => tracing::error!(error, "the new configuration is wrong and changes nothing"),
+            Err(error) => tracing::error!(%error, "the new configuration is wrong and changes nothing"),
         }
     }
 
-    fn read_again(&self) -> Result<Addresses, String> {
-        let value = read_json(&self.configuration_path)?;
-        let with_path = |message: String| format!("{}: {message}", self.configuration_path.display());
-        let addresses = Addresses::decode(&value).map_err(with_path)?;
-        if addresses.database.is_some() != self.calls_dependency {
-            let expected =
-                if self.calls_dependency { "an address, as at the start" } else { "none, as at the start" };
-            return Err(with_path(format!("field db: expected {expected}")));
-        }
-        let addresses = self.change_addresses(addresses, self.streamed.get()).map_err(with_path)?;
+    fn read_again(&self) -> Result<Addresses, ConfigurationError> {
+        let path = &self.configuration_path;
+        let value = read_json(path).map_err(|reason| reason.of_file(path))?;
+        let addresses =
+            self.take_addresses(&value).map_err(|error| ErrorReason::from(error).of_file(path))?;
         let differing = self.start_fields.differing(&value);
         if !differing.is_empty() {
             tracing::warn!(
@@ -59,19 +55,29 @@
         Ok(addresses)
     }
 
+    fn take_addresses(&self, configuration: &Value) -> Result<Addresses, FieldError> {
+        let addresses = Addresses::decode(configuration)?;
+        if addresses.database.is_some() != self.calls_dependency {
+            let expected =
+                if self.calls_dependency { "an address, as at the start" } else { "none, as at the start" };
+            return Err(FieldError { field: "db", expected });
+        }
+        self.change_addresses(addresses, self.streamed.get())
+    }
+
     /// Takes the addresses of a serving document, which take precedence over those of the file.
     ///
     /// # Errors
     /// A database for a node that has no dependency to call, or a registry of another address family; nothing is changed
     /// then.
-    pub fn set_streamed(&self, streamed: NodeAddresses) -> Result<(), String> {
+    pub fn set_streamed(&self, streamed: NodeAddresses) -> Result<(), FieldError> {
         if streamed.database.is_some() && !self.calls_dependency {
-            return Err("field database: expected none, as this node calls nothing below".into());
+            return Err(FieldError { field: "database", expected: "none, as this node calls nothing below" });
         }
         self.change_addresses(self.file.get(), streamed).map(drop)
     }
 
-    fn change_addresses(&self, file: Addresses, streamed: NodeAddresses) -> Result<Addresses, String> {
+    fn change_addresses(&self, file: Addresses, streamed: NodeAddresses) -> Result<Addresses, FieldError> {
         let addresses = Addresses {
             executor: streamed.executor.unwrap_or(file.executor),
             registry: streamed.registry.unwrap_or(file.registry),
@@ -79,7 +85,8 @@
         };
         // The registry comes first, as it may refuse and nothing has changed yet.
         if !self.registry.move_to(addresses.registry) {
-            return Err("field registry: expected an address of the same family as at the start".into());
+            let expected = "an address of the same family as at the start";
+            return Err(FieldError { field: "registry", expected });
         }
         self.file.set(file);
         self.streamed.set(streamed);
--- a/crates/hazelgrade-server/src/program/serving_document/host.rs
+++ b/crates/hazelgrade-server/src/program/serving_document/host.rs
@@ -80,7 +80,7 @@
         let tenants = self.revised_tenants(now, &settings)?;
         // Of all that may fail this is the last; after it all of the document takes effect.
         let addresses = document.map(|document| document.addresses_for(&context.node)).unwrap_or_default();
-        context.reload.set_streamed(addresses)?;
+        context.reload.set_streamed(addresses).map_err(|error| error.to_string())?;
         if !parts.rounds.revise(settings_update(settings.limits, &job_classes, &tenants)) {
             return Err("a place was taken away that jobs in hand may name".into());
         }
