--- a/crates/hazelgrade-simulator-adapter/src/error.rs
+++ b/crates/hazelgrade-simulator-adapter/src/error.rs
@@ -1,6 +1,6 @@
 //! What can be wrong with the input.
 
-use hazelgrade_settings::Fault;
+use hazelgrade_settings::SettingsError;
 use std::io;
 use thiserror::Error;
 
@@ -14,8 +14,8 @@
     #[error("field message: expected a known message name, found {0:?}")]
     UnknownMessage(String),
     /// The settings of a launch are wrong; the text names the field.
-    #[error("{0}")]
-    Settings(String),
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
 }
 
 impl LineError {
@@ -25,12 +25,6 @@
     }
 }
 
-impl From<Fault> for LineError {
-    fn from(error: Fault) -> LineError {
-        LineError::Settings(error.0)
-    }
-}
-
 /// What is wrong with a line of a batch, counted from the batch's first.
 #[derive(Debug)]
 pub struct BatchError {
--- a/crates/hazelgrade-simulator-adapter/src/events.rs
+++ b/crates/hazelgrade-simulator-adapter/src/events.rs
@@ -63,8 +63,8 @@
     let Ok(settings) = serde_json::from_str::<Value>(text) else {
         return LineError::field("settings", "a JSON object");
     };
-    let (controller, site) = hazelgrade_settings::instance(&settings, seed)?;
-    let counts = Counts { job_classes: site.job_classes.len(), tenants: site.tenants.len() };
+    let (controller, host) = hazelgrade_settings::decode(&settings, seed)?;
+    let counts = Counts { job_classes: host.job_classes.len(), tenants: host.tenants.len() };
     Ok(Instance { controller, counts })
 }
 
--- a/crates/hazelgrade-stream/src/control_service/folder.rs
+++ b/crates/hazelgrade-stream/src/control_service/folder.rs
@@ -4,7 +4,7 @@
 use super::file_names::document_file;
 use crate::publisher::Event;
 use async_io::Timer;
-use hazelgrade_config::{Document, Kind, fault};
+use hazelgrade_config::{Document, Kind, error_summary};
 use std::collections::BTreeMap;
 use std::os::unix::fs::MetadataExt;
 use std::path::Path;
@@ -81,7 +81,7 @@
         let shown = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"));
         let document = text.and_then(|text| {
-            Document::read_as(kind, &text, &shown).map_err(|errors| fault::lines(&errors, MAX_ERRORS_NAMED))
+            Document::read_as(kind, &text, &shown).map_err(|errors| error_summary(&errors, MAX_ERRORS_NAMED))
         });
         match document {
             Ok(document) => {
--- a/crates/hazelgrade-stream/src/control_service/mod.rs
+++ b/crates/hazelgrade-stream/src/control_service/mod.rs
@@ -165,7 +165,7 @@
         write_counter(&config.documents, kind, &counter).map_err(|source| {
             ControlServiceError::StoreCounter { folder: config.documents.clone(), source }
         })?;
-        tracing::info!(listen = %config.listen, lineage, kind = kind.word(), ?last, "control service");
+        tracing::info!(listen = %config.listen, lineage, kind = kind.name(), ?last, "control service");
         let admission = Admission::new(config.admission.per_second, config.admission.burst);
         publishers.insert(kind, RefCell::new(Publisher::new(counter, admission)));
     }
--- a/crates/hazelgrade-stream/src/control_service/status.rs
+++ b/crates/hazelgrade-stream/src/control_service/status.rs
@@ -87,7 +87,7 @@
     };
     let mut report = report_kind(Kind::Serving);
     for kind in [Kind::Identity, Kind::Budgets] {
-        report[kind.word()] = report_kind(kind);
+        report[kind.name()] = report_kind(kind);
     }
     report
 }
--- a/crates/hazelgrade-stream/src/lessor_service/error.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/error.rs
@@ -1,6 +1,6 @@
 //! What goes wrong with a lessor.
 
-use hazelgrade_store::Fault;
+use hazelgrade_store::StoreError;
 use std::path::PathBuf;
 
 /// Why the store of a lessor can't be created or used.
@@ -18,7 +18,7 @@
         /// The store's file.
         path: PathBuf,
         /// What is wrong.
-        reason: Fault,
+        reason: StoreError,
     },
     /// There is no store.
     #[error(
@@ -40,7 +40,7 @@
         /// The store's file.
         path: PathBuf,
         /// What is wrong.
-        reason: Fault,
+        reason: StoreError,
     },
     /// A value can't be read.
     #[error("{}: {reason}", path.display())]
@@ -48,7 +48,7 @@
         /// The store's file.
         path: PathBuf,
         /// What is wrong.
-        reason: Fault,
+        reason: StoreError,
     },
     /// A value is missing.
     #[error("{}: field {key}: is missing", path.display())]
--- a/crates/hazelgrade-stream/src/lessor_service/store.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/store.rs
@@ -4,7 +4,7 @@
 use super::error::LessorError;
 use hazelgrade_budget::keeper::Book;
 use hazelgrade_budget::parts::Ledger;
-use hazelgrade_store::{Fault, Store};
+use hazelgrade_store::{Store, StoreError};
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -39,12 +39,12 @@
     if path.exists() {
         return Err(LessorError::StoreExists { path });
     }
-    let failed = |reason: Fault| LessorError::NotCreated { path: path.clone(), reason };
+    let failed = |reason: StoreError| LessorError::NotCreated { path: path.clone(), reason };
     let mut store = Store::open(&path, &store_owner(site, listen)).map_err(failed)?;
     let book = first_book(site, is_replacement);
     let (book, ledger) = (json!(book).to_string(), json!(Ledger::default()).to_string());
     let values = [(BOOK_KEY, Some(book.as_bytes())), (LEDGER_KEY, Some(ledger.as_bytes()))];
-    store.keep(&values).map_err(failed)?;
+    store.commit(&values).map_err(failed)?;
     let waits = if is_replacement {
         format!("; it grants nothing new for {MAX_LEASE_AND_USE_MS:.0} ms after its start")
     } else {
@@ -84,7 +84,7 @@
         let owner = store_owner(&site, listen);
         let opened = match config.dies_at {
             None => Store::open(&path, &owner),
-            Some(dies_at) => Store::open_dying(&path, &owner, dies_at),
+            Some(dies_at) => Store::open_with_kill_at(&path, &owner, dies_at),
         };
         match opened {
             Ok(store) => Ok(LessorStore { site, path, store }),
@@ -126,8 +126,8 @@
         self.write(LEDGER_KEY, &json!(ledger)).map_err(|reason| reason.to_string())
     }
 
-    fn write(&mut self, key: &str, value: &Value) -> Result<(), Fault> {
+    fn write(&mut self, key: &str, value: &Value) -> Result<(), StoreError> {
         let bytes = value.to_string();
-        self.store.keep(&[(key, Some(bytes.as_bytes()))])
+        self.store.commit(&[(key, Some(bytes.as_bytes()))])
     }
 }
--- a/crates/hazelgrade-stream/src/protocol/decode.rs
+++ b/crates/hazelgrade-stream/src/protocol/decode.rs
@@ -91,7 +91,7 @@
 fn parse_kind(params: &Value) -> Result<Kind, DecodeError> {
     match present(params, "kind") {
         None => Ok(Kind::Serving),
-        Some(kind) => kind.as_str().and_then(Kind::of_word).ok_or(expected("kind", "a kind of document")),
+        Some(kind) => kind.as_str().and_then(Kind::from_name).ok_or(expected("kind", "a kind of document")),
     }
 }
 
@@ -128,7 +128,7 @@
         Some(_) => return Err(expected("whole", "a document")),
         None => Content::Delta {
             base: parse_version(&params, "base")?,
-            difference: Difference::of_json(params.get("difference").unwrap_or(&Value::Null))
+            difference: Difference::from_json(params.get("difference").unwrap_or(&Value::Null))
                 .map_err(|error| DecodeError::Difference(error.to_string()))?,
         },
     };
--- a/crates/hazelgrade-stream/src/protocol/encode.rs
+++ b/crates/hazelgrade-stream/src/protocol/encode.rs
@@ -69,7 +69,7 @@
                 let params = json!({
                     "node": node,
                     "program": program,
-                    "kind": kind.word(),
+                    "kind": kind.name(),
                     "lineage": lineage,
                     "have": optional_version_to_json(in_effect),
                     "trial": on_trial,
--- a/crates/hazelgrade-stream/src/protocol/limits.rs
+++ b/crates/hazelgrade-stream/src/protocol/limits.rs
@@ -1,7 +1,7 @@
 //! The longest lines, names and reasons.
 
 /// The longest line, in bytes: a document of the longest kind, each of its characters escaped, and room for the rest.
-pub const MAX_LINE_BYTES: usize = 2 * hazelgrade_config::LONGEST_DOCUMENT + 16 * 1024;
+pub const MAX_LINE_BYTES: usize = 2 * hazelgrade_config::MAX_DOCUMENT_BYTES + 16 * 1024;
 
 /// The longest line from a subscriber, in bytes. Its messages are short; a reason is cut to fit.
 pub const MAX_SUBSCRIBER_LINE_BYTES: usize = 16 * 1024;
--- a/crates/hazelgrade-stream/src/stored.rs
+++ b/crates/hazelgrade-stream/src/stored.rs
@@ -1,6 +1,6 @@
 //! What a node stores about its configuration, so that it survives a restart.
 
-use hazelgrade_config::{Digest, Document, Kind, Version, fault};
+use hazelgrade_config::{Digest, Document, Kind, Version, error_summary};
 use serde_json::{Value, json};
 
 /// Documents whose crashes are remembered; past that the oldest is forgotten.
@@ -177,7 +177,7 @@
     let version = parse_version(&value["version"])?;
     let text = value["text"].as_str().ok_or(StoredStateError::MissingDocument)?;
     let document = Document::read_as(kind, text, "the last good version")
-        .map_err(|errors| StoredStateError::InvalidDocument(fault::lines(&errors, MAX_ERRORS_NAMED)))?;
+        .map_err(|errors| StoredStateError::InvalidDocument(error_summary(&errors, MAX_ERRORS_NAMED)))?;
     if document.digest() != version.digest {
         return Err(StoredStateError::DigestMismatch);
     }
--- a/crates/hazelgrade-stream/src/subscriber/offers.rs
+++ b/crates/hazelgrade-stream/src/subscriber/offers.rs
@@ -5,7 +5,7 @@
 use super::state::{Candidate, ReplyTo, Stage};
 use crate::protocol::{Content, Offer, Rejection, SubscriberMessage};
 use crate::stored::{MAX_CRASHES_ON_TRIAL, StoredVersion, VersionOnTrial};
-use hazelgrade_config::{Document, Version, fault};
+use hazelgrade_config::{ConfigError, Document, Version, error_summary};
 use std::sync::Arc;
 
 /// Errors of a document that a rejection names.
@@ -78,7 +78,7 @@
     fn read_document(&self, offer: &Offer) -> Result<Document, Rejection> {
         let version = offer.version;
         let name = format!("version {version}");
-        let invalid = |errors: Vec<fault::Fault>| Rejection::Invalid(fault::lines(&errors, MAX_ERRORS_NAMED));
+        let invalid = |errors: Vec<ConfigError>| Rejection::Invalid(error_summary(&errors, MAX_ERRORS_NAMED));
         match &offer.content {
             Content::Full(text) => {
                 let document = Document::read_as(self.kind, text, &name).map_err(invalid)?;
@@ -90,11 +90,11 @@
             Content::Delta { base, difference } => {
                 let in_effect = self.version_in_effect().filter(|in_effect| in_effect.version == *base);
                 let base = in_effect.ok_or(Rejection::UnknownBase)?.document;
-                let fields = base.fields().with(difference).ok_or(Rejection::UnknownBase)?;
+                let fields = base.fields().apply(difference).ok_or(Rejection::UnknownBase)?;
                 if fields.digest() != version.digest {
                     return Err(Rejection::DigestMismatch);
                 }
-                Document::of_fields(self.kind, fields, &name).map_err(invalid)
+                Document::from_fields(self.kind, fields, &name).map_err(invalid)
             }
         }
     }
--- a/crates/hazelgrade-stream/src/trial.rs
+++ b/crates/hazelgrade-stream/src/trial.rs
@@ -136,7 +136,7 @@
     /// explains.
     fn fall_in_success(&self) -> Option<String> {
         let (before, during) = (self.before, self.during);
-        if before.answered < self.rules.least_jobs || during.answered < self.rules.least_jobs {
+        if before.answered < self.rules.min_jobs || during.answered < self.rules.min_jobs {
             return None;
         }
         let ratio_before = before.success_ratio();
@@ -144,7 +144,7 @@
         let pooled_ratio = (before.succeeded + during.succeeded) / (before.answered + during.answered);
         let variance = pooled_ratio * (1.0 - pooled_ratio) * (1.0 / before.answered + 1.0 / during.answered);
         let standard_error = variance.max(0.0).sqrt();
-        let falls_past_rules = ratio_during < ratio_before * (1.0 - self.rules.fall);
+        let falls_past_rules = ratio_during < ratio_before * (1.0 - self.rules.max_success_drop_ratio);
         let falls_past_chance = ratio_before - ratio_during > SIGNIFICANT_STANDARD_ERRORS * standard_error;
         (falls_past_rules && falls_past_chance).then(|| {
             let percent = |ratio: f64| (ratio * 100.0).round();
--- a/crates/hazelgrade-stream/tests/deaths.rs
+++ b/crates/hazelgrade-stream/tests/deaths.rs
@@ -7,7 +7,7 @@
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::{Kind, Version};
 use hazelgrade_store::Store;
-use hazelgrade_store::disk::{Disk, Plan};
+use hazelgrade_store::simulated_disk::{FaultPlan, SimulatedDisk};
 use hazelgrade_stream::protocol::SubscriberMessage;
 use hazelgrade_stream::stored::{self, StoredState};
 use hazelgrade_stream::subscriber::{Action, Event, InEffect, Subscriber};
@@ -29,7 +29,7 @@
 
 impl World {
     /// None once the disk is dead.
-    fn start(disk: &Disk) -> Option<World> {
+    fn start(disk: &SimulatedDisk) -> Option<World> {
         let storage = disk.clone();
         let mut store = Store::open_on(move || storage.clone(), "n").ok()?;
         let bytes = store.get(stored::store_key(Kind::Serving)).ok()?;
@@ -44,18 +44,18 @@
         Some(world)
     }
 
-    fn tell(&mut self, event: Event, disk: &Disk) -> Option<()> {
+    fn tell(&mut self, event: Event, disk: &SimulatedDisk) -> Option<()> {
         let actions = handle(&mut self.node, self.now, event);
         self.perform(actions, disk)
     }
 
-    fn perform(&mut self, actions: Vec<Action>, disk: &Disk) -> Option<()> {
+    fn perform(&mut self, actions: Vec<Action>, disk: &SimulatedDisk) -> Option<()> {
         for action in actions {
             match action {
                 Action::Store { ticket, state } => {
                     let written =
-                        self.store.keep(&[(stored::store_key(Kind::Serving), Some(&state.encode()))]);
-                    if disk.is_dead() {
+                        self.store.commit(&[(stored::store_key(Kind::Serving), Some(&state.encode()))]);
+                    if disk.has_crashed() {
                         return None;
                     }
                     let result = written.map_err(|error| error.to_string());
@@ -75,7 +75,7 @@
     }
 
     /// A good version, one that fails, a good one, and a clean stop in a trial.
-    fn play(&mut self, disk: &Disk) -> Option<()> {
+    fn play(&mut self, disk: &SimulatedDisk) -> Option<()> {
         for (number, well) in [(1, true), (2, false), (3, true), (4, true)] {
             self.tell(full_offer(number, number, number), disk)?;
             if well {
@@ -95,19 +95,19 @@
 
 #[test]
 fn after_a_crash_at_any_write_a_node_starts_by_its_last_good_version() {
-    let made = Disk::default();
+    let made = SimulatedDisk::default();
     drop(World::start(&made).expect("a new disk"));
     let whole_run = made.after_crash(|| 1.0);
     let mut world = World::start(&whole_run).expect("a store");
     world.play(&whole_run).expect("nothing dies");
-    let (writes, all) = (whole_run.count(), world.run.good.clone());
+    let (writes, all) = (whole_run.operations(), world.run.good.clone());
     assert_eq!(all.iter().map(|version| version.number).collect::<Vec<_>>(), [1, 3, 4]);
     drop(world);
     let mut kills = 0;
     for dies_at in 0..writes {
         for seed in 0..4 {
             let disk = made.after_crash(|| 1.0);
-            disk.plan(Plan { dies_at: Some(dies_at), ..Plan::default() });
+            disk.set_plan(FaultPlan { crash_at: Some(dies_at), ..FaultPlan::default() });
             let run = match World::start(&disk) {
                 Some(mut world) => {
                     let _ = world.play(&disk);
@@ -148,15 +148,15 @@
 #[test]
 fn a_failed_write_rejects_the_version_or_is_retried() {
     let writes = {
-        let disk = Disk::default();
+        let disk = SimulatedDisk::default();
         let mut world = World::start(&disk).expect("a new disk");
         world.play(&disk).expect("nothing dies");
-        disk.count()
+        disk.operations()
     };
     for fails_at in 0..writes {
-        let disk = Disk::default();
+        let disk = SimulatedDisk::default();
         let Some(mut world) = World::start(&disk) else { panic!("a new disk") };
-        disk.plan(Plan { fails_at: Some(fails_at), ..Plan::default() });
+        disk.set_plan(FaultPlan { fail_at: Some(fails_at), ..FaultPlan::default() });
         world.play(&disk).expect("nothing dies");
         // After the delay the write is retried.
         world.now = world.now + Span::from_ms(60_000.0);
@@ -181,13 +181,13 @@
 #[test]
 fn a_full_disk_leaves_the_last_good_version() {
     for full_at in 0..60 {
-        let disk = Disk::default();
+        let disk = SimulatedDisk::default();
         let Some(mut world) = World::start(&disk) else { panic!("a new disk") };
         world.tell(full_offer(1, 1, 1), &disk);
         world.now = world.now + Span::from_ms(1001.0);
         world.tell(sampled(0.0, 1.0), &disk);
         assert_eq!(world.node.in_effect(), InEffect::Good(version(1, 1)));
-        disk.plan(Plan { full_at: Some(full_at), ..Plan::default() });
+        disk.set_plan(FaultPlan { full_at: Some(full_at), ..FaultPlan::default() });
         let _ = world.play(&disk);
         let said = world.run.good.last().copied().unwrap_or(version(1, 1));
         drop(world);
