--- /dev/null
+++ b/crates/hazelgrade-server/tests/recorded_messages.rs
@@ -0,0 +1,289 @@
+//! Every line that an instance sends or reads, byte for byte: clients, executor, database, registry. The peers are other
+//! programs, so a name inside this one may change and a line may not.
+
+use hazelgrade::api::Idempotency;
+use hazelgrade::time::Span;
+use hazelgrade_server::protocol::executor::{Command, Notice, RunEnd};
+use hazelgrade_server::protocol::jsonrpc::{Answer, Incoming};
+use hazelgrade_server::protocol::{database, executor, jsonrpc, registry};
+use hazelgrade_settings::Site;
+use serde_json::json;
+
+/// One idempotent and one keyed class, one tenant, with or without an identity for each caller.
+fn site(callers_known: bool) -> Site {
+    let settings = json!({
+        "classes": [
+            {"name": "read", "aim": 3000, "giveUp": 6000, "idempotency": "safe", "gain": 1, "window": 5000},
+            {"name": "book", "aim": 3000, "giveUp": 6000, "idempotency": "keyed", "gain": 2, "window": 5000}
+        ],
+        "customers": [{"name": "acme", "quotaPerS": 1000}],
+        "fleetSize": 1
+    });
+    let (_, site) = hazelgrade_settings::instance(&settings, 1).expect("settings");
+    assert_eq!(site.job_classes[0].repeats, Idempotency::Idempotent);
+    assert_ne!(site.job_classes[1].repeats, Idempotency::Idempotent);
+    Site { callers_known, ..site }
+}
+
+#[test]
+fn answers_to_jobs() {
+    let rejected = |not_elsewhere, ms| Answer::Rejected { not_elsewhere, retry_after: Span::from_ms(ms) };
+    let cases = [
+        (Answer::Succeeded("b25l".into()), None, r#"{"id":7,"jsonrpc":"2.0","result":{"body":"b25l"}}"#),
+        (
+            Answer::Succeeded("b25l".into()),
+            Some(0.75),
+            r#"{"id":7,"jsonrpc":"2.0","result":{"body":"b25l","signal":0.75}}"#,
+        ),
+        (
+            rejected(false, 0.0),
+            None,
+            r#"{"error":{"code":-32066,"data":{},"message":"bounced: this try never ran"},"id":7,"jsonrpc":"2.0"}"#,
+        ),
+        (
+            rejected(true, 250.0),
+            Some(0.5),
+            concat!(
+                r#"{"error":{"code":-32066,"data":{"holdoff":250.0,"nomore":1,"signal":0.5},"#,
+                r#""message":"bounced: this try never ran"},"id":7,"jsonrpc":"2.0"}"#
+            ),
+        ),
+        (
+            Answer::Denied("not allowed"),
+            None,
+            concat!(
+                r#"{"error":{"code":-32066,"data":{"denied":1,"nomore":1},"message":"not allowed"},"#,
+                r#""id":7,"jsonrpc":"2.0"}"#
+            ),
+        ),
+        (
+            Answer::Failed,
+            Some(1.0),
+            concat!(
+                r#"{"error":{"code":-32000,"data":{"signal":1.0},"message":"written off"},"#,
+                r#""id":7,"jsonrpc":"2.0"}"#
+            ),
+        ),
+    ];
+    for (answer, load_signal, line) in cases {
+        assert_eq!(jsonrpc::encode(7, &answer, load_signal), format!("{line}\n"));
+    }
+}
+
+#[test]
+fn answers_to_health_checks_and_hellos_and_the_notice_of_a_drain() {
+    assert_eq!(
+        jsonrpc::encode_check(3, true, None),
+        "{\"id\":3,\"jsonrpc\":\"2.0\",\"result\":{\"up\":true}}\n"
+    );
+    assert_eq!(
+        jsonrpc::encode_check(3, false, Some(0.25)),
+        "{\"id\":3,\"jsonrpc\":\"2.0\",\"result\":{\"signal\":0.25,\"up\":false}}\n"
+    );
+    assert_eq!(
+        jsonrpc::encode_hello(4, Ok("billing")),
+        "{\"id\":4,\"jsonrpc\":\"2.0\",\"result\":{\"caller\":\"billing\"}}\n"
+    );
+    assert_eq!(
+        jsonrpc::encode_hello(4, Err("expired")),
+        "{\"error\":{\"code\":-32602,\"message\":\"expired\"},\"id\":4,\"jsonrpc\":\"2.0\"}\n"
+    );
+    assert_eq!(jsonrpc::DRAINING, "{\"jsonrpc\":\"2.0\",\"method\":\"draining\"}\n");
+}
+
+#[test]
+fn answers_to_requests_that_break_the_protocol() {
+    let cases = [
+        ("{", "null", -32700, "the line is not a JSON value in UTF-8"),
+        ("[1]", "null", -32600, "expected one JSON object; batches are not taken"),
+        (r#"{"id":7,"method":"read"}"#, "7", -32600, r#"field jsonrpc: expected \"2.0\""#),
+        (r#"{"jsonrpc":"2.0","id":7}"#, "7", -32600, "field method: expected a word"),
+        (
+            r#"{"jsonrpc":"2.0","id":7,"method":"read","params":[]}"#,
+            "7",
+            -32602,
+            "field params: expected an object",
+        ),
+        (r#"{"jsonrpc":"2.0","method":"read"}"#, "null", -32600, "field id: expected a whole number"),
+        (
+            r#"{"jsonrpc":"2.0","id":7,"method":"write"}"#,
+            "7",
+            -32601,
+            "field method: expected a use case of this site",
+        ),
+    ];
+    for (line, id, code, message) in cases {
+        assert_refused(line, &site(false), id, code, message);
+    }
+    let line = jsonrpc::encode_wrong(&jsonrpc::wrong_time(7));
+    let message = "field ts: expected a time in the past, and within the cut-off";
+    assert_eq!(line, error_line("7", -32602, message));
+    let line = jsonrpc::encode_wrong(&jsonrpc::still_open());
+    assert_eq!(line, error_line("null", -32600, "field id: a call with this id is still open"));
+    let too_long = "the line is longer than any message";
+    assert_eq!(jsonrpc::last_words(true), error_line("null", -32600, too_long));
+    assert_eq!(jsonrpc::last_words(false), error_line("null", -32600, "too many wrong messages"));
+}
+
+#[test]
+fn answers_to_wrong_fields_of_a_job() {
+    let customer = "field owner: expected a customer of this site";
+    let cases = [
+        ("read", r#""req":"a1""#, r#""req":"""#, "field req: expected a job's id"),
+        ("read", r#""req":"a1""#, r#""req":"a 1""#, "field req: expected a job's id without spaces"),
+        ("read", r#""ts":1000.5"#, r#""ts":0"#, "field ts: expected Unix milliseconds"),
+        ("read", r#""via":2"#, r#""via":0.5"#, "field via: expected a whole number"),
+        ("read", r#""owner":"acme""#, r#""owner":"other""#, customer),
+        ("read", r#""owner":"acme""#, r#""owner":null"#, customer),
+        ("read", r#""resent":1"#, r#""resent":2"#, "field resent: expected 1, or no such field"),
+        (
+            "read",
+            r#""need":12.5"#,
+            r#""need":2000"#,
+            "field need: expected kilobytes, above 0 and under 2000",
+        ),
+        ("read", r#""level":0.5"#, r#""level":1"#, "field level: expected from 0 to under 1"),
+        ("read", r#""subject":"s1""#, r#""subject":5"#, "field subject: expected what a read is about"),
+        ("book", r#""opkey":"k1""#, r#""opkey":5"#, "field opkey: expected the mark of a numbered job"),
+        ("read", r#""body":"aGk=""#, r#""body":"a""#, "field body: expected base64 for 2048 bytes at most"),
+    ];
+    for (job_class, field, wrong, message) in cases {
+        let line = job_line(job_class);
+        assert!(line.contains(field), "{field}");
+        assert_refused(&line.replace(field, wrong), &site(false), "7", -32602, message);
+    }
+    let wrong_token = job_line("read").replace(r#""token":"t1""#, r#""token":5"#);
+    let message = "field token: expected a token of 2048 bytes at most";
+    assert_refused(&wrong_token, &site(true), "7", -32602, message);
+    let no_token = r#"{"jsonrpc":"2.0","id":7,"method":"hello","params":{}}"#;
+    assert_refused(no_token, &site(true), "7", -32602, "field token: expected a token");
+}
+
+fn job_line(job_class: &str) -> String {
+    format!(
+        concat!(
+            r#"{{"jsonrpc":"2.0","id":7,"method":"{}","params":{{"req":"a1","ts":1000.5,"via":2,"owner":"acme","#,
+            r#""resent":1,"need":12.5,"level":0.5,"subject":"s1","opkey":"k1","body":"aGk=","token":"t1"}}}}"#
+        ),
+        job_class
+    )
+}
+
+fn error_line(id: &str, code: i64, message: &str) -> String {
+    format!("{{\"error\":{{\"code\":{code},\"message\":\"{message}\"}},\"id\":{id},\"jsonrpc\":\"2.0\"}}\n")
+}
+
+fn assert_refused(line: &str, site: &Site, id: &str, code: i64, message: &str) {
+    let wrong = jsonrpc::decode(line.as_bytes(), site).expect_err(line);
+    assert_eq!(jsonrpc::encode_wrong(&wrong), error_line(id, code, message), "{line}");
+}
+
+#[test]
+fn a_job_with_every_field_is_read() {
+    for (job_class, place, key) in [("read", 0, "s1"), ("book", 1, "k1")] {
+        for callers_known in [false, true] {
+            let decoded = jsonrpc::decode(job_line(job_class).as_bytes(), &site(callers_known));
+            let Ok(Incoming::Job(asked)) = decoded else { panic!("{decoded:?}") };
+            assert_eq!((asked.call, &*asked.job.id, asked.job.job_class), (7, "a1", place));
+            assert_eq!((asked.job.tenant, asked.for_customer), (0, true));
+            assert_eq!((asked.job.received_at.as_ms(), asked.job.queued_kb), (1000.5, 12.5));
+            assert_eq!((asked.job.priority_rank, asked.job.is_retry), (0.5, true));
+            assert_eq!((&*asked.body, asked.mark.as_deref()), ("aGk=", Some(key)));
+            assert_eq!(asked.token.as_deref(), callers_known.then_some("t1"));
+        }
+    }
+}
+
+#[test]
+fn messages_other_than_jobs_are_read() {
+    let site = site(true);
+    let decode = |line: &str| jsonrpc::decode(line.as_bytes(), &site).expect(line);
+    let ping = decode(r#"{"jsonrpc":"2.0","id":3,"method":"ping"}"#);
+    assert!(matches!(ping, Incoming::Check(3)), "{ping:?}");
+    let hello = decode(r#"{"jsonrpc":"2.0","id":4,"method":"hello","params":{"token":"t1"}}"#);
+    assert!(matches!(&hello, Incoming::Hello(4, token) if token == "t1"), "{hello:?}");
+    let by_job = decode(r#"{"jsonrpc":"2.0","method":"abort","params":{"req":"a1"}}"#);
+    assert!(matches!(&by_job, Incoming::Abort(None, Some(id)) if &**id == "a1"), "{by_job:?}");
+    let by_call = decode(r#"{"jsonrpc":"2.0","method":"abort","params":{"id":9}}"#);
+    assert!(matches!(by_call, Incoming::Abort(Some(9), None)), "{by_call:?}");
+    let by_own_id = decode(r#"{"jsonrpc":"2.0","id":8,"method":"abort"}"#);
+    assert!(matches!(by_own_id, Incoming::Abort(Some(8), None)), "{by_own_id:?}");
+}
+
+#[test]
+fn commands_to_the_executor() {
+    let cases = [
+        (Command::Join { cursor: 5 }, r#"{"cursor":5,"event":"JOIN"}"#),
+        (
+            Command::Run { id: "a1", job_class: "read", body: "aGk=" },
+            r#"{"arg":"aGk=","entry":"read","event":"EXEC","handle":"a1"}"#,
+        ),
+        (Command::Stop { id: "a1" }, r#"{"event":"KILL","handle":"a1"}"#),
+        (Command::Reply { id: "a1", body: "aGk=" }, r#"{"arg":"aGk=","event":"RETURN","handle":"a1"}"#),
+        (Command::SkipCall { id: "a1", cursor: 5 }, r#"{"cursor":5,"event":"BYPASS","handle":"a1"}"#),
+        (Command::Gauges { ticket: "12" }, r#"{"event":"METER","ticket":"12"}"#),
+    ];
+    for (command, line) in cases {
+        assert_eq!(executor::encode(&command), format!("{line}\n"));
+    }
+}
+
+#[test]
+fn notices_from_the_executor() {
+    let decode = |line: &str| executor::decode(line.as_bytes());
+    let welcome = decode(r#"{"event":"WELCOME","fate":"new","lasted":5}"#);
+    let Ok(Notice::Welcome { fate, up_for }) = welcome else { panic!("{welcome:?}") };
+    assert_eq!((&*fate, up_for), ("new", Span::from_ms(5.0)));
+    let ends = [("good", RunEnd::Good), ("bad", RunEnd::Bad), ("cut", RunEnd::Cut), ("gone", RunEnd::Gone)];
+    for (fate, expected) in ends {
+        let line = format!(
+            r#"{{"event":"EXIT","cursor":1,"handle":"a1","fate":"{fate}","lasted":9.5,"arg":"b25l"}}"#
+        );
+        let ended = decode(&line);
+        let Ok(Notice::Ended { cursor, id, end, lasted, body }) = ended else { panic!("{ended:?}") };
+        assert_eq!((cursor, &*id, end), (1, "a1", expected));
+        assert_eq!((lasted, &*body), (Span::from_ms(9.5), "b25l"));
+    }
+    let at_call = decode(r#"{"event":"CALLOUT","cursor":2,"handle":"a1","arg":"cXVlcnk="}"#);
+    let Ok(Notice::AtCall { cursor, id, body }) = at_call else { panic!("{at_call:?}") };
+    assert_eq!((cursor, &*id, &*body), (2, "a1", "cXVlcnk="));
+    let gauges = decode(r#"{"event":"METERS","ticket":"12","figures":[3,0.5]}"#);
+    let Ok(Notice::Gauges { ticket, figures }) = gauges else { panic!("{gauges:?}") };
+    assert_eq!((&*ticket, figures), ("12", vec![3.0, 0.5]));
+    let bad = decode(r#"{"event":"BAD","fate":"EXEC","handle":"a1"}"#);
+    let Ok(Notice::NotDone { command, id }) = bad else { panic!("{bad:?}") };
+    assert_eq!((&*command, id.as_deref()), ("EXEC", Some("a1")));
+    let log = decode(r#"{"event":"LOG","cursor":3,"fate":"a remark"}"#);
+    let Ok(Notice::Remark { cursor, text }) = log else { panic!("{log:?}") };
+    assert_eq!((cursor, &*text), (3, "a remark"));
+    let other = decode(r#"{"event":"OTHER","cursor":4}"#);
+    let Ok(Notice::Unknown { event, cursor }) = other else { panic!("{other:?}") };
+    assert_eq!((&*event, cursor), ("OTHER", Some(4)));
+}
+
+#[test]
+fn calls_to_the_database_and_their_replies() {
+    let call = database::encode_call("a1", Span::from_ms(12.2), b"query");
+    assert_eq!(call, b"Q a1 13 5\r\nquery\r\n");
+    assert_eq!(database::encode_call("a1", Span::ZERO, b""), b"Q a1 1 0\r\n\r\n");
+    assert_eq!(database::encode_give_up("a1"), "X a1\r\n");
+    use database::Reply;
+    let cases = [
+        ("a1 ROWS 5\r\n", Reply::Rows, Some(5)),
+        ("a1 FULL\r\n", Reply::Full, None),
+        ("a1 FAIL\r\n", Reply::Fail, None),
+        ("a1 TIMEOUT\r\n", Reply::Timeout, None),
+        ("a1 NONE\r\n", Reply::Nobody, None),
+        ("a1 FULL 3\r\n", Reply::Full, Some(3)),
+    ];
+    for (line, reply, length) in cases {
+        let decoded = database::decode(line.as_bytes()).expect(line);
+        assert_eq!(decoded, ("a1".into(), reply, length), "{line}");
+    }
+}
+
+#[test]
+fn heartbeats_to_the_registry() {
+    assert_eq!(registry::encode("n1", true), "BEAT n1 ready");
+    assert_eq!(registry::encode("n1", false), "BEAT n1 draining");
+}
