--- a/crates/hazelgrade-net/src/connect.rs
+++ b/crates/hazelgrade-net/src/connect.rs
@@ -1,4 +1,4 @@
-//! Opens a connection, or gives up in time.
+//! Opens a TCP connection within a time limit.
 
 use async_io::{Async, Timer};
 use futures_lite::future::or;
@@ -6,14 +6,18 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-const WITHIN: Duration = Duration::from_secs(1);
+/// How long an attempt to connect may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// Connects to `address` and disables Nagle's algorithm.
+///
+/// Fails with the system's error, or with [`ErrorKind::TimedOut`] after one second.
 pub async fn connect(address: SocketAddr) -> io::Result<Async<TcpStream>> {
-    let late = async {
-        Timer::after(WITHIN).await;
+    let timeout = async {
+        Timer::after(CONNECT_TIMEOUT).await;
         Err(ErrorKind::TimedOut.into())
     };
-    let stream = or(Async::<TcpStream>::connect(address), late).await?;
+    let stream = or(Async::<TcpStream>::connect(address), timeout).await?;
     stream.get_ref().set_nodelay(true)?;
     Ok(stream)
 }
--- a/crates/hazelgrade-net/src/lib.rs
+++ b/crates/hazelgrade-net/src/lib.rs
@@ -1,9 +1,11 @@
-//! What every connection of the project stands on: bounded lines, bounded writing, giving up in time, and the one type
-//! of how a connection ends.
+//! What every connection of the project is built on: lines and bodies of bounded length, writes through a bounded queue,
+//! connecting within a time limit, and one type for how a connection ends.
+
+#![warn(missing_docs)]
 
-pub mod bell;
 pub mod connect;
-pub mod ending;
+pub mod connection_end;
 pub mod lines;
-pub mod outbox;
-pub mod wire;
+pub mod notify;
+pub mod stream;
+pub mod write_queue;
--- /dev/null
+++ b/crates/hazelgrade-net/src/stream.rs
@@ -0,0 +1,55 @@
+//! A connection as a reading and a writing half, whether plain or encrypted.
+
+use async_io::Async;
+use futures_lite::io::{AsyncRead, AsyncWrite};
+use std::io::Result;
+use std::net::TcpStream;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+/// The two halves of a connection, and the socket that carries them.
+pub struct SplitStream {
+    /// What the peer sends, decrypted.
+    pub reader: Box<dyn AsyncRead + Unpin>,
+    /// What is sent to the peer; encrypted on the way where the connection is.
+    pub writer: Box<dyn AsyncWrite + Unpin>,
+    /// The socket below both halves, for options and shutdown.
+    pub socket: Rc<Async<TcpStream>>,
+}
+
+impl SplitStream {
+    /// A connection without encryption.
+    pub fn plain(stream: Async<TcpStream>) -> SplitStream {
+        let socket = Rc::new(stream);
+        SplitStream {
+            reader: Box::new(SharedSocket(socket.clone())),
+            writer: Box::new(SharedSocket(socket.clone())),
+            socket,
+        }
+    }
+}
+
+/// A socket with several owners, each of which may read and write.
+#[derive(Clone)]
+pub struct SharedSocket(pub Rc<Async<TcpStream>>);
+
+impl AsyncRead for SharedSocket {
+    fn poll_read(self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut [u8]) -> Poll<Result<usize>> {
+        Pin::new(&mut &*self.0).poll_read(context, buffer)
+    }
+}
+
+impl AsyncWrite for SharedSocket {
+    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<Result<usize>> {
+        Pin::new(&mut &*self.0).poll_write(context, bytes)
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Result<()>> {
+        Pin::new(&mut &*self.0).poll_flush(context)
+    }
+
+    fn poll_close(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Result<()>> {
+        Pin::new(&mut &*self.0).poll_close(context)
+    }
+}
--- /dev/null
+++ b/crates/hazelgrade-net/src/write_queue.rs
@@ -0,0 +1,132 @@
+//! A bounded queue of bytes between those that send messages on a connection and the one task that writes them, so that
+//! no sender waits for the peer.
+
+use crate::connection_end::ConnectionEnd;
+use crate::notify::Notify;
+use crate::stream::SharedSocket;
+use async_executor::{LocalExecutor, Task};
+use async_io::Async;
+use futures_lite::io::{AsyncWrite, AsyncWriteExt};
+use std::cell::{Cell, RefCell};
+use std::net::TcpStream;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// Messages that wait to be written to one connection.
+pub struct WriteQueue {
+    queued: RefCell<Vec<u8>>,
+    max_bytes: usize,
+    /// Messages that were pushed and not handed to the system yet.
+    pending: Cell<usize>,
+    pushed: Notify,
+    flushed: Notify,
+    overflowed: Cell<bool>,
+    /// When the first of the queued messages expires.
+    expires_at: Cell<Option<Instant>>,
+    /// When the write in progress began.
+    write_started: Cell<Option<Instant>>,
+}
+
+impl WriteQueue {
+    /// An empty queue for at most `max_bytes`.
+    pub fn new(max_bytes: usize) -> WriteQueue {
+        WriteQueue {
+            queued: RefCell::default(),
+            max_bytes,
+            pending: Cell::new(0),
+            pushed: Notify::default(),
+            flushed: Notify::default(),
+            overflowed: Cell::new(false),
+            expires_at: Cell::new(None),
+            write_started: Cell::new(None),
+        }
+    }
+
+    /// Queues a message. One that doesn't fit is lost, so the connection ends with [`ConnectionEnd::WriteQueueFull`].
+    pub fn push(&self, message: &[u8]) {
+        let mut queued = self.queued.borrow_mut();
+        if queued.len() + message.len() > self.max_bytes {
+            self.overflowed.set(true);
+        } else {
+            queued.extend_from_slice(message);
+            self.pending.set(self.pending.get() + 1);
+        }
+        self.pushed.notify();
+    }
+
+    /// Queues a message that must not be written at `expires_at` or later: if that comes first, the connection ends with
+    /// [`ConnectionEnd::Unsent`], and everything queued is lost with it. `None` sets no limit.
+    pub fn push_with_expiry(&self, message: &[u8], expires_at: Option<Instant>) {
+        self.expires_at.set(self.expires_at.get().into_iter().chain(expires_at).min());
+        self.push(message);
+    }
+
+    /// The number of messages that were pushed and not handed to the system yet.
+    pub fn pending(&self) -> usize {
+        self.pending.get()
+    }
+
+    /// How long the write in progress has lasted; zero if there is none.
+    pub fn blocked_for(&self) -> Duration {
+        self.write_started.get().map_or(Duration::ZERO, |since| since.elapsed())
+    }
+
+    /// Waits until everything pushed has been handed to the system.
+    pub async fn flushed(&self) {
+        while self.pending() > 0 {
+            self.flushed.notified().await;
+        }
+    }
+
+    /// Spawns the task that writes to `stream` until the connection ends. Pushing a message doesn't wake the reader.
+    pub fn spawn_writer(
+        self: Rc<Self>,
+        tasks: &LocalExecutor<'static>,
+        stream: Rc<Async<TcpStream>>,
+    ) -> Task<ConnectionEnd> {
+        self.spawn_writer_to(tasks, SharedSocket(stream))
+    }
+
+    /// Like [`WriteQueue::spawn_writer`], for any writer.
+    pub fn spawn_writer_to(
+        self: Rc<Self>,
+        tasks: &LocalExecutor<'static>,
+        mut writer: impl AsyncWrite + Unpin + 'static,
+    ) -> Task<ConnectionEnd> {
+        tasks.spawn(async move { self.write_to(&mut writer).await })
+    }
+
+    async fn write_to(&self, writer: &mut (impl AsyncWrite + Unpin)) -> ConnectionEnd {
+        loop {
+            self.pushed.notified().await;
+            while self.pending() > 0 && !self.overflowed.get() {
+                // Checked right before the write: the process may have been suspended since the message was pushed.
+                if self.expires_at.take().is_some_and(|expires_at| expires_at <= Instant::now()) {
+                    return ConnectionEnd::Unsent;
+                }
+                if let Err(end) = self.write_batch(writer).await {
+                    return end;
+                }
+            }
+            self.flushed.notify();
+            if self.overflowed.get() {
+                return ConnectionEnd::WriteQueueFull;
+            }
+        }
+    }
+
+    /// Writes what is queued now.
+    async fn write_batch(&self, writer: &mut (impl AsyncWrite + Unpin)) -> Result<(), ConnectionEnd> {
+        let bytes = self.queued.take();
+        let count = self.pending();
+        self.write_started.set(Some(Instant::now()));
+        let written = async {
+            writer.write_all(&bytes).await?;
+            writer.flush().await
+        };
+        written.await.map_err(|error| ConnectionEnd::from_io_error(&error))?;
+        self.write_started.set(None);
+        self.pending.set(self.pending() - count);
+        Ok(())
+    }
+}
