--- a/crates/hazelgrade-demo/src/measure/streaming.rs
+++ b/crates/hazelgrade-demo/src/measure/streaming.rs
@@ -15,7 +15,7 @@
 use hazelgrade_fakes::executor::Work;
 use hazelgrade_fakes::world::{World, callers};
 use hazelgrade_fakes::{comes_true, free_address, node::settings};
-use hazelgrade_net::bell::Bell;
+use hazelgrade_net::notify::Notify;
 use hazelgrade_store::Store;
 use hazelgrade_stream::admission::Admission;
 use hazelgrade_stream::backoff::Backoff;
@@ -148,8 +148,12 @@
         let mut first = Vec::new();
         let start = follower(format!("n{place}"), 1, place as u64 * 7919, Backoff::default());
         let subscriber = Subscriber::start(host.now(), start, &mut first);
-        let follow =
-            Follow { host, controls: vec![control], tasks: tasks.clone(), leaving: Rc::new(Bell::default()) };
+        let follow = Follow {
+            host,
+            controls: vec![control],
+            tasks: tasks.clone(),
+            leaving: Rc::new(Notify::default()),
+        };
         tasks.spawn(async move { follow.run(subscriber, first).await }).detach();
     }
     let over = async {
--- a/crates/hazelgrade-fault-injection/src/light.rs
+++ b/crates/hazelgrade-fault-injection/src/light.rs
@@ -7,7 +7,7 @@
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::operator::Trial;
 use hazelgrade_config::{Document, Kind};
-use hazelgrade_net::bell::Bell;
+use hazelgrade_net::notify::Notify;
 use hazelgrade_stream::backoff::Backoff;
 use hazelgrade_stream::follow::{Follow, Host};
 use hazelgrade_stream::kept::Kept;
@@ -79,7 +79,7 @@
                     };
                     let mut first = Vec::new();
                     let subscriber = Subscriber::start(host.now(), start, &mut first);
-                    let leaving = Rc::new(Bell::default());
+                    let leaving = Rc::new(Notify::default());
                     let follow = Follow { host, controls: vec![control], tasks: tasks.clone(), leaving };
                     tasks.spawn(async move { follow.run(subscriber, first).await }).detach();
                 }
--- a/crates/hazelgrade-stream/src/follow.rs
+++ b/crates/hazelgrade-stream/src/follow.rs
@@ -10,11 +10,11 @@
 use futures_lite::io::{AsyncBufReadExt, BufReader};
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::Document;
-use hazelgrade_net::bell::Bell;
 use hazelgrade_net::connect::connect;
-use hazelgrade_net::ending::ConnectionEnd;
+use hazelgrade_net::connection_end::ConnectionEnd;
 use hazelgrade_net::lines::read_line;
-use hazelgrade_net::outbox::Outbox;
+use hazelgrade_net::notify::Notify;
+use hazelgrade_net::write_queue::WriteQueue;
 use std::collections::VecDeque;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
@@ -60,7 +60,7 @@
 
 struct Connection {
     count: Of,
-    outbox: Option<Rc<Outbox>>,
+    outbox: Option<Rc<WriteQueue>>,
     /// Connects, then reads; ends with the connection.
     _task: Task<()>,
 }
@@ -70,7 +70,7 @@
     pub controls: Vec<SocketAddr>,
     pub tasks: Rc<LocalExecutor<'static>>,
     /// Rung when the notice to leave comes.
-    pub leaving: Rc<Bell>,
+    pub leaving: Rc<Notify>,
 }
 
 fn lasting(span: Span) -> Duration {
@@ -78,7 +78,7 @@
 }
 
 enum Told {
-    Stands(Rc<Outbox>),
+    Stands(Rc<WriteQueue>),
     Stirred,
     Event(Event),
 }
@@ -110,7 +110,7 @@
             if let Some(outbox) = outbox
                 && let Some(said) = self.host.say()
             {
-                outbox.put(said.encode().as_bytes());
+                outbox.push(said.encode().as_bytes());
                 continue;
             }
             let says_at = self.host.says_at().filter(|_| outbox.is_some());
@@ -120,7 +120,7 @@
                 Some((0, Told::Event(Event::Woke)))
             };
             let left = async {
-                self.leaving.heard().await;
+                self.leaving.notified().await;
                 Some((0, Told::Event(Event::Leaving)))
             };
             let stirred = async {
@@ -180,7 +180,7 @@
             }
             Action::Say(said) => {
                 if let Some(outbox) = connection.as_ref().and_then(|connection| connection.outbox.as_ref()) {
-                    outbox.put(said.encode().as_bytes());
+                    outbox.push(said.encode().as_bytes());
                 }
             }
             Action::HangUp => {
@@ -220,8 +220,8 @@
     let end = match connect(address).await {
         Ok(stream) => {
             let stream = Rc::new(stream);
-            let outbox = Rc::new(Outbox::new(OUTBOX_BYTES));
-            let writer = outbox.clone().writer(&tasks, stream.clone());
+            let outbox = Rc::new(WriteQueue::new(OUTBOX_BYTES));
+            let writer = outbox.clone().spawn_writer(&tasks, stream.clone());
             if events.send((count, Told::Stands(outbox))).await.is_err() {
                 return;
             }
@@ -263,12 +263,12 @@
     most: usize,
     within: Duration,
 ) -> Result<(), ConnectionEnd> {
-    if reader.fill_buf().await.map_err(|error| ConnectionEnd::of(&error))?.is_empty() {
+    if reader.fill_buf().await.map_err(|error| ConnectionEnd::from_io_error(&error))?.is_empty() {
         return Err(ConnectionEnd::Closed);
     }
     let late = async {
         Timer::after(within).await;
-        Err(ConnectionEnd::Slow)
+        Err(ConnectionEnd::TimedOut)
     };
     or(read_line(reader, line, most), late).await
 }
--- a/crates/hazelgrade-stream/src/keeping.rs
+++ b/crates/hazelgrade-stream/src/keeping.rs
@@ -17,10 +17,10 @@
 use hazelgrade_budget::parts::{self, Ledger, Owner, TELL_EVERY_MS};
 use hazelgrade_budget::{DRIFT, Units, terms};
 use hazelgrade_config::{Document, Version};
-use hazelgrade_net::bell::Bell;
 use hazelgrade_net::connect::connect;
-use hazelgrade_net::ending::ConnectionEnd;
-use hazelgrade_net::outbox::Outbox;
+use hazelgrade_net::connection_end::ConnectionEnd;
+use hazelgrade_net::notify::Notify;
+use hazelgrade_net::write_queue::WriteQueue;
 use hazelgrade_store::Store;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -66,8 +66,8 @@
     version: RefCell<Option<Version>>,
     /// Goes by the document before the latest, as nodes went back from that.
     back: Cell<bool>,
-    links: RefCell<BTreeMap<String, Rc<Outbox>>>,
-    stirred: Bell,
+    links: RefCell<BTreeMap<String, Rc<WriteQueue>>>,
+    stirred: Notify,
     longest: Cell<Span>,
     metrics: Metrics,
 }
@@ -149,7 +149,7 @@
             version: RefCell::default(),
             back: Cell::new(false),
             links: RefCell::default(),
-            stirred: Bell::default(),
+            stirred: Notify::default(),
             longest: Cell::new(Span::ZERO),
             metrics,
         };
@@ -196,7 +196,7 @@
                 }
             }
         }
-        self.stirred.ring();
+        self.stirred.notify();
     }
 
     /// Carries out what the owner wants, and has the keeper go by what is owned then.
@@ -312,7 +312,7 @@
         }
         for (site, link) in &*self.links.borrow() {
             if let Some(parts) = self.told(site) {
-                link.put(Said::Parts(parts).encode().as_bytes());
+                link.push(Said::Parts(parts).encode().as_bytes());
             }
         }
         (self.metrics)(&self.keeper.borrow().figures(self.now()));
@@ -339,7 +339,7 @@
             let slept = async {
                 Timer::after(Duration::from_secs_f64(at.since(now).as_ms() / 1000.0)).await;
             };
-            or(self.stirred.heard(), slept).await;
+            or(self.stirred.notified(), slept).await;
         }
     }
 
@@ -355,8 +355,8 @@
             let end = match connect(address).await {
                 Ok(stream) => {
                     let stream = Rc::new(stream);
-                    let outbox = Rc::new(Outbox::new(OUTBOX_BYTES));
-                    let writer = outbox.clone().writer(&tasks, stream.clone());
+                    let outbox = Rc::new(WriteQueue::new(OUTBOX_BYTES));
+                    let writer = outbox.clone().spawn_writer(&tasks, stream.clone());
                     self.links.borrow_mut().insert(site.clone(), outbox);
                     let end = or(self.read(&stream, &mut say), writer).await;
                     self.links.borrow_mut().remove(&site);
@@ -380,7 +380,7 @@
             // The other answers whatever it is told, so that silence means that it is gone.
             let silent = async {
                 Timer::after(MESSAGE_WITHIN).await;
-                Err(ConnectionEnd::Slow)
+                Err(ConnectionEnd::TimedOut)
             };
             let read = bounded_line(&mut reader, &mut line, LONGEST_LINE, MESSAGE_WITHIN);
             if let Err(end) = or(read, silent).await {
@@ -393,7 +393,7 @@
                 Ok(_) => {}
                 Err(why) => {
                     tracing::warn!(why, "another keeper sent what can't be read");
-                    return ConnectionEnd::Unreadable;
+                    return ConnectionEnd::Malformed;
                 }
             }
         }
--- a/crates/hazelgrade-stream/src/service.rs
+++ b/crates/hazelgrade-stream/src/service.rs
@@ -12,8 +12,8 @@
 use hazelgrade::time::Time;
 use hazelgrade_budget::message::Word;
 use hazelgrade_config::{Document, Kind, Version, fault};
-use hazelgrade_net::ending::ConnectionEnd;
-use hazelgrade_net::outbox::Outbox;
+use hazelgrade_net::connection_end::ConnectionEnd;
+use hazelgrade_net::write_queue::WriteQueue;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -69,7 +69,7 @@
 }
 
 struct Peer {
-    outbox: Rc<Outbox>,
+    outbox: Rc<WriteQueue>,
     reader: Task<()>,
     writer: Task<ConnectionEnd>,
 }
@@ -209,8 +209,8 @@
         }
         self.connections.set(self.connections.get() + 1);
         let (connection, stream) = (self.connections.get(), Rc::new(stream));
-        let outbox = Rc::new(Outbox::new(OUTBOX_BYTES));
-        let writer = outbox.clone().writer(&self.tasks, stream.clone());
+        let outbox = Rc::new(WriteQueue::new(OUTBOX_BYTES));
+        let writer = outbox.clone().spawn_writer(&self.tasks, stream.clone());
         let service = self.clone();
         let reader = self.tasks.spawn(async move {
             let end = service.read(connection, &stream).await;
@@ -240,7 +240,7 @@
                 Ok(said) => self.heard(connection, said),
                 Err(why) => {
                     tracing::warn!(why, "a subscriber sent what can't be read");
-                    return ConnectionEnd::Unreadable;
+                    return ConnectionEnd::Malformed;
                 }
             }
         }
@@ -326,7 +326,7 @@
 
     fn put(&self, connection: Connection, line: &str) {
         if let Some(peer) = self.peers.borrow().get(&connection) {
-            peer.outbox.put(line.as_bytes());
+            peer.outbox.push(line.as_bytes());
         }
     }
 
@@ -339,7 +339,7 @@
             let late = async {
                 Timer::after(LAST_WORDS).await;
             };
-            or(outbox.emptied(), late).await;
+            or(outbox.flushed(), late).await;
             drop((reader, writer));
         };
         self.tasks.spawn(closing).detach();
