--- a/crates/hazelgrade-server/src/program/budgets.rs
+++ b/crates/hazelgrade-server/src/program/budgets.rs
@@ -2,9 +2,9 @@
 
 use super::configuration::Deployment;
 use super::streaming::Kit;
-use crate::routing::budgets::Seat;
-use crate::routing::job::Parts;
-use crate::routing::rounds::Event;
+use crate::routing::budget_share::BudgetShare;
+use crate::routing::context::RequestContext;
+use crate::routing::controller_driver::ControllerEvent;
 use futures_lite::future::{BoxedLocal, FutureExt};
 use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::Time;
@@ -14,7 +14,7 @@
 use hazelgrade_budget::terms;
 use hazelgrade_config::operator::{Budgeted, Streamed};
 use hazelgrade_config::{Document, Kind, fault};
-use hazelgrade_net::bell::Bell;
+use hazelgrade_net::notify::Notify;
 use hazelgrade_store::Store;
 use hazelgrade_stream::backoff::Backoff;
 use hazelgrade_stream::follow::{Follow, Host};
@@ -55,7 +55,7 @@
     streamed: &Streamed,
     kit: &Kit,
     deployment: &Deployment,
-    parts: &Rc<Parts>,
+    parts: &Rc<RequestContext>,
     rate: f64,
 ) -> Result<Following, String> {
     let file = budgeted.document.as_deref().map(read_document).transpose()?;
@@ -64,9 +64,9 @@
     let start = Time::from_ms(0.0);
     let holder = Holder::new(start, &deployment.name, run, &budgeted.alone, MultiplyWithCarry::new(run));
     let linger = parts.site.borrow().linger;
-    let seat = Rc::new(Seat::new(holder, budgeted.in_hand.clone(), linger, rate));
-    seat.bind(&BTreeMap::new());
-    parts.rounds.by_budgets(seat.clone());
+    let seat = Rc::new(BudgetShare::new(holder, budgeted.in_hand.clone(), linger, rate));
+    seat.set_budgets(&BTreeMap::new());
+    parts.driver.set_budget_share(seat.clone());
     let store = kit.store.clone();
     let kept = store.as_ref().ok().and_then(|store| {
         let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
@@ -92,16 +92,16 @@
         file,
     };
     let mut first = Vec::new();
-    let subscriber = Subscriber::start(parts.rounds.clock.now(), start, &mut first);
+    let subscriber = Subscriber::start(parts.driver.clock.now(), start, &mut first);
     let host = Rc::new(Node { parts: parts.clone(), seat, store, told: Cell::default() });
     let (controls, tasks) = (streamed.control.clone(), Rc::default());
-    Ok((Follow { host, controls, tasks, leaving: Rc::new(Bell::default()) }, subscriber, first))
+    Ok((Follow { host, controls, tasks, leaving: Rc::new(Notify::default()) }, subscriber, first))
 }
 
 /// What budgets reach of a node.
 pub struct Node {
-    parts: Rc<Parts>,
-    seat: Rc<Seat>,
+    parts: Rc<RequestContext>,
+    seat: Rc<BudgetShare>,
     store: Result<Arc<Mutex<Store>>, String>,
     told: Cell<(u64, u64)>,
 }
@@ -109,16 +109,16 @@
 impl Node {
     /// The module goes by what is allowed now.
     fn allow(&self) {
-        let rounds = &self.parts.rounds;
-        if let Some(allowance) = self.seat.allowance(rounds.clock.now()) {
-            rounds.tell(Event::Allowed(allowance));
+        let rounds = &self.parts.driver;
+        if let Some(allowance) = self.seat.call_lease(rounds.clock.now()) {
+            rounds.notify(ControllerEvent::LeaseUpdated(allowance));
         }
     }
 }
 
 impl Host for Node {
     fn now(&self) -> Time {
-        self.parts.rounds.clock.now()
+        self.parts.driver.clock.now()
     }
 
     fn keep(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
@@ -136,24 +136,24 @@
     }
 
     fn take_effect(&self, document: Option<&Document>, _back: bool) -> Result<(), String> {
-        self.seat.bind(&document.map(terms::read).unwrap_or_default());
+        self.seat.set_budgets(&document.map(terms::read).unwrap_or_default());
         self.allow();
         Ok(())
     }
 
     fn sample(&self) -> Sample {
-        let tally = *self.parts.tally.borrow();
+        let tally = *self.parts.counters.borrow();
         let answered = tally.succeeded + tally.rejected + tally.failed;
         let (answered_before, satisfied_before) = self.told.replace((answered, tally.succeeded));
         Sample {
             answered: answered.saturating_sub(answered_before) as f64,
             succeeded: tally.succeeded.saturating_sub(satisfied_before) as f64,
-            linked: self.parts.link.is_up(),
+            linked: self.parts.executor.is_up(),
         }
     }
 
     fn say(&self) -> Option<Said> {
-        let ask = self.seat.ask()?;
+        let ask = self.seat.due_request()?;
         // Whoever leaves has given up something by saying so.
         if ask.leaving {
             self.allow();
@@ -162,12 +162,12 @@
     }
 
     fn says_at(&self) -> Option<Time> {
-        Some(self.seat.asks_at(self.parts.rounds.clock.now()))
+        Some(self.seat.next_request_at(self.parts.driver.clock.now()))
     }
 
     fn stirred(&self) -> BoxedLocal<()> {
         let seat = self.seat.clone();
-        async move { seat.stirred().await }.boxed_local()
+        async move { seat.changed().await }.boxed_local()
     }
 
     fn connected(&self) {
@@ -177,7 +177,7 @@
     fn heard(&self, published: &Published) {
         match published {
             Published::Grant(grant) => {
-                if self.seat.granted(grant) {
+                if self.seat.apply_grant(grant) {
                     self.allow();
                 } else {
                     tracing::debug!(count = grant.count, "an answer about budgets that is not the latest");
--- a/crates/hazelgrade-server/src/program/configuration.rs
+++ b/crates/hazelgrade-server/src/program/configuration.rs
@@ -89,7 +89,7 @@
 impl Deployment {
     /// Connections below that may be open at once: with few descriptors, half of what is not kept back.
     pub fn connections_below(&self) -> usize {
-        database::MOST.min(self.sockets.saturating_sub(DESCRIPTORS_KEPT) / 2).max(1)
+        database::MAX_CONNECTIONS.min(self.sockets.saturating_sub(DESCRIPTORS_KEPT) / 2).max(1)
     }
 
     /// Client connections that may be open at once.
--- a/crates/hazelgrade-server/src/program/drain.rs
+++ b/crates/hazelgrade-server/src/program/drain.rs
@@ -1,8 +1,8 @@
 //! Leaving: from the notice to the exit.
 
 use crate::protocol::jsonrpc;
-use crate::routing::front::Front;
-use crate::routing::rounds::Event;
+use crate::routing::controller_driver::ControllerEvent;
+use crate::routing::front_end::FrontEnd;
 use crate::transport::listener::take_backlog;
 use async_executor::Task;
 use async_io::{Async, Timer};
@@ -21,30 +21,30 @@
 
 /// Answers all that comes from the notice until the stop is near or all clients have left; `true` if every answer was written.
 pub async fn leave(
-    front: &Rc<Front>,
+    front: &Rc<FrontEnd>,
     accepting: Task<()>,
     listener: Rc<Async<TcpListener>>,
     noticed: Time,
     stop: Duration,
 ) -> bool {
-    let parts = &front.parts;
-    let late = Duration::from_secs_f64(parts.rounds.clock.now().since(noticed).as_ms() / 1000.0).min(stop);
+    let parts = &front.context;
+    let late = Duration::from_secs_f64(parts.driver.clock.now().since(noticed).as_ms() / 1000.0).min(stop);
     let began = Instant::now().checked_sub(late).unwrap_or_else(Instant::now);
     let stopped_at = noticed + Span::from_ms(stop.as_secs_f64() * 1000.0);
     tracing::info!(
-        in_hand = parts.hand.count(),
-        owed = parts.hand.owed(),
+        in_hand = parts.in_flight.count(),
+        owed = parts.in_flight.unanswered(),
         stop_ms = stop.as_millis(),
         "leaving"
     );
-    parts.rounds.begin();
-    parts.rounds.tell(Event::Leaving(stopped_at));
-    front.clients.tell_all(jsonrpc::DRAINING);
-    let settled = || parts.hand.owed() == 0 && front.clients.all_quiet();
+    parts.driver.start_rounds();
+    parts.driver.notify(ControllerEvent::DrainStarted(stopped_at));
+    front.connections.broadcast(jsonrpc::DRAINING);
+    let settled = || parts.in_flight.unanswered() == 0 && front.connections.all_idle();
     let mut alone_since = None;
     while began.elapsed() + CLOSED_BEFORE < stop {
         Timer::after(LOOK_EVERY).await;
-        let alone = front.clients.count() == 0 && settled();
+        let alone = front.connections.count() == 0 && settled();
         alone_since = alone.then(|| alone_since.unwrap_or_else(Instant::now));
         if alone_since.is_some_and(|since: Instant| since.elapsed() >= ALONE_FOR) {
             break;
@@ -52,20 +52,21 @@
     }
     // What the system has accepted counts, even unread: all of it is taken before the listener goes.
     accepting.cancel().await;
-    let take = || take_backlog(&listener, &front.clients, |stream| front.start(stream));
+    let take = || take_backlog(&listener, &front.connections, |stream| front.start(stream));
     while !take() && began.elapsed() < stop {
-        front.clients.make_room();
+        front.connections.make_room();
         Timer::after(LOOK_EVERY).await;
     }
     drop(listener);
     // The module's last answers come shortly before the stop. A connection on which nothing is owed is ended as any other,
     // so that nothing that is still on its way to its peer goes with the process.
     let by = || stop.saturating_sub(if settled() { EXIT_BEFORE } else { Duration::ZERO });
-    while (front.clients.count() > 0 || !settled()) && began.elapsed() < by() {
+    while (front.connections.count() > 0 || !settled()) && began.elapsed() < by() {
         Timer::after(LOOK_EVERY).await;
-        front.clients.end_quiet();
+        front.connections.close_idle();
     }
-    let (tally, owed, connections) = (*parts.tally.borrow(), parts.hand.owed(), front.clients.count());
+    let (tally, owed, connections) =
+        (*parts.counters.borrow(), parts.in_flight.unanswered(), front.connections.count());
     tracing::info!(?tally, owed, connections, after_ms = began.elapsed().as_millis(), "left");
     settled()
 }
--- a/crates/hazelgrade-server/src/program/identity.rs
+++ b/crates/hazelgrade-server/src/program/identity.rs
@@ -2,7 +2,7 @@
 
 use super::configuration::Deployment;
 use super::streaming::Kit;
-use crate::routing::job::Parts;
+use crate::routing::context::RequestContext;
 use async_io::Timer;
 use futures_lite::future::{BoxedLocal, FutureExt};
 use hazelgrade::random::MultiplyWithCarry;
@@ -10,7 +10,7 @@
 use hazelgrade_config::operator::{Identified, Streamed};
 use hazelgrade_config::{Document, Kind, fault};
 use hazelgrade_identity::Identity;
-use hazelgrade_net::bell::Bell;
+use hazelgrade_net::notify::Notify;
 use hazelgrade_store::Store;
 use hazelgrade_stream::backoff::Backoff;
 use hazelgrade_stream::follow::{Follow, Host};
@@ -38,14 +38,14 @@
 }
 
 /// `back`: after a version that failed. What that one revoked stays revoked.
-fn take(document: &Document, parts: &Parts, back: bool) -> Result<(), String> {
+fn take(document: &Document, parts: &RequestContext, back: bool) -> Result<(), String> {
     let identity = Identity::of(document)?;
-    let now = parts.rounds.clock.now();
+    let now = parts.driver.clock.now();
     parts.callers.replace(identity, &parts.site.borrow(), now, back).map_err(str::to_owned)
 }
 
 /// SIGHUP: the file as it is now; one that is wrong changes nothing.
-pub fn reload(path: &Path, parts: &Parts) {
+pub fn reload(path: &Path, parts: &RequestContext) {
     match read_document(path).and_then(|document| take(&document, parts, false)) {
         Ok(()) => tracing::info!(path = %path.display(), "identities read again"),
         Err(fault) => tracing::error!(fault, "the new identities are wrong and change nothing"),
@@ -53,10 +53,10 @@
 }
 
 /// Writes what refusals are due.
-pub async fn audit(parts: &Parts) {
+pub async fn audit(parts: &RequestContext) {
     loop {
         Timer::after(AUDIT_EVERY).await;
-        parts.callers.audit(parts.rounds.clock.now());
+        parts.callers.audit(parts.driver.clock.now());
     }
 }
 
@@ -68,9 +68,9 @@
     streamed: Option<&Streamed>,
     kit: Option<&Kit>,
     deployment: &Deployment,
-    parts: &Rc<Parts>,
+    parts: &Rc<RequestContext>,
 ) -> Result<Option<Following>, String> {
-    parts.callers.switch_on();
+    parts.callers.enable();
     let mut site = (**parts.site.borrow()).clone();
     site.callers_known = true;
     parts.site.replace(Rc::new(site));
@@ -106,23 +106,23 @@
         file,
     };
     let mut first = Vec::new();
-    let subscriber = Subscriber::start(parts.rounds.clock.now(), start, &mut first);
+    let subscriber = Subscriber::start(parts.driver.clock.now(), start, &mut first);
     let host = Rc::new(Node { parts: parts.clone(), store, told: Cell::default() });
     let (controls, tasks) = (streamed.control.clone(), Rc::default());
-    let follow = Follow { host, controls, tasks, leaving: Rc::new(Bell::default()) };
+    let follow = Follow { host, controls, tasks, leaving: Rc::new(Notify::default()) };
     Ok(Some((follow, subscriber, first)))
 }
 
 /// What identities reach of a node.
 pub struct Node {
-    parts: Rc<Parts>,
+    parts: Rc<RequestContext>,
     store: Result<Arc<Mutex<Store>>, String>,
     told: Cell<(u64, u64)>,
 }
 
 impl Host for Node {
     fn now(&self) -> Time {
-        self.parts.rounds.clock.now()
+        self.parts.driver.clock.now()
     }
 
     fn keep(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
@@ -143,7 +143,7 @@
         match document {
             Some(document) => take(document, &self.parts, back),
             None => {
-                self.parts.callers.none();
+                self.parts.callers.clear();
                 Ok(())
             }
         }
@@ -152,7 +152,7 @@
     /// What keys refuse counts, what rights and revocations refuse does not: else a revocation would be taken back for
     /// doing what it is for.
     fn sample(&self) -> Sample {
-        let tally = *self.parts.tally.borrow();
+        let tally = *self.parts.counters.borrow();
         let done = tally.succeeded + tally.rejected + tally.failed;
         let (done_before, unverified_before) = self.told.replace((done, tally.unverified));
         let done = done.saturating_sub(done_before) as f64;
--- a/crates/hazelgrade-server/src/program/reload.rs
+++ b/crates/hazelgrade-server/src/program/reload.rs
@@ -2,9 +2,9 @@
 //! serving stays as it was, and a file that is wrong changes nothing.
 
 use super::configuration::{Addresses, Fixed, read_value};
-use crate::routing::calls::Calls;
-use crate::routing::rounds::Rounds;
-use crate::transport::executor::Link;
+use crate::routing::controller_driver::ControllerDriver;
+use crate::routing::dependency_calls::DependencyCalls;
+use crate::transport::executor::ExecutorLink;
 use crate::transport::registry::Registry;
 use hazelgrade_config::document::Places;
 use std::cell::Cell;
@@ -19,10 +19,10 @@
     /// As the file says, and what a streamed document says beside that.
     pub file: Cell<Addresses>,
     pub streamed: Cell<Places>,
-    pub link: Rc<Link>,
-    pub calls: Rc<Calls>,
+    pub link: Rc<ExecutorLink>,
+    pub calls: Rc<DependencyCalls>,
     pub registry: Rc<Registry>,
-    pub rounds: Rc<Rounds>,
+    pub rounds: Rc<ControllerDriver>,
 }
 
 impl Reload {
@@ -69,14 +69,14 @@
             database: streamed.database.filter(|_| self.calls_below).or(file.database),
         };
         // It goes first, as nothing has changed yet.
-        if !self.registry.move_to(addresses.registry) {
+        if !self.registry.set_address(addresses.registry) {
             return Err("field registry: expected an address of the same family as at the start".into());
         }
         self.file.set(file);
         self.streamed.set(streamed);
-        self.link.move_to(addresses.executor);
-        addresses.database.iter().for_each(|database| self.calls.move_to(*database));
-        self.rounds.beat_now();
+        self.link.set_address(addresses.executor);
+        addresses.database.iter().for_each(|database| self.calls.set_address(*database));
+        self.rounds.request_heartbeat();
         Ok(addresses)
     }
 }
--- a/crates/hazelgrade-server/src/program/serve.rs
+++ b/crates/hazelgrade-server/src/program/serve.rs
@@ -7,16 +7,17 @@
 use super::{budgets, drain, identity, tls};
 use crate::protocol::registry;
 use crate::routing::callers::Callers;
-use crate::routing::calls::Calls;
-use crate::routing::front::Front;
-use crate::routing::hand::Hand;
-use crate::routing::job::{Parts, Tally};
-use crate::routing::notices::Notices;
+use crate::routing::context::RequestContext;
+use crate::routing::controller_driver::ControllerDriver;
+use crate::routing::counters::Counters;
+use crate::routing::dependency_calls::DependencyCalls;
+use crate::routing::executor_events::ExecutorEvents;
+use crate::routing::front_end::FrontEnd;
+use crate::routing::in_flight::InFlightTable;
 use crate::routing::result_cache::ResultCache;
-use crate::routing::rounds::Rounds;
-use crate::transport::clients::Clients;
+use crate::transport::clients::ClientConnections;
 use crate::transport::database::Database;
-use crate::transport::executor::Link;
+use crate::transport::executor::ExecutorLink;
 use crate::transport::listener;
 use crate::transport::registry::Registry;
 use crate::transport::tls::Tls;
@@ -26,7 +27,7 @@
 use futures_lite::StreamExt;
 use futures_lite::future::{BoxedLocal, or, poll_once};
 use hazelgrade_config::Operator;
-use hazelgrade_net::bell::Bell;
+use hazelgrade_net::notify::Notify;
 use hazelgrade_stream::follow::Follow;
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
@@ -79,38 +80,39 @@
     tracing::info!(name = deployment.name, listen = %deployment.listen, "started");
 
     let (hand, result_cache) =
-        (Rc::new(Hand::default()), Rc::new(ResultCache::new(deployment.result_bytes())));
+        (Rc::new(InFlightTable::default()), Rc::new(ResultCache::new(deployment.result_bytes())));
     let tasks = Rc::new(LocalExecutor::new());
-    let link = Rc::new(Link::new(addresses.executor));
-    let rounds = Rc::new(Rounds::new(control, site.tick, hand.clone(), result_cache.clone(), link.clone()));
+    let link = Rc::new(ExecutorLink::new(addresses.executor));
+    let rounds =
+        Rc::new(ControllerDriver::new(control, site.tick, hand.clone(), result_cache.clone(), link.clone()));
     if let Some(for_tests) = for_tests {
         tracing::warn!(?for_tests, "this node is to fail, for tests");
         rounds.clock.skew(for_tests.clock_off_ms, for_tests.clock_rate);
     }
     let most_below = deployment.connections_below();
-    let calls = Rc::new(Calls::new(
+    let calls = Rc::new(DependencyCalls::new(
         addresses.database.map(|address| Database::new(address, most_below, DATABASE_IDLE)),
         hand.clone(),
         tasks.clone(),
     ));
-    let notices = Notices::new(rounds.clone(), hand.clone(), link.clone(), &site.gauges);
+    let notices = ExecutorEvents::new(rounds.clone(), hand.clone(), link.clone(), &site.gauges);
     let list_follows_health = site.list_follows_health;
     let (promises, calls_may) = (site.promises.clone(), site.calls_below);
-    let parts = Rc::new(Parts {
-        rounds: rounds.clone(),
-        hand,
+    let parts = Rc::new(RequestContext {
+        driver: rounds.clone(),
+        in_flight: hand,
         result_cache,
-        calls: calls.clone(),
-        link: link.clone(),
+        dependency_calls: calls.clone(),
+        executor: link.clone(),
         site: RefCell::new(Rc::new(site)),
-        tally: RefCell::new(Tally::default()),
+        counters: RefCell::new(Counters::default()),
         callers: Callers::default(),
     });
-    let front = Rc::new(Front {
-        parts: parts.clone(),
-        clients: Clients::new(deployment.connections()),
+    let front = Rc::new(FrontEnd {
+        context: parts.clone(),
+        connections: ClientConnections::new(deployment.connections()),
         tasks: tasks.clone(),
-        bad_lines: Cell::new(0),
+        invalid_messages: Cell::new(0),
         tls: Rc::new(Tls::default()),
     });
     if let Some(encrypted) = &encrypted {
@@ -123,7 +125,7 @@
     start(Box::pin(beats));
     start(Box::pin(summary(front.clone())));
     let watched = front.clone();
-    start(Box::pin(async move { watched.clients.watch().await }));
+    start(Box::pin(async move { watched.connections.enforce_timeouts().await }));
     let reload = Rc::new(Reload {
         path,
         fixed: deployment.fixed.clone(),
@@ -135,7 +137,7 @@
         registry,
         rounds: rounds.clone(),
     });
-    let (left, identity_left) = (Rc::new(Bell::default()), Rc::new(Bell::default()));
+    let (left, identity_left) = (Rc::new(Notify::default()), Rc::new(Notify::default()));
     let identity_file = RefCell::new(None);
     if let Some(identified) = identified {
         let known = identity::start(&identified, streamed.as_ref(), kit.as_ref(), &deployment, &parts)?;
@@ -148,7 +150,7 @@
         let audited = parts.clone();
         start(Box::pin(async move { identity::audit(&audited).await }));
     }
-    let budgets_left = Rc::new(Bell::default());
+    let budgets_left = Rc::new(Notify::default());
     if let Some(((budgeted, kit), streamed)) = budgeted.as_ref().zip(kit.as_ref()).zip(streamed.as_ref()) {
         let rate = for_tests.map_or(1.0, |for_tests| for_tests.clock_rate);
         let (follow, subscriber, first) = budgets::start(budgeted, streamed, kit, &deployment, &parts, rate)?;
@@ -173,16 +175,16 @@
         start(Box::pin(async move { follow.run(subscriber, first).await }));
     }
     let (for_link, for_rounds) = (tasks.clone(), rounds.clone());
-    start(Box::pin(async move { notices.keep(&for_link).await }));
+    start(Box::pin(async move { notices.run(&for_link).await }));
     start(Box::pin(async move { for_rounds.run().await }));
     let listener = Rc::new(listener);
     let accepting = {
         let (listener, front) = (listener.clone(), front.clone());
-        async move { listener::accept(&listener, &front.clients, |stream| front.start(stream)).await }
+        async move { listener::accept(&listener, &front.connections, |stream| front.start(stream)).await }
     };
     let accepting = tasks.spawn(accepting);
 
-    let (notice, noticed) = (Bell::default(), Cell::new(None));
+    let (notice, noticed) = (Notify::default(), Cell::new(None));
     let read_again = || {
         reload.reload();
         match encrypted.as_ref().map(|encrypted| tls::load(encrypted, &front.tls, &parts)) {
@@ -204,8 +206,8 @@
                 _ if noticed.get().is_none() => {
                     // If the process stood still, the notice came while it did: at the worst, as soon as it was
                     // last seen to run.
-                    noticed.set(Some(rounds.alive()));
-                    notice.ring();
+                    noticed.set(Some(rounds.record_liveness()));
+                    notice.notify();
                 }
                 _ => {}
             }
@@ -213,16 +215,16 @@
         std::future::pending().await
     };
     let served = async {
-        notice.heard().await;
-        let noticed = noticed.get().unwrap_or_else(|| rounds.alive());
+        notice.notified().await;
+        let noticed = noticed.get().unwrap_or_else(|| rounds.record_liveness());
         leaving.set(true);
-        left.ring();
-        identity_left.ring();
-        budgets_left.ring();
-        if let Some(seat) = rounds.seat() {
-            seat.leave();
+        left.notify();
+        identity_left.notify();
+        budgets_left.notify();
+        if let Some(seat) = rounds.budget_share() {
+            seat.start_drain();
         }
-        rounds.beat_now();
+        rounds.request_heartbeat();
         Ok(drain::leave(&front, accepting, listener, noticed, deployment.stop).await)
     };
     block_on(tasks.run(or(served, signalled)))
@@ -261,14 +263,14 @@
 async fn beat(
     registry: Rc<Registry>,
     name: String,
-    rounds: Rc<Rounds>,
+    rounds: Rc<ControllerDriver>,
     leaving: Rc<Cell<bool>>,
     list_follows_health: bool,
 ) {
     loop {
-        let ready = !leaving.get() && (rounds.good() || !list_follows_health);
+        let ready = !leaving.get() && (rounds.is_healthy() || !list_follows_health);
         registry.send(&registry::encode(&name, ready));
-        rounds.alive();
+        rounds.record_liveness();
         let due = async {
             Timer::after(BEAT_EVERY).await;
         };
@@ -277,35 +279,35 @@
 }
 
 /// Says now and then what was answered.
-async fn summary(front: Rc<Front>) {
+async fn summary(front: Rc<FrontEnd>) {
     let mut before = 0;
     loop {
         Timer::after(SUMMARY_EVERY).await;
-        let (parts, tally) = (&front.parts, *front.parts.tally.borrow());
+        let (parts, tally) = (&front.context, *front.context.counters.borrow());
         if tally.arrived == before {
             continue;
         }
         before = tally.arrived;
         tracing::info!(
             ?tally,
-            in_hand = parts.hand.count(),
-            connections = front.clients.count(),
-            rounds = parts.rounds.rounds.get(),
-            longest_round_us = parts.rounds.longest.take().as_micros(),
-            calls_below = parts.calls.connections(),
-            calls_lost = parts.calls.lost.get(),
-            replies_unknown = parts.calls.unknown.get(),
-            unknown = parts.hand.unknown.get(),
-            bad_lines = front.bad_lines.get(),
-            turned_out = front.clients.turned_out.get(),
-            no_handshake = front.tls.ended(),
+            in_hand = parts.in_flight.count(),
+            connections = front.connections.count(),
+            rounds = parts.driver.round_count.get(),
+            longest_round_us = parts.driver.longest_round.take().as_micros(),
+            calls_below = parts.dependency_calls.connections(),
+            calls_lost = parts.dependency_calls.lost.get(),
+            replies_unknown = parts.dependency_calls.unknown_replies.get(),
+            unknown = parts.in_flight.unknown_jobs.get(),
+            bad_lines = front.invalid_messages.get(),
+            turned_out = front.connections.closed_for_violation.get(),
+            no_handshake = front.tls.failed_handshakes(),
             "so far"
         );
-        if let Some(seat) = parts.rounds.seat() {
+        if let Some(seat) = parts.driver.budget_share() {
             tracing::info!(
-                short = seat.short.get(),
-                calls_too_late = seat.too_late.get(),
-                answers_not_taken = seat.refused(),
+                short = seat.jobs_rejected.get(),
+                calls_too_late = seat.calls_expired.get(),
+                answers_not_taken = seat.ignored_grants(),
                 "budgets so far"
             );
         }
--- a/crates/hazelgrade-server/src/program/streaming.rs
+++ b/crates/hazelgrade-server/src/program/streaming.rs
@@ -3,7 +3,7 @@
 use super::configuration::Deployment;
 use super::logging::Level;
 use super::reload::Reload;
-use crate::routing::job::Parts;
+use crate::routing::context::RequestContext;
 use futures_lite::future::{BoxedLocal, FutureExt};
 use hazelgrade::api::{ClassSlot, JobClass, ServiceLimits, SettingsUpdate, Tenant};
 use hazelgrade::random::MultiplyWithCarry;
@@ -114,9 +114,9 @@
             file,
         };
         // Until what there is to serve by has taken effect.
-        surroundings.parts.rounds.set_ready(false);
+        surroundings.parts.driver.set_ready(false);
         let mut first = Vec::new();
-        let now = surroundings.parts.rounds.clock.now();
+        let now = surroundings.parts.driver.clock.now();
         let subscriber = Subscriber::start(now, start, &mut first);
         let node = Node {
             surroundings,
@@ -133,7 +133,7 @@
 /// What of the program a document reaches.
 pub struct Surroundings {
     pub name: String,
-    pub parts: Rc<Parts>,
+    pub parts: Rc<RequestContext>,
     pub reload: Rc<Reload>,
     pub level: Level,
     /// The level that the command line named.
@@ -191,7 +191,7 @@
     /// What the module and the fronts go by from now on.
     fn serve_by(&self, document: Option<&Document>) -> Result<(), String> {
         let around = &self.surroundings;
-        let (parts, now) = (&around.parts, around.parts.rounds.clock.now());
+        let (parts, now) = (&around.parts, around.parts.driver.clock.now());
         let serving = document.map(|document| document.serving(&around.promises));
         let (mut cases, tenants, promises) = match serving {
             Some(serving) => (serving.job_classes, serving.tenants, serving.promises),
@@ -202,14 +202,14 @@
         let longest = cases.iter().map(|(_, case)| rest(case)).max().unwrap_or(Span::ZERO);
         let (job_classes, reset_classes) =
             self.job_classes.borrow().revised(now, &cases, rest, MAX_JOB_CLASSES, |place| {
-                parts.hand.names(|job_class, _| job_class == place)
+                parts.in_flight.any(|job_class, _| job_class == place)
             })?;
         let (tenants, reset_tenants) = self.tenants.borrow().revised(
             now,
             &tenants,
             |_| longest,
             MAX_TENANTS,
-            |place| parts.hand.names(|_, tenant| tenant == place),
+            |place| parts.in_flight.any(|_, tenant| tenant == place),
         )?;
         // The last that may fail goes first: after it all of the document takes effect.
         let places = document.map(|document| document.places(&around.name)).unwrap_or_default();
@@ -226,7 +226,7 @@
             reset_classes,
             reset_tenants,
         };
-        if !parts.rounds.revise(revision) {
+        if !parts.driver.update_settings(revision) {
             return Err("a place was taken away that jobs in hand may name".into());
         }
         let named = |(place, case): (usize, &JobClass)| Named {
@@ -244,10 +244,10 @@
                 .collect(),
             ..(*before).clone()
         }));
-        parts.callers.compile(&parts.site.borrow());
+        parts.callers.site_changed(&parts.site.borrow());
         self.job_classes.replace(job_classes);
         self.tenants.replace(tenants);
-        parts.rounds.set_ready(document.is_some());
+        parts.driver.set_ready(document.is_some());
         let level = document.and_then(Document::log).and_then(|level| level.parse().ok());
         if around.level.modify(|now| *now = level.unwrap_or(around.usual_level)).is_err() {
             tracing::debug!("the log level can't be changed");
@@ -258,7 +258,7 @@
 
 impl Host for Node {
     fn now(&self) -> Time {
-        self.surroundings.parts.rounds.clock.now()
+        self.surroundings.parts.driver.clock.now()
     }
 
     fn keep(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
@@ -286,13 +286,13 @@
 
     fn sample(&self) -> Sample {
         let parts = &self.surroundings.parts;
-        let tally = *parts.tally.borrow();
-        let answered = tally.succeeded + tally.rejected + tally.failed + tally.not_here + tally.unverified;
+        let tally = *parts.counters.borrow();
+        let answered = tally.succeeded + tally.rejected + tally.failed + tally.not_served + tally.unverified;
         let (answered_before, satisfied_before) = self.told.replace((answered, tally.succeeded));
         Sample {
             answered: answered.saturating_sub(answered_before) as f64,
             succeeded: tally.succeeded.saturating_sub(satisfied_before) as f64,
-            linked: parts.link.is_up(),
+            linked: parts.executor.is_up(),
         }
     }
 }
--- a/crates/hazelgrade-server/src/program/tls.rs
+++ b/crates/hazelgrade-server/src/program/tls.rs
@@ -1,6 +1,6 @@
 //! The files of TLS: the node's certificate and key, whose certificates clients may show, and which of these are revoked.
 
-use crate::routing::job::Parts;
+use crate::routing::context::RequestContext;
 use crate::transport::tls::Tls;
 use hazelgrade_config::operator::Encrypted;
 use hazelgrade_identity::certificate;
@@ -16,9 +16,9 @@
 
 /// Takes the files as they are now: for connections from now on, and revocations for those that stand too. Files that are
 /// wrong change nothing.
-pub fn load(encrypted: &Encrypted, tls: &Tls, parts: &Parts) -> Result<(), String> {
+pub fn load(encrypted: &Encrypted, tls: &Tls, parts: &RequestContext) -> Result<(), String> {
     let (config, revoked) = read(encrypted)?;
-    parts.callers.revoke(revoked);
+    parts.callers.set_revoked_certificates(revoked);
     tls.replace(Arc::new(config));
     Ok(())
 }
--- /dev/null
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc/request.rs
@@ -0,0 +1,258 @@
+//! Decodes what clients send.
+
+use super::error::{InvalidField, Reason, RequestError};
+use crate::protocol::{Body, is_body};
+use hazelgrade::api::{Idempotency, Job, JobId};
+use hazelgrade::time::Time;
+use hazelgrade_identity::token::LONGEST_TOKEN;
+use hazelgrade_settings::Site;
+use serde_json::{Map, Value};
+
+/// The longest line of a client, in bytes: a body of 2 KiB in base64, every character of it escaped, and room for the rest.
+pub const LONGEST_LINE: usize = 24 * 1024;
+/// The longest body of a job, in bytes before base64.
+const LONGEST_BODY: usize = 2048;
+/// The longest name, id or key, in bytes.
+const LONGEST_NAME: usize = 256;
+
+/// A message from a client.
+#[derive(Debug)]
+pub enum ClientMessage {
+    /// Asks for a job.
+    Job(Box<JobRequest>),
+    /// A caller no longer waits, for the call with this id on its connection or for this job.
+    Abort {
+        /// The call, if the message names one.
+        call_id: Option<u64>,
+        /// The job, if the message names one.
+        job_id: Option<JobId>,
+    },
+    /// Asks whether the instance is healthy.
+    HealthCheck {
+        /// The id of the call.
+        call_id: u64,
+    },
+    /// Identifies the caller of the connection.
+    Hello {
+        /// The id of the call.
+        call_id: u64,
+        /// What identifies the caller.
+        token: String,
+    },
+}
+
+/// A job as a client asks for it.
+#[derive(Debug)]
+pub struct JobRequest {
+    /// The id of the call on its connection.
+    pub call_id: u64,
+    /// What the controller is told of it.
+    pub job: Job,
+    /// What the run is passed.
+    pub body: Body,
+    /// Identifies the retries of a keyed job; for an idempotent one, what is read.
+    pub idempotency_key: Option<String>,
+    /// Identifies the caller, if it is sent with the job.
+    pub token: Option<String>,
+    /// The tenant is named; otherwise it is the only one that the caller may ask for.
+    pub names_tenant: bool,
+}
+
+/// The parameters of a message.
+struct Params(Map<String, Value>);
+
+impl Params {
+    fn text(&mut self, field: &'static str, expected: &'static str) -> Result<String, InvalidField> {
+        match self.0.remove(field) {
+            Some(Value::String(text)) if !text.is_empty() && text.len() <= LONGEST_NAME => Ok(text),
+            _ => Err(InvalidField::new(field, expected)),
+        }
+    }
+
+    fn optional_text(
+        &mut self,
+        field: &'static str,
+        expected: &'static str,
+    ) -> Result<Option<String>, InvalidField> {
+        match self.0.get(field) {
+            None | Some(Value::Null) => Ok(None),
+            Some(_) => self.text(field, expected).map(Some),
+        }
+    }
+
+    fn number(
+        &self,
+        field: &'static str,
+        is_valid: impl Fn(f64) -> bool,
+        expected: &'static str,
+    ) -> Result<f64, InvalidField> {
+        let number = self.0.get(field).and_then(Value::as_f64);
+        number.filter(|number| is_valid(*number)).ok_or_else(|| InvalidField::new(field, expected))
+    }
+
+    fn job_id(&mut self) -> Result<String, InvalidField> {
+        let id = self.text("req", "a job's id")?;
+        let is_valid = id.bytes().all(|byte| byte.is_ascii_graphic());
+        if is_valid { Ok(id) } else { Err(InvalidField::new("req", "a job's id without spaces")) }
+    }
+
+    fn is_retry(&self) -> Result<bool, InvalidField> {
+        match self.0.get("resent") {
+            None | Some(Value::Null) => Ok(false),
+            Some(_) => {
+                let is_flag = |number| number == 0.0 || number == 1.0;
+                Ok(self.number("resent", is_flag, "1, or no such field")? > 0.0)
+            }
+        }
+    }
+
+    /// The page of the protocol names no key for keyed jobs; the site's list of names calls it `opkey`.
+    fn idempotency_key(&mut self, idempotency: Idempotency) -> Result<Option<String>, InvalidField> {
+        match idempotency {
+            Idempotency::Idempotent => self.optional_text("subject", "what a read is about"),
+            _ => self.optional_text("opkey", "the mark of a numbered job"),
+        }
+    }
+
+    fn body(&mut self) -> Result<Body, InvalidField> {
+        match self.0.remove("body") {
+            Some(Value::String(body)) if is_body(&body, LONGEST_BODY) => Ok(body.into()),
+            _ => Err(InvalidField::new("body", "base64 for 2048 bytes at most")),
+        }
+    }
+
+    fn token(&mut self) -> Result<Option<String>, InvalidField> {
+        match self.0.remove("token") {
+            None | Some(Value::Null) => Ok(None),
+            Some(Value::String(token)) if (1..=LONGEST_TOKEN).contains(&token.len()) => Ok(Some(token)),
+            Some(_) => Err(InvalidField::new("token", format!("a token of {LONGEST_TOKEN} bytes at most"))),
+        }
+    }
+}
+
+/// A request before its method is looked at.
+struct Request {
+    call_id: Option<u64>,
+    method: String,
+    params: Params,
+}
+
+/// Decodes a line. `site` gives the job classes and tenants that a job may name.
+pub fn decode(line: &[u8], site: &Site) -> Result<ClientMessage, RequestError> {
+    let Request { call_id, method, mut params } = decode_request(line)?;
+    if method == "abort" {
+        return Ok(decode_abort(call_id, &mut params));
+    }
+    let Some(call_id) = call_id else {
+        let field = InvalidField::new("id", "a whole number");
+        return Err(RequestError::new(None, Reason::InvalidRequest(field)));
+    };
+    let invalid_param = |field: InvalidField| RequestError::new(Some(call_id), Reason::InvalidParam(field));
+    if method == "ping" {
+        return Ok(ClientMessage::HealthCheck { call_id });
+    }
+    if method == "hello" && site.callers_known {
+        let token = params.token().map_err(invalid_param)?;
+        let token = token.ok_or_else(|| invalid_param(InvalidField::new("token", "a token")))?;
+        return Ok(ClientMessage::Hello { call_id, token });
+    }
+    let job_class = find_job_class(call_id, &method, site)?;
+    let request = decode_job(call_id, job_class, &mut params, site).map_err(invalid_param)?;
+    Ok(ClientMessage::Job(Box::new(request)))
+}
+
+fn decode_request(line: &[u8]) -> Result<Request, RequestError> {
+    let value: Value = serde_json::from_slice(line).map_err(|_| RequestError::new(None, Reason::NotJson))?;
+    let Value::Object(mut message) = value else {
+        return Err(RequestError::new(None, Reason::NotAnObject));
+    };
+    let call_id = message.get("id").and_then(Value::as_u64);
+    let invalid = |field, expected: &'static str| {
+        RequestError::new(call_id, Reason::InvalidRequest(InvalidField::new(field, expected)))
+    };
+    if message.get("jsonrpc").and_then(Value::as_str) != Some("2.0") {
+        return Err(invalid("jsonrpc", "\"2.0\""));
+    }
+    let Some(Value::String(method)) = message.remove("method") else {
+        return Err(invalid("method", "a word"));
+    };
+    let params = match message.remove("params") {
+        Some(Value::Object(params)) => Params(params),
+        None => Params(Map::new()),
+        Some(_) => {
+            let field = InvalidField::new("params", "an object");
+            return Err(RequestError::new(call_id, Reason::InvalidParam(field)));
+        }
+    };
+    Ok(Request { call_id, method, params })
+}
+
+/// Names the call by its id among the parameters, or by that of the message where no job is named.
+fn decode_abort(message_id: Option<u64>, params: &mut Params) -> ClientMessage {
+    let job_id = params.optional_text("req", "a job's id").unwrap_or_default();
+    let named = params.0.get("id").and_then(Value::as_u64);
+    let call_id = named.or(message_id.filter(|_| job_id.is_none()));
+    ClientMessage::Abort { call_id, job_id: job_id.map(JobId::from) }
+}
+
+/// The index of the job class that a method names. One that is out of use here, or any while this instance has nothing to
+/// serve, may be served by others.
+fn find_job_class(call_id: u64, method: &str, site: &Site) -> Result<usize, RequestError> {
+    match site.job_class(method) {
+        Some((job_class, true)) => Ok(job_class),
+        known => {
+            let not_served = known.is_some() || !site.serves();
+            let error = RequestError::new(Some(call_id), Reason::UnknownMethod);
+            Err(RequestError { not_served, ..error })
+        }
+    }
+}
+
+/// The order in which fields are checked decides which one is reported.
+fn decode_job(
+    call_id: u64,
+    job_class: usize,
+    params: &mut Params,
+    site: &Site,
+) -> Result<JobRequest, InvalidField> {
+    let id = params.job_id()?;
+    let received_at = params.number("ts", |ts| ts > 0.0 && ts < 1e15, "Unix milliseconds")?;
+    params.number("via", |via| via >= 0.0 && via.fract() == 0.0, "a whole number")?;
+    let tenant_name = params.optional_text("owner", "a customer of this site")?;
+    let names_tenant = tenant_name.is_some();
+    let tenant = find_tenant(tenant_name.as_deref(), site)?;
+    let is_retry = params.is_retry()?;
+    let queued_kb =
+        params.number("need", |kb| kb > 0.0 && kb < 2000.0, "kilobytes, above 0 and under 2000")?;
+    let priority_rank = params.number("level", |rank| (0.0..1.0).contains(&rank), "from 0 to under 1")?;
+    let idempotency_key = params.idempotency_key(site.job_classes[job_class].repeats)?;
+    let body = params.body()?;
+    let token = if site.callers_known { params.token()? } else { None };
+    let job = Job {
+        id: id.into(),
+        job_class,
+        tenant,
+        received_at: Time::from_ms(received_at),
+        caller_deadline: None,
+        expected_work: None,
+        queued_kb,
+        priority_rank,
+        is_retry,
+        retry_of: None,
+        from_known_caller: false,
+        over_caller_limit: false,
+        lease_retry_after: None,
+    };
+    Ok(JobRequest { call_id, job, body, idempotency_key, token, names_tenant })
+}
+
+/// The index of a tenant. No name is needed where there are no named tenants, or where the caller tells the tenant.
+fn find_tenant(name: Option<&str>, site: &Site) -> Result<usize, InvalidField> {
+    let named = name.and_then(|name| site.tenants.iter().position(|tenant| tenant.as_deref() == Some(name)));
+    match named {
+        Some(tenant) => Ok(tenant),
+        None if site.tenants.iter().all(Option::is_none) => Ok(0),
+        None if name.is_none() && site.callers_known => Ok(0),
+        None => Err(InvalidField::new("owner", "a customer of this site")),
+    }
+}
--- /dev/null
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc/response.rs
@@ -0,0 +1,109 @@
+//! Encodes what clients are sent.
+
+use super::error::{INVALID_PARAMS, RequestError};
+use crate::protocol::Body;
+use hazelgrade::time::Span;
+use serde_json::{Map, Value, json};
+
+/// The job was rejected, or its caller denied: it did not run.
+const REJECTED: i64 = -32066;
+/// The job has failed.
+const FAILED: i64 = -32000;
+
+/// Tells a client that the instance drains.
+pub const DRAINING: &str = "{\"jsonrpc\":\"2.0\",\"method\":\"draining\"}\n";
+
+/// The final answer to a job.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Answer {
+    /// It succeeded, with this result.
+    Succeeded(Body),
+    /// It did not run, and may be sent again.
+    Rejected {
+        /// Other instances are no better a place for it.
+        not_elsewhere: bool,
+        /// After this time; zero for at once.
+        retry_after: Span,
+    },
+    /// Its caller has no right to it, for this reason: it did not run, and would run nowhere.
+    Denied(&'static str),
+    /// It may have had its effect, or a retry would be in vain.
+    Failed,
+}
+
+impl Answer {
+    /// The name of the answer, for the log.
+    pub fn name(&self) -> &'static str {
+        match self {
+            Answer::Succeeded(_) => "succeeded",
+            Answer::Rejected { not_elsewhere: true, .. } => "rejected, not elsewhere",
+            Answer::Rejected { .. } => "rejected",
+            Answer::Denied(_) => "denied",
+            Answer::Failed => "failed",
+        }
+    }
+}
+
+fn line(value: &Value) -> String {
+    format!("{value}\n")
+}
+
+/// The line that answers a call; with it the caller is sent the load signal, if there is one.
+pub fn encode(call_id: u64, answer: &Answer, load_signal: Option<f64>) -> String {
+    let mut fields = Map::new();
+    if let Some(load_signal) = load_signal {
+        fields.insert("signal".into(), json!(load_signal));
+    }
+    match answer {
+        Answer::Succeeded(body) => {
+            fields.insert("body".into(), json!(**body));
+            line(&json!({"jsonrpc": "2.0", "id": call_id, "result": fields}))
+        }
+        Answer::Rejected { not_elsewhere, retry_after } => {
+            if *retry_after > Span::ZERO {
+                fields.insert("holdoff".into(), json!(retry_after.as_ms()));
+            }
+            if *not_elsewhere {
+                fields.insert("nomore".into(), json!(1));
+            }
+            encode_failure(call_id, REJECTED, "bounced: this try never ran", fields)
+        }
+        Answer::Denied(reason) => {
+            fields.insert("nomore".into(), json!(1));
+            fields.insert("denied".into(), json!(1));
+            encode_failure(call_id, REJECTED, reason, fields)
+        }
+        Answer::Failed => encode_failure(call_id, FAILED, "written off", fields),
+    }
+}
+
+fn encode_failure(call_id: u64, code: i64, message: &str, data: Map<String, Value>) -> String {
+    let error = json!({"code": code, "message": message, "data": data});
+    line(&json!({"jsonrpc": "2.0", "id": call_id, "error": error}))
+}
+
+/// The answer to a `hello`: the name of the caller, or why it was not identified.
+pub fn encode_hello(call_id: u64, caller: Result<&str, &str>) -> String {
+    match caller {
+        Ok(name) => line(&json!({"jsonrpc": "2.0", "id": call_id, "result": {"caller": name}})),
+        Err(reason) => {
+            let error = json!({"code": INVALID_PARAMS, "message": reason});
+            line(&json!({"jsonrpc": "2.0", "id": call_id, "error": error}))
+        }
+    }
+}
+
+/// The answer to a health check.
+pub fn encode_check(call_id: u64, healthy: bool, load_signal: Option<f64>) -> String {
+    let mut result = json!({"up": healthy});
+    if let Some(load_signal) = load_signal {
+        result["signal"] = json!(load_signal);
+    }
+    line(&json!({"jsonrpc": "2.0", "id": call_id, "result": result}))
+}
+
+/// The answer to a message that is not accepted.
+pub fn encode_error(error: &RequestError) -> String {
+    let body = json!({"code": error.reason.code(), "message": error.reason.to_string()});
+    line(&json!({"jsonrpc": "2.0", "id": error.call_id, "error": body}))
+}
--- a/crates/hazelgrade-server/src/protocol/mod.rs
+++ b/crates/hazelgrade-server/src/protocol/mod.rs
@@ -1,4 +1,5 @@
-//! The messages of each peer, decoded once into small typed values and encoded once. No input, no output.
+//! The messages of each peer, decoded once into typed values and encoded once. Names on the wire appear here and nowhere
+//! else. No input, no output.
 
 pub mod database;
 pub mod executor;
@@ -8,20 +9,22 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 
-/// A body in base64, as it travels; most only pass through.
+/// A body in base64, as clients and the executor send it; most are only passed on.
 pub type Body = std::rc::Rc<str>;
 
+/// The bytes of a body; `None` if it is not valid base64.
 pub fn to_bytes(body: &str) -> Option<Vec<u8>> {
     STANDARD.decode(body).ok()
 }
 
+/// The body of these bytes.
 pub fn from_bytes(bytes: &[u8]) -> Body {
     STANDARD.encode(bytes).into()
 }
 
-/// Whether this is base64 for `most` bytes at most. Nothing is kept of what it stands for.
-pub fn is_body(text: &str, most: usize) -> bool {
+/// Whether `text` is base64 for at most `max_bytes` bytes (up to 4 KiB); allocates nothing.
+pub fn is_body(text: &str, max_bytes: usize) -> bool {
     let mut scratch = [0; 4098];
-    let room = scratch.len().min(most + 2);
-    matches!(STANDARD.decode_slice(text, &mut scratch[..room]), Ok(length) if length <= most)
+    let room = scratch.len().min(max_bytes + 2);
+    matches!(STANDARD.decode_slice(text, &mut scratch[..room]), Ok(length) if length <= max_bytes)
 }
--- a/crates/hazelgrade-server/src/routing/callers.rs
+++ b/crates/hazelgrade-server/src/routing/callers.rs
@@ -1,6 +1,6 @@
-//! Who asks: what each connection is known by, and whether what it asks for may be.
+//! Identifies callers, and decides whether they may make a request.
 
-use crate::protocol::jsonrpc::Asked;
+use crate::protocol::jsonrpc::JobRequest;
 use hazelgrade::time::Time;
 use hazelgrade_identity::desk::{Desk, Known};
 use hazelgrade_identity::{Identity, Refused};
@@ -9,45 +9,48 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 
-/// A connection's caller.
+/// The caller at the other end of a connection.
 pub struct Caller {
-    pub from: IpAddr,
+    /// The address that the connection comes from.
+    pub address: IpAddr,
+    /// What the connection is identified by.
     pub known: RefCell<Known>,
 }
 
-/// All callers, if they are asked who they are.
+/// Callers and their rights; off at first, and then every request is allowed.
 #[derive(Default)]
 pub struct Callers {
-    on: Cell<bool>,
+    enabled: Cell<bool>,
     desk: RefCell<Option<Desk>>,
-    /// Certificates that a list of the operators' names as revoked.
-    revoked: RefCell<BTreeSet<String>>,
+    /// Serial numbers of the certificates on the operators' list of revoked ones.
+    revoked_certificates: RefCell<BTreeSet<String>>,
 }
 
 impl Callers {
-    /// From now on every job needs a caller that may ask for it; until there is a set, none may.
-    pub fn switch_on(&self) {
-        self.on.set(true);
+    /// From now on every job needs a caller with the right to ask for it; until there is a key set, none has it.
+    pub fn enable(&self) {
+        self.enabled.set(true);
     }
 
-    pub fn are_on(&self) -> bool {
-        self.on.get()
+    /// Whether callers are identified.
+    pub fn is_enabled(&self) -> bool {
+        self.enabled.get()
     }
 
-    /// Another set of keys, callers and rights, from the next job on.
-    /// With `back` it is the one before a set that failed; what that one revoked stays revoked.
+    /// Replaces keys, callers and rights from the next job on. With `is_rollback`, `identity` is the set before one that
+    /// failed; what the failed one revoked stays revoked. The error says why the set can't be used.
     pub fn replace(
         &self,
         mut identity: Identity,
         site: &Site,
         now: Time,
-        back: bool,
+        is_rollback: bool,
     ) -> Result<(), &'static str> {
-        let (job_classes, tenants) = places(site);
-        identity.compile(&job_classes, &tenants);
+        let indexes = NameIndexes::new(site);
+        identity.compile(&indexes.job_classes, &indexes.tenants);
         let mut desk = self.desk.borrow_mut();
         match &mut *desk {
-            Some(desk) if back => desk.go_back(identity, now),
+            Some(desk) if is_rollback => desk.go_back(identity, now),
             Some(desk) => desk.replace(identity, now),
             None => {
                 let new = Desk::new(identity, now)
@@ -58,29 +61,29 @@
         }
     }
 
-    /// There is no set any more: nobody may ask.
-    pub fn none(&self) {
+    /// Removes the key set: nobody has any right.
+    pub fn clear(&self) {
         self.desk.replace(None);
     }
 
-    /// These certificates are revoked, on connections that stand too.
-    pub fn revoke(&self, serials: BTreeSet<String>) {
-        self.revoked.replace(serials);
+    /// Replaces the serial numbers of revoked certificates, for established connections too.
+    pub fn set_revoked_certificates(&self, serials: BTreeSet<String>) {
+        self.revoked_certificates.replace(serials);
     }
 
-    /// The site's names have other places.
-    pub fn compile(&self, site: &Site) {
+    /// The job classes and tenants of the site have changed.
+    pub fn site_changed(&self, site: &Site) {
         if let Some(desk) = &mut *self.desk.borrow_mut() {
-            let (job_classes, tenants) = places(site);
-            desk.compile(&job_classes, &tenants);
+            let indexes = NameIndexes::new(site);
+            desk.compile(&indexes.job_classes, &indexes.tenants);
         }
     }
 
-    /// A connection says who it is.
-    pub fn hello(&self, now: Time, caller: &Caller, token: &str) -> Result<String, Refused> {
+    /// Identifies the caller of a connection by a token, and gives its name.
+    pub fn authenticate(&self, now: Time, caller: &Caller, token: &str) -> Result<String, Refused> {
         let mut desk = self.desk.borrow_mut();
         let desk = desk.as_mut().ok_or(Refused::UnknownKey)?;
-        match desk.token(now, token, caller.from) {
+        match desk.token(now, token, caller.address) {
             Ok(verified) => {
                 let name = verified.caller.clone();
                 caller.known.borrow_mut().token = Some(verified);
@@ -93,28 +96,29 @@
         }
     }
 
-    /// Whether a job may be asked for, and if its tenant is not named, which it is.
-    pub fn may(&self, now: Time, caller: &Caller, asked: &mut Asked) -> Result<(), Refused> {
-        if !self.on.get() {
+    /// Decides whether a caller may ask for a job. Fills in the tenant where the request doesn't name one, and whether the
+    /// caller is over its rate limit.
+    pub fn authorize(&self, now: Time, caller: &Caller, request: &mut JobRequest) -> Result<(), Refused> {
+        if !self.enabled.get() {
             return Ok(());
         }
         let mut desk = self.desk.borrow_mut();
         let desk = desk.as_mut().ok_or(Refused::UnknownKey)?;
-        let tenant = asked.for_customer.then_some(asked.job.tenant);
-        let with_job = asked.token.take().map(|token| desk.token(now, &token, caller.from)).transpose();
+        let tenant = request.names_tenant.then_some(request.job.tenant);
+        let token = request.token.take().map(|token| desk.token(now, &token, caller.address)).transpose();
         let known = caller.known.borrow();
-        let listed =
-            known.certificate.as_ref().is_some_and(|shown| self.revoked.borrow().contains(&shown.serial));
-        let may = with_job.and_then(|token| {
-            if listed {
+        let decision = token.and_then(|token| {
+            if self.has_revoked_certificate(&known) {
                 return Err(Refused::Revoked);
             }
-            let own = token.map(|token| Known { token: Some(token), certificate: None });
-            desk.asks(now, own.as_ref().unwrap_or(&known), asked.job.job_class, tenant, caller.from)
+            let by_token = token.map(|token| Known { token: Some(token), certificate: None });
+            let by = by_token.as_ref().unwrap_or(&known);
+            desk.asks(now, by, request.job.job_class, tenant, caller.address)
         });
-        match may {
-            Ok((tenant, beyond)) => {
-                (asked.job.tenant, asked.job.over_caller_limit) = (tenant, beyond);
+        match decision {
+            Ok((tenant, over_limit)) => {
+                request.job.tenant = tenant;
+                request.job.over_caller_limit = over_limit;
                 Ok(())
             }
             Err(refused) => {
@@ -124,21 +128,34 @@
         }
     }
 
-    /// Lines for the log that are due, written.
+    fn has_revoked_certificate(&self, known: &Known) -> bool {
+        let revoked = self.revoked_certificates.borrow();
+        known.certificate.as_ref().is_some_and(|certificate| revoked.contains(&certificate.serial))
+    }
+
+    /// Logs the refusals that are due.
     pub fn audit(&self, now: Time) {
         let lines = self.desk.borrow_mut().as_mut().map(|desk| desk.audit(now)).unwrap_or_default();
         for line in lines {
             let caller = line.caller.as_deref().unwrap_or("-");
-            tracing::warn!(caller, reason = line.refused.reason(), count = line.count, "refused");
+            tracing::warn!(caller, reason = line.refused.reason(), count = line.count, "caller refused");
         }
     }
 }
 
-fn places(site: &Site) -> (BTreeMap<&str, usize>, BTreeMap<&str, usize>) {
-    let job_classes = site.job_classes.iter().enumerate().filter(|(_, case)| case.in_use);
-    let tenants = site.tenants.iter().enumerate();
-    (
-        job_classes.map(|(place, case)| (case.name.as_str(), place)).collect(),
-        tenants.filter_map(|(place, name)| Some((name.as_deref()?, place))).collect(),
-    )
+/// The indexes of job classes and tenants by their names.
+struct NameIndexes<'a> {
+    job_classes: BTreeMap<&'a str, usize>,
+    tenants: BTreeMap<&'a str, usize>,
+}
+
+impl NameIndexes<'_> {
+    fn new(site: &Site) -> NameIndexes<'_> {
+        let job_classes = site.job_classes.iter().enumerate().filter(|(_, job_class)| job_class.in_use);
+        let tenants = site.tenants.iter().enumerate();
+        NameIndexes {
+            job_classes: job_classes.map(|(index, job_class)| (job_class.name.as_str(), index)).collect(),
+            tenants: tenants.filter_map(|(index, name)| Some((name.as_deref()?, index))).collect(),
+        }
+    }
 }
--- a/crates/hazelgrade-server/src/routing/clock.rs
+++ b/crates/hazelgrade-server/src/routing/clock.rs
@@ -1,16 +1,25 @@
-//! The clock that the module goes by: the Unix clock, but never backwards.
+//! The clock that the controller goes by: the Unix clock, but never backwards.
 
 use hazelgrade::time::{Span, Time};
 use std::cell::Cell;
 use std::time::{SystemTime, UNIX_EPOCH};
 
+/// A monotonic clock that follows the Unix clock.
 pub struct Clock {
     last: Cell<Time>,
-    /// What the Unix clock was set back by since the start.
-    ahead: Cell<Span>,
+    /// By how much the Unix clock was set back since the start.
+    offset: Cell<Span>,
     unix: fn() -> Time,
-    /// For tests: since when, how far it is off in milliseconds, and how fast it runs.
-    skew: Cell<Option<(Time, f64, f64)>>,
+    /// Set in tests only.
+    skew: Cell<Option<Skew>>,
+}
+
+/// A Unix clock that is wrong.
+#[derive(Clone, Copy)]
+struct Skew {
+    since: Time,
+    offset_ms: f64,
+    rate: f64,
 }
 
 fn unix() -> Time {
@@ -20,38 +29,39 @@
 
 impl Default for Clock {
     fn default() -> Clock {
-        Clock::of(unix)
+        Clock::new(unix)
     }
 }
 
 impl Clock {
-    pub fn of(unix: fn() -> Time) -> Clock {
-        Clock { last: Cell::new(unix()), ahead: Cell::default(), unix, skew: Cell::default() }
+    /// A clock that follows `unix`.
+    pub fn new(unix: fn() -> Time) -> Clock {
+        Clock { last: Cell::new(unix()), offset: Cell::default(), unix, skew: Cell::default() }
     }
 
-    /// For tests: off by so many milliseconds from now on, and so much faster.
-    pub fn skew(&self, off_ms: f64, rate: f64) {
-        self.skew.set(Some(((self.unix)(), off_ms, rate)));
+    /// For tests: from now on the Unix clock is off by `offset_ms` milliseconds and runs `rate` times as fast.
+    pub fn skew(&self, offset_ms: f64, rate: f64) {
+        self.skew.set(Some(Skew { since: (self.unix)(), offset_ms, rate }));
     }
 
     fn read(&self) -> Time {
         let unix = (self.unix)();
-        self.skew.get().map_or(unix, |(since, off, rate)| {
-            Time::from_ms(since.as_ms() + (unix.as_ms() - since.as_ms()) * rate + off)
+        self.skew.get().map_or(unix, |Skew { since, offset_ms, rate }| {
+            Time::from_ms(since.as_ms() + (unix.as_ms() - since.as_ms()) * rate + offset_ms)
         })
     }
 
-    /// A clock that was set back would make everything in hand look young for as long; so it goes on from
-    /// where it was, and what is stamped by the Unix clock is moved along.
+    /// The time now. When the Unix clock is set back this one goes on from where it was: otherwise everything in flight
+    /// would look young for as long.
     pub fn now(&self) -> Time {
-        let now = self.read() + self.ahead.get();
-        self.ahead.set(self.ahead.get() + self.last.get().since(now));
+        let now = self.read() + self.offset.get();
+        self.offset.set(self.offset.get() + self.last.get().since(now));
         self.last.set(self.last.get().max(now));
         self.last.get()
     }
 
-    /// A point on the Unix clock, of something that has happened.
-    pub fn past(&self, stamped: Time) -> Time {
-        (stamped + self.ahead.get()).min(self.now())
+    /// Converts a time of the Unix clock at which something has happened; never later than now.
+    pub fn to_monotonic(&self, unix: Time) -> Time {
+        (unix + self.offset.get()).min(self.now())
     }
 }
--- /dev/null
+++ b/crates/hazelgrade-server/src/routing/context.rs
@@ -0,0 +1,94 @@
+//! What the way of a request needs: the controller's driver, the in-flight table, the peers and the counters.
+
+use super::callers::Callers;
+use super::controller_driver::{ControllerDriver, ControllerEvent};
+use super::counters::Counters;
+use super::dependency_calls::DependencyCalls;
+use super::in_flight::{InFlightTable, JobEvent};
+use super::result_cache::ResultCache;
+use crate::protocol::executor::{Command, encode};
+use crate::protocol::jsonrpc::{self, Answer};
+use crate::transport::executor::ExecutorLink;
+use hazelgrade::api::JobId;
+use hazelgrade_settings::Site;
+use std::cell::RefCell;
+use std::rc::Rc;
+
+/// Shared by all jobs and connections of an instance.
+pub struct RequestContext {
+    /// Runs the controller and takes its decisions.
+    pub driver: Rc<ControllerDriver>,
+    /// The jobs that were admitted and are not over.
+    pub in_flight: Rc<InFlightTable>,
+    /// Results of keyed jobs, for their retries.
+    pub result_cache: Rc<ResultCache>,
+    /// Calls to the database.
+    pub dependency_calls: Rc<DependencyCalls>,
+    /// The link to the executor.
+    pub executor: Rc<ExecutorLink>,
+    /// The settings that requests are read by from now on; a job that has arrived keeps those it was read by.
+    pub site: RefCell<Rc<Site>>,
+    /// What has become of the jobs.
+    pub counters: RefCell<Counters>,
+    /// Who may ask for what.
+    pub callers: Callers,
+}
+
+impl RequestContext {
+    /// Sends the final answer to a job, unless it was sent before or its caller has disconnected.
+    pub fn answer(&self, id: &JobId, answer: &Answer) {
+        let mut counters = self.counters.borrow_mut();
+        let Some(responder) = self.in_flight.take_responder(id) else {
+            counters.late_answers += 1;
+            return;
+        };
+        tracing::trace!(job = &**id, answer = answer.name(), "job answered");
+        match answer {
+            Answer::Succeeded(_) => counters.succeeded += 1,
+            Answer::Rejected { .. } => {
+                counters.rejected += 1;
+                responder.connection.count_rejection();
+            }
+            Answer::Denied(_) => counters.denied += 1,
+            Answer::Failed => counters.failed += 1,
+        }
+        let line = jsonrpc::encode(responder.call_id, answer, self.driver.load_signal());
+        responder.connection.send(&line);
+        responder.connection.close_call(responder.call_id);
+    }
+
+    /// Records that the caller of a job no longer waits. The controller is notified first: were the job's task told
+    /// alone, the controller could still decide to run a job whose task has ended.
+    pub fn caller_disconnected(&self, id: &JobId) {
+        if let Some(responder) = self.in_flight.take_responder(id) {
+            self.counters.borrow_mut().callers_disconnected += 1;
+            responder.connection.close_call(responder.call_id);
+            self.driver.notify(ControllerEvent::CallerDisconnected { id: id.clone() });
+            self.in_flight.send(id, JobEvent::CallerDisconnected);
+        }
+    }
+
+    /// Marks the connection of a job's caller as trusted: the executor has run a job of it.
+    pub fn trust_caller(&self, id: &JobId) {
+        if let Some(connection) = self.in_flight.caller(id) {
+            connection.mark_trusted();
+        }
+    }
+
+    /// Counts a job that the executor does not know, against its caller too.
+    pub fn unknown_to_executor(&self, id: &JobId) {
+        let mut counters = self.counters.borrow_mut();
+        counters.unknown_to_executor += 1;
+        if counters.unknown_to_executor.is_power_of_two() {
+            tracing::warn!(count = counters.unknown_to_executor, "executor did not start a run: unknown job");
+        }
+        if let Some(connection) = self.in_flight.caller(id) {
+            connection.count_violation();
+        }
+    }
+
+    /// Sends a command to the executor; it is dropped while there is no link.
+    pub fn send_command(&self, command: &Command) {
+        self.executor.send(&encode(command));
+    }
+}
--- /dev/null
+++ b/crates/hazelgrade-server/src/routing/controller_driver.rs
@@ -0,0 +1,358 @@
+//! Drives the controller: gathers events, runs a round at most once a tick and whenever a timer is due, and passes each
+//! decision on to the task of its job.
+
+use super::budget_share::BudgetShare;
+use super::clock::Clock;
+use super::in_flight::{InFlightTable, JobEvent};
+use super::liveness::Liveness;
+use super::result_cache::ResultCache;
+use super::timers::Timers;
+use crate::protocol::executor::{self, Command};
+use crate::protocol::jsonrpc::Answer;
+use crate::transport::executor::ExecutorLink;
+use async_io::Timer;
+use futures_lite::future::or;
+use hazelgrade::api::{CallLease, Decisions, Job, JobId, Outcome, SettingsUpdate};
+use hazelgrade::controller::{Controller, EventSink};
+use hazelgrade::time::{Span, Time};
+use hazelgrade_net::notify::Notify;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// What the controller is notified of in its next round.
+#[derive(Debug)]
+pub enum ControllerEvent {
+    /// A job was admitted.
+    JobArrived {
+        /// As it was read.
+        job: Job,
+    },
+    /// A run is over.
+    RunEnded {
+        /// The job that ran.
+        id: JobId,
+        /// How it ended.
+        outcome: Outcome,
+        /// How long it took.
+        elapsed: Span,
+    },
+    /// A run waits for a call.
+    CallRequested {
+        /// The job that runs.
+        id: JobId,
+    },
+    /// A call is over.
+    CallEnded {
+        /// The job that made it.
+        id: JobId,
+        /// How it ended.
+        outcome: Outcome,
+        /// How long it took.
+        elapsed: Span,
+    },
+    /// The caller of a job no longer waits.
+    CallerDisconnected {
+        /// The job.
+        id: JobId,
+    },
+    /// The instance drains, and stops at this time.
+    DrainStarted(Time),
+    /// A timer is due.
+    TimerFired {
+        /// As the controller gave it.
+        token: u64,
+        /// The part of the cores in use, where the executor told it in time.
+        core_use: Option<f64>,
+    },
+    /// This node has another lease of the calls that all nodes share.
+    LeaseUpdated(CallLease),
+}
+
+/// The controller and what it is driven by.
+pub struct ControllerDriver {
+    controller: RefCell<Controller>,
+    /// The clock that the controller goes by.
+    pub clock: Clock,
+    /// The shortest time between two rounds.
+    tick: Duration,
+    events: RefCell<Vec<ControllerEvent>>,
+    event_added: Notify,
+    /// The executor is up, or the instance drains.
+    started: Cell<bool>,
+    timers: Timers,
+    liveness: Liveness,
+    /// The executor has received every command that was sent before this.
+    commands_confirmed_until: Cell<Instant>,
+    load_signal: Cell<Option<f64>>,
+    controller_healthy: Cell<bool>,
+    /// There are settings to serve by.
+    ready: Cell<bool>,
+    health_changed: Notify,
+    /// This node's share of the budgets, where they are on.
+    budget_share: RefCell<Option<Rc<BudgetShare>>>,
+    in_flight: Rc<InFlightTable>,
+    result_cache: Rc<ResultCache>,
+    executor: Rc<ExecutorLink>,
+    /// Rounds since the start.
+    pub round_count: Cell<u64>,
+    /// The longest round since this was last taken.
+    pub longest_round: Cell<Duration>,
+}
+
+impl ControllerDriver {
+    /// Drives `controller` with at most one round every `tick`.
+    pub fn new(
+        controller: Controller,
+        tick: Span,
+        in_flight: Rc<InFlightTable>,
+        result_cache: Rc<ResultCache>,
+        executor: Rc<ExecutorLink>,
+    ) -> ControllerDriver {
+        let clock = Clock::default();
+        ControllerDriver {
+            controller: RefCell::new(controller),
+            liveness: Liveness::new(clock.now()),
+            clock,
+            tick: Duration::from_secs_f64(tick.as_ms() / 1000.0),
+            events: RefCell::default(),
+            event_added: Notify::default(),
+            started: Cell::new(false),
+            timers: Timers::default(),
+            commands_confirmed_until: Cell::new(Instant::now()),
+            load_signal: Cell::new(None),
+            controller_healthy: Cell::new(true),
+            ready: Cell::new(true),
+            health_changed: Notify::default(),
+            budget_share: RefCell::default(),
+            in_flight,
+            result_cache,
+            executor,
+            round_count: Cell::new(0),
+            longest_round: Cell::new(Duration::ZERO),
+        }
+    }
+
+    /// Passes an event to the next round.
+    pub fn notify(&self, event: ControllerEvent) {
+        self.events.borrow_mut().push(event);
+        self.event_added.notify();
+    }
+
+    /// Allows rounds from now on: the executor is up, or the instance drains. The controller's clock starts with the
+    /// first round, so there is none before.
+    pub fn start_rounds(&self) {
+        self.started.set(true);
+        self.event_added.notify();
+    }
+
+    /// The load signal that callers are sent with each answer.
+    pub fn load_signal(&self) -> Option<f64> {
+        self.load_signal.get()
+    }
+
+    /// Whether the instance is healthy: the controller says so, and there are settings to serve by.
+    pub fn is_healthy(&self) -> bool {
+        self.controller_healthy.get() && self.ready.get()
+    }
+
+    /// Sets whether there are settings to serve by.
+    pub fn set_ready(&self, ready: bool) {
+        if self.ready.replace(ready) != ready {
+            self.health_changed.notify();
+        }
+    }
+
+    /// Replaces the controller's settings from the next round on; `false` if they can't be taken.
+    pub fn update_settings(&self, update: SettingsUpdate) -> bool {
+        self.controller.borrow_mut().update_settings(self.clock.now(), update)
+    }
+
+    /// From now on calls are bounded by this node's share of the budget.
+    pub fn set_budget_share(&self, share: Rc<BudgetShare>) {
+        if let Some(lease) = share.call_lease(self.clock.now()) {
+            self.notify(ControllerEvent::LeaseUpdated(lease));
+        }
+        self.budget_share.replace(Some(share));
+    }
+
+    /// This node's share of the budgets, where they are on.
+    pub fn budget_share(&self) -> Option<Rc<BudgetShare>> {
+        self.budget_share.borrow().clone()
+    }
+
+    /// Waits until health has changed or a heartbeat was requested.
+    pub async fn health_changed(&self) {
+        self.health_changed.notified().await;
+    }
+
+    /// Has a heartbeat sent at once.
+    pub fn request_heartbeat(&self) {
+        self.health_changed.notify();
+    }
+
+    /// Records that the process runs. Gives when it was last seen to run; shortly after a pause, when that began.
+    pub fn record_liveness(&self) -> Time {
+        self.liveness.record(self.clock.now())
+    }
+
+    /// The executor has received every command that was sent before this.
+    pub fn commands_confirmed_until(&self) -> Instant {
+        self.commands_confirmed_until.get()
+    }
+
+    /// Records that the executor has received every command that was sent before `sent`.
+    pub fn confirm_commands_until(&self, sent: Instant) {
+        self.commands_confirmed_until.set(self.commands_confirmed_until.get().max(sent));
+    }
+
+    /// Fires the timer that waits for these gauges.
+    pub fn gauges_received(&self, ticket: &str, core_use: Option<f64>) {
+        let Ok(token) = ticket.parse() else { return };
+        if let Some(requested) = self.timers.take_with_gauges(token) {
+            self.confirm_commands_until(requested);
+            self.notify(ControllerEvent::TimerFired { token, core_use });
+        }
+    }
+
+    /// Runs rounds for good.
+    pub async fn run(&self) {
+        while !self.started.get() {
+            self.event_added.notified().await;
+        }
+        loop {
+            self.round();
+            let next_round = Instant::now() + self.tick;
+            while self.events.borrow().is_empty() {
+                self.wait().await;
+            }
+            Timer::at(next_round).await;
+        }
+    }
+
+    /// Waits until an event was added or a timer is due; for that one the gauges are requested, and waited for next.
+    async fn wait(&self) {
+        let now = self.clock.now();
+        if let Some(token) = self.timers.take_due(now) {
+            let ticket = token.to_string();
+            self.executor.send(&executor::encode(&Command::Gauges { ticket: &ticket }));
+            return;
+        }
+        if let Some(token) = self.timers.take_without_gauges() {
+            return self.notify(ControllerEvent::TimerFired { token, core_use: None });
+        }
+        let until = |at: Time| Duration::from_secs_f64(at.since(now).as_ms() / 1000.0);
+        let timer_due = self.timers.next_due().map(|at| Instant::now() + until(at));
+        match timer_due.into_iter().chain(self.timers.next_gauges_timeout()).min() {
+            Some(at) => {
+                let slept = async {
+                    Timer::at(at).await;
+                };
+                or(self.event_added.notified(), slept).await;
+            }
+            None => self.event_added.notified().await,
+        }
+    }
+
+    fn round(&self) {
+        let started = Instant::now();
+        let now = self.clock.now();
+        let events = self.events.take();
+        let feed = |sink: &mut EventSink| events.into_iter().for_each(|event| feed_event(sink, event));
+        self.controller.borrow_mut().round(now, feed, &mut DecisionDispatcher { driver: self, now });
+        if let Some(share) = &*self.budget_share.borrow() {
+            share.record_call_demand(self.controller.borrow_mut().call_demand(now));
+        }
+        self.record_liveness();
+        self.round_count.set(self.round_count.get() + 1);
+        self.longest_round.set(self.longest_round.get().max(started.elapsed()));
+    }
+}
+
+fn feed_event(sink: &mut EventSink, event: ControllerEvent) {
+    match event {
+        ControllerEvent::JobArrived { job } => sink.job_arrived(job),
+        ControllerEvent::RunEnded { id, outcome, elapsed } => sink.run_ended(&id, outcome, elapsed),
+        ControllerEvent::CallRequested { id } => sink.call_requested(&id),
+        ControllerEvent::CallEnded { id, outcome, elapsed } => sink.call_ended(&id, outcome, elapsed),
+        ControllerEvent::CallerDisconnected { id } => sink.caller_disconnected(&id),
+        ControllerEvent::DrainStarted(stop_at) => sink.drain_started(stop_at),
+        ControllerEvent::TimerFired { token, core_use } => sink.timer_fired(token, core_use),
+        ControllerEvent::LeaseUpdated(lease) => sink.call_lease_updated(lease),
+    }
+}
+
+/// Passes the decisions of one round on.
+struct DecisionDispatcher<'a> {
+    driver: &'a ControllerDriver,
+    now: Time,
+}
+
+impl DecisionDispatcher<'_> {
+    fn send(&self, id: &JobId, event: JobEvent) {
+        self.driver.in_flight.send(id, event);
+    }
+}
+
+impl Decisions for DecisionDispatcher<'_> {
+    fn start_run(&mut self, id: &JobId) {
+        self.send(id, JobEvent::StartRun);
+    }
+
+    fn reject(&mut self, id: &JobId, not_elsewhere: bool, retry_after: Span) {
+        self.send(id, JobEvent::Answer(Answer::Rejected { not_elsewhere, retry_after }));
+    }
+
+    fn fail(&mut self, id: &JobId) {
+        self.send(id, JobEvent::Answer(Answer::Failed));
+    }
+
+    fn start_call(&mut self, id: &JobId, timeout: Span) {
+        self.send(id, JobEvent::StartCall { timeout });
+    }
+
+    fn skip_call(&mut self, id: &JobId) {
+        self.send(id, JobEvent::SkipCall);
+    }
+
+    fn cancel_run(&mut self, id: &JobId) {
+        self.send(id, JobEvent::CancelRun);
+    }
+
+    fn await_original(&mut self, id: &JobId) {
+        self.send(id, JobEvent::AwaitOriginal);
+    }
+
+    fn store_record(&mut self, id: &JobId, lifetime: Span) {
+        self.driver.result_cache.store_record(id, self.now, lifetime);
+    }
+
+    fn remove_record(&mut self, id: &JobId) {
+        self.driver.result_cache.remove_record(id);
+    }
+
+    fn publish_load_signal(&mut self, value: f64) {
+        self.driver.load_signal.set(Some(value));
+    }
+
+    fn publish_health(&mut self, healthy: bool, _from_store: bool) {
+        if self.driver.controller_healthy.replace(healthy) != healthy {
+            self.driver.health_changed.notify();
+        }
+    }
+
+    fn set_timer(&mut self, at: Time, token: u64) {
+        self.driver.timers.set(at, token);
+    }
+
+    fn limited_by_lease(&mut self, id: &JobId) {
+        tracing::debug!(job = &**id, "job rejected by the lease of calls, not by a full queue");
+        if let Some(share) = &*self.driver.budget_share.borrow() {
+            share.jobs_rejected.set(share.jobs_rejected.get() + 1);
+        }
+    }
+
+    fn log(&mut self, text: &str) {
+        tracing::debug!(text, "controller note");
+    }
+}
--- /dev/null
+++ b/crates/hazelgrade-server/src/routing/counters.rs
@@ -0,0 +1,26 @@
+//! What has become of the jobs that were read, counted.
+
+/// Counts since the start of the process.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Counters {
+    /// Jobs that were admitted to the controller.
+    pub arrived: u64,
+    /// Jobs that were answered with a result.
+    pub succeeded: u64,
+    /// Jobs that were rejected: they have had no effect.
+    pub rejected: u64,
+    /// Jobs that were answered with an error.
+    pub failed: u64,
+    /// Callers that disconnected or aborted before the answer.
+    pub callers_disconnected: u64,
+    /// Answers that were due after the job had been answered or its caller had disconnected.
+    pub late_answers: u64,
+    /// Requests for a job class that is not served here, or no longer.
+    pub not_served: u64,
+    /// Requests of callers that lack the right to make them.
+    pub denied: u64,
+    /// Of those in `denied`, the ones that failed by the key set: these show a wrong set, and no revocation.
+    pub unverified: u64,
+    /// Jobs that the executor did not know.
+    pub unknown_to_executor: u64,
+}
--- /dev/null
+++ b/crates/hazelgrade-server/src/routing/dependency_calls.rs
@@ -0,0 +1,153 @@
+//! Calls to the database, by job: on which connection each was made, so that a reply reaches only the call it is for.
+
+use super::in_flight::{InFlightTable, JobEvent};
+use super::outcome::CallEnd;
+use crate::protocol::database::{self, ReplyHead};
+use crate::transport::database::{Database, ReplyHandler};
+use async_executor::LocalExecutor;
+use hazelgrade::api::JobId;
+use hazelgrade::time::Span;
+use hazelgrade_net::connection_end::ConnectionEnd;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Instant;
+
+/// The calls of a job in flight.
+#[derive(Default)]
+struct JobCalls {
+    /// The connection of the call in flight.
+    current: Option<u64>,
+    /// The connections of all its calls. A reply names the job only: one that comes twice or late would pass for the
+    /// reply to the next call if that went over the same connection.
+    used_connections: Vec<u64>,
+}
+
+/// The calls of all jobs in flight.
+pub struct DependencyCalls {
+    database: Option<Rc<Database>>,
+    jobs: RefCell<BTreeMap<JobId, JobCalls>>,
+    in_flight: Rc<InFlightTable>,
+    tasks: Rc<LocalExecutor<'static>>,
+    /// Replies to no call in flight on their connection, since the start.
+    pub unknown_replies: Cell<u64>,
+    /// Lines that could not be decoded, since the start.
+    pub malformed_lines: Cell<u64>,
+    /// Calls that were lost with their connection, since the start.
+    pub lost: Cell<u64>,
+}
+
+impl DependencyCalls {
+    /// Without a database every call ends as unreachable.
+    pub fn new(
+        database: Option<Database>,
+        in_flight: Rc<InFlightTable>,
+        tasks: Rc<LocalExecutor<'static>>,
+    ) -> DependencyCalls {
+        DependencyCalls {
+            database: database.map(Rc::new),
+            jobs: RefCell::default(),
+            in_flight,
+            tasks,
+            unknown_replies: Cell::new(0),
+            malformed_lines: Cell::new(0),
+            lost: Cell::new(0),
+        }
+    }
+
+    /// Makes a call; its end comes to the job as [`JobEvent::CallEnded`]. One that can't be handed to the system before
+    /// `expires_at` is not sent. The database is given `timeout` for it.
+    pub fn start(self: &Rc<Self>, id: &JobId, timeout: Span, body: &[u8], expires_at: Option<Instant>) {
+        let Some(database) = &self.database else {
+            return self.in_flight.send(id, JobEvent::CallEnded(CallEnd::NO_DATABASE));
+        };
+        let mut jobs = self.jobs.borrow_mut();
+        let calls = jobs.entry(id.clone()).or_default();
+        let message = database::encode_call(id, timeout, body);
+        let connection = database.call(&self.tasks, self, &message, &calls.used_connections, expires_at);
+        calls.current = Some(connection);
+        calls.used_connections.push(connection);
+    }
+
+    /// Cancels the call of a job, if one is in flight.
+    pub fn cancel(&self, id: &JobId) {
+        if let Some((connection, database)) = self.send_cancel(id) {
+            database.call_ended(connection);
+        }
+    }
+
+    /// Cancels the call of a job to which no reply came in time: its connection takes no further calls.
+    pub fn cancel_timed_out(&self, id: &JobId) {
+        if let Some((connection, database)) = self.send_cancel(id) {
+            database.retire(connection);
+            database.call_ended(connection);
+        }
+    }
+
+    fn send_cancel(&self, id: &JobId) -> Option<(u64, &Rc<Database>)> {
+        let connection = self.jobs.borrow_mut().get_mut(id).and_then(|calls| calls.current.take())?;
+        let database = self.database.as_ref()?;
+        database.send(connection, database::encode_cancel(id).as_bytes());
+        Some((connection, database))
+    }
+
+    /// Forgets a job that makes no more calls; one in flight is cancelled.
+    pub fn remove_job(&self, id: &JobId) {
+        self.cancel(id);
+        self.jobs.borrow_mut().remove(id);
+    }
+
+    /// Calls go to this address from now on.
+    pub fn set_address(&self, address: SocketAddr) {
+        if let Some(database) = &self.database {
+            database.set_address(address);
+        }
+    }
+
+    /// The number of connections to the database.
+    pub fn connections(&self) -> usize {
+        self.database.as_ref().map_or(0, |database| database.count())
+    }
+}
+
+impl ReplyHandler for DependencyCalls {
+    type Head = ReplyHead;
+
+    fn decode_head(&self, line: &[u8]) -> Result<ReplyHead, ConnectionEnd> {
+        database::decode(line).map_err(|error| {
+            let count = self.malformed_lines.get() + 1;
+            self.malformed_lines.set(count);
+            if count.is_power_of_two() {
+                tracing::warn!(%error, count, "malformed line from the database");
+            }
+            ConnectionEnd::Malformed
+        })
+    }
+
+    fn body_length(&self, head: &ReplyHead) -> Option<usize> {
+        head.body_length
+    }
+
+    fn reply(&self, connection: u64, head: ReplyHead, body: Vec<u8>) {
+        let ReplyHead { id, reply, .. } = head;
+        let mut jobs = self.jobs.borrow_mut();
+        let calls = jobs.get_mut(&id).filter(|calls| calls.current == Some(connection));
+        let (Some(calls), Some(database)) = (calls, &self.database) else {
+            return self.unknown_replies.set(self.unknown_replies.get() + 1);
+        };
+        calls.current = None;
+        database.call_ended(connection);
+        self.in_flight.send(&id, JobEvent::CallEnded(CallEnd::Replied { reply, body }));
+    }
+
+    fn ended(&self, connection: u64, end: ConnectionEnd) {
+        let mut jobs = self.jobs.borrow_mut();
+        let lost = jobs.iter_mut().filter(|(_, calls)| calls.current == Some(connection));
+        for (id, calls) in lost {
+            calls.current = None;
+            self.lost.set(self.lost.get() + 1);
+            self.in_flight.send(id, JobEvent::CallEnded(CallEnd::ConnectionLost(end)));
+        }
+    }
+}
--- /dev/null
+++ b/crates/hazelgrade-server/src/routing/front_end.rs
@@ -0,0 +1,250 @@
+//! The front end: admits what clients send. It starts the tasks of jobs, notices callers that disconnect, and answers
+//! health checks and invalid messages itself.
+
+use super::callers::Caller;
+use super::context::RequestContext;
+use super::in_flight::{JobFingerprint, Responder};
+use super::job;
+use crate::protocol::jsonrpc::{self, Answer, ClientMessage, JobRequest, RequestError};
+use crate::transport::clients::{ClientConnection, ClientConnections};
+use crate::transport::tls::Tls;
+use async_executor::LocalExecutor;
+use async_io::Async;
+use hazelgrade::api::{Idempotency, JobId};
+use hazelgrade::time::{Span, Time};
+use hazelgrade_identity::Refused;
+use hazelgrade_identity::desk::Known;
+use hazelgrade_net::connection_end::ConnectionEnd;
+use std::cell::{Cell, RefCell};
+use std::net::{IpAddr, Ipv4Addr, TcpStream};
+use std::rc::Rc;
+
+/// By how much the time at which a job reached the machine may lie ahead of this process's clock, in milliseconds.
+const MAX_CLOCK_SKEW_MS: f64 = 1000.0;
+
+/// A rejection at the front end: nothing ran, and other servers may run it at once.
+const REJECTED: Answer = Answer::Rejected { not_elsewhere: false, retry_after: Span::ZERO };
+
+/// The connections of clients, and what is done with their messages.
+pub struct FrontEnd {
+    /// Where jobs go.
+    pub context: Rc<RequestContext>,
+    /// All connections of clients.
+    pub connections: ClientConnections<JobId>,
+    /// Runs the tasks of connections and jobs.
+    pub tasks: Rc<LocalExecutor<'static>>,
+    /// Messages that broke the protocol, since the start.
+    pub invalid_messages: Cell<u64>,
+    /// Encrypts connections, if it is on.
+    pub tls: Rc<Tls>,
+}
+
+impl FrontEnd {
+    /// Starts to serve an accepted connection.
+    pub fn start(self: &Rc<Self>, stream: Async<TcpStream>) {
+        self.connections.accepted();
+        self.tasks.spawn(self.clone().serve(stream)).detach();
+    }
+
+    /// Serves one connection until it ends; the callers of its open calls are disconnected then.
+    async fn serve(self: Rc<Self>, stream: Async<TcpStream>) {
+        let unknown = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
+        let address = stream.get_ref().peer_addr().map_or(unknown, |peer| peer.ip());
+        let accepted = match self.tls.accept(stream, self.context.driver.clock.now()).await {
+            Ok(accepted) => accepted,
+            Err(end) => {
+                tracing::debug!(?end, "handshake failed");
+                return self.connections.accept_done();
+            }
+        };
+        let known = Known { token: None, certificate: accepted.certificate };
+        let caller = Caller { address, known: RefCell::new(known) };
+        let on_line = async |connection: &Rc<ClientConnection<JobId>>, line: &[u8]| {
+            self.handle_line(connection, &caller, line).await;
+        };
+        let (end, open) = self
+            .connections
+            .serve(&self.tasks, accepted.stream, jsonrpc::LONGEST_LINE, on_line, closing_line)
+            .await;
+        if !open.is_empty() {
+            tracing::debug!(?end, jobs = open.len(), "connection ended with open calls");
+        }
+        open.iter().for_each(|id| self.context.caller_disconnected(id));
+    }
+
+    async fn handle_line(&self, connection: &Rc<ClientConnection<JobId>>, caller: &Caller, line: &[u8]) {
+        let site = self.context.site.borrow().clone();
+        match jsonrpc::decode(line, &site) {
+            Ok(ClientMessage::Job(request)) => self.handle_job(connection, caller, *request).await,
+            Ok(ClientMessage::Abort { call_id, job_id }) => self.handle_abort(connection, call_id, job_id),
+            Ok(ClientMessage::Hello { call_id, token }) => {
+                self.handle_hello(connection, caller, call_id, &token);
+            }
+            Ok(ClientMessage::HealthCheck { call_id }) => self.handle_health_check(connection, call_id),
+            Err(error) => self.handle_error(connection, &error),
+        }
+    }
+
+    async fn handle_job(
+        &self,
+        connection: &Rc<ClientConnection<JobId>>,
+        caller: &Caller,
+        mut request: JobRequest,
+    ) {
+        connection.wait_for_free_call().await;
+        let now = self.context.driver.clock.now();
+        match self.context.callers.authorize(now, caller, &mut request) {
+            Ok(()) => self.admit(connection, request),
+            Err(refused) => self.deny(connection, request.call_id, refused),
+        }
+    }
+
+    /// A connection can abort only what it asked for itself.
+    fn handle_abort(
+        &self,
+        connection: &ClientConnection<JobId>,
+        call_id: Option<u64>,
+        job_id: Option<JobId>,
+    ) {
+        let by_call = call_id.and_then(|call_id| connection.open_call(call_id));
+        if let Some(id) = job_id.filter(|id| connection.has_open(id)).or(by_call) {
+            self.context.caller_disconnected(&id);
+        }
+    }
+
+    fn handle_hello(&self, connection: &ClientConnection<JobId>, caller: &Caller, call_id: u64, token: &str) {
+        let now = self.context.driver.clock.now();
+        let authenticated = self.context.callers.authenticate(now, caller, token);
+        if authenticated.is_err() {
+            connection.count_violation();
+        }
+        let name = authenticated.as_deref().map_err(|refused| refused.reason());
+        connection.send(&jsonrpc::encode_hello(call_id, name));
+    }
+
+    fn handle_health_check(&self, connection: &ClientConnection<JobId>, call_id: u64) {
+        connection.count_health_check();
+        let driver = &self.context.driver;
+        connection.send(&jsonrpc::encode_check(call_id, driver.is_healthy(), driver.load_signal()));
+    }
+
+    fn handle_error(&self, connection: &ClientConnection<JobId>, error: &RequestError) {
+        match error.call_id.filter(|_| error.not_served) {
+            Some(call_id) => {
+                self.context.counters.borrow_mut().not_served += 1;
+                self.answer(connection, call_id, &REJECTED);
+                connection.count_rejection();
+            }
+            None => self.refuse(connection, error),
+        }
+    }
+
+    /// Answers a call without admitting it.
+    fn answer(&self, connection: &ClientConnection<JobId>, call_id: u64, answer: &Answer) {
+        connection.send(&jsonrpc::encode(call_id, answer, self.context.driver.load_signal()));
+    }
+
+    /// Answers a call that its caller has no right to make: it did not run, and would run nowhere.
+    fn deny(&self, connection: &ClientConnection<JobId>, call_id: u64, refused: Refused) {
+        let mut counters = self.context.counters.borrow_mut();
+        counters.denied += 1;
+        counters.unverified += u64::from(refused.is_of_keys());
+        self.answer(connection, call_id, &Answer::Denied(refused.reason()));
+        // The connection is read more slowly, like one whose jobs are rejected and never run.
+        connection.count_rejection();
+    }
+
+    fn refuse(&self, connection: &ClientConnection<JobId>, error: &RequestError) {
+        self.invalid_messages.set(self.invalid_messages.get() + 1);
+        connection.send(&jsonrpc::encode_error(error));
+        connection.count_violation();
+    }
+
+    /// Checks a job that its caller may ask for, and starts its task.
+    fn admit(&self, connection: &Rc<ClientConnection<JobId>>, mut request: JobRequest) {
+        let context = &self.context;
+        let id = request.job.id.clone();
+        let call_id = request.call_id;
+        if connection.open_call(call_id).is_some() {
+            return self.refuse(connection, &jsonrpc::call_id_in_use());
+        }
+        let fingerprint = JobFingerprint::new(&request);
+        if let Some(is_same) = context.in_flight.is_same(&id, &fingerprint) {
+            // Another job under an id in flight did not run; of the same one nothing is known yet.
+            let answer = if is_same { Answer::Failed } else { REJECTED };
+            self.answer(connection, call_id, &answer);
+            return connection.count_violation();
+        }
+        let received_at = context.driver.clock.to_monotonic(request.job.received_at);
+        let (deadline, is_keyed) = {
+            let site = context.site.borrow();
+            let job_class = &site.job_classes[request.job.job_class];
+            (job_class.deadline, job_class.repeats != Idempotency::Idempotent)
+        };
+        if !self.check_age(connection, &request, received_at, deadline) {
+            return;
+        }
+        let idempotency_key = request.idempotency_key.take().filter(|_| is_keyed);
+        let job = &mut request.job;
+        let key = idempotency_key
+            .map(|key| context.result_cache.job_key(job.job_class, job.tenant, key, &request.body));
+        if let Some(finished) = context.result_cache.finished(&id) {
+            // While a job that is over is known by this id, it does not run again, and no other under its id runs.
+            let stored = finished.result.map_or(Answer::Failed, Answer::Succeeded);
+            let answer = if key.as_ref() == Some(&finished.key) { stored } else { REJECTED };
+            self.answer(connection, call_id, &answer);
+            return connection.count_violation();
+        }
+        connection.add_call(call_id, id.clone());
+        job.received_at = received_at;
+        job.from_known_caller = connection.is_trusted();
+        job.retry_of = key.and_then(|key| context.result_cache.arrived(&id, key, received_at, deadline));
+        self.take_tokens(&mut request);
+        context.counters.borrow_mut().arrived += 1;
+        let responder = Responder { connection: connection.clone(), call_id };
+        let events = context.in_flight.insert(id, fingerprint, responder);
+        self.tasks.spawn(job::serve(request, events, context.clone())).detach();
+    }
+
+    /// Answers a job that is past its deadline or comes from the future; `false` then.
+    fn check_age(
+        &self,
+        connection: &ClientConnection<JobId>,
+        request: &JobRequest,
+        received_at: Time,
+        deadline: Span,
+    ) -> bool {
+        let now = self.context.driver.clock.now();
+        let expired = received_at + deadline < now;
+        if expired && connection.is_trusted() {
+            // It was not read for so long because this process was suspended, which is no fault of its caller. It did
+            // not run.
+            self.context.counters.borrow_mut().rejected += 1;
+            self.answer(connection, request.call_id, &REJECTED);
+            return false;
+        }
+        if expired || request.job.received_at > now + Span::from_ms(MAX_CLOCK_SKEW_MS) {
+            self.refuse(connection, &jsonrpc::invalid_time(request.call_id));
+            return false;
+        }
+        true
+    }
+
+    /// Takes a job's tokens from the budgets that all nodes share, where they are on.
+    fn take_tokens(&self, request: &mut JobRequest) {
+        if let Some(share) = self.context.driver.budget_share() {
+            let site = self.context.site.borrow();
+            let tenant = site.tenants.get(request.job.tenant).and_then(Option::as_deref);
+            request.job.lease_retry_after = share.take_tokens(&request.job, tenant);
+        }
+    }
+}
+
+/// What a peer is sent before its connection is closed for this cause.
+fn closing_line(end: ConnectionEnd) -> Option<String> {
+    match end {
+        ConnectionEnd::TooLong => Some(jsonrpc::encode_error(&jsonrpc::line_too_long())),
+        ConnectionEnd::ProtocolViolation => Some(jsonrpc::encode_error(&jsonrpc::too_many_violations())),
+        _ => None,
+    }
+}
--- a/crates/hazelgrade-server/src/routing/job.rs
+++ b/crates/hazelgrade-server/src/routing/job.rs
@@ -1,302 +1,365 @@
-//! The life of a job, from its arrival to the end of its run.
+//! The task of one job, from its arrival to the end of its run.
+//!
+//! A job is queued, then runs, and is finished; a run that was cancelled while the job is unanswered puts it back into
+//! the queue. Each event takes the job from one phase to the next, in one method.
 
-use super::callers::Callers;
-use super::calls::Calls;
-use super::hand::{Hand, Turn};
+use super::context::RequestContext;
+use super::controller_driver::ControllerEvent;
+use super::in_flight::JobEvent;
 use super::outcome::{self, CallEnd};
-use super::result_cache::ResultCache;
-use super::rounds::{Event, Rounds};
-use crate::protocol::executor::{Command, RunEnd, encode};
-use crate::protocol::jsonrpc::{self, Answer, Asked};
+use crate::protocol::executor::{Command, RunEnd};
+use crate::protocol::jsonrpc::{Answer, JobRequest};
 use crate::protocol::{Body, from_bytes, to_bytes};
-use crate::transport::executor::Link;
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::future::or;
-use hazelgrade::api::{JobId, Outcome};
+use hazelgrade::api::{Job, JobId, Outcome};
 use hazelgrade::time::{Span, Time};
-use hazelgrade_net::ending::ConnectionEnd;
-use hazelgrade_settings::Site;
-use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A call is taken as silent this long after the time that the database was given for it: it says itself when that
-/// is over, and what it says takes a few milliseconds.
-const SILENT_AFTER: Duration = Duration::from_millis(25);
-
-/// What lies in the sockets when the time is over is read within this.
-const UNREAD: Duration = Duration::from_millis(5);
-
-/// Answers by kind, since the start.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Tally {
-    pub arrived: u64,
-    pub succeeded: u64,
-    pub rejected: u64,
-    pub failed: u64,
-    pub callers_gone: u64,
-    /// Ends of runs whose job was answered before.
-    pub unwanted: u64,
-    /// Asked for what is not served here, or no longer.
-    pub not_here: u64,
-    /// Asked for by who may not.
-    pub denied: u64,
-    /// Of these, for what the keys say: a wrong set shows here, a revocation does not.
-    pub unverified: u64,
-    /// Jobs that the executor did not know.
-    pub not_known: u64,
-}
+/// A call has timed out this long after the time that the database was given for it: the database reports a time-out
+/// itself, and its reply takes a few milliseconds.
+const REPLY_GRACE: Duration = Duration::from_millis(25);
+
+/// After a pause of the process, replies that wait in the sockets are read first, within this time.
+const UNREAD_GRACE: Duration = Duration::from_millis(5);
 
-/// What the life of a job needs of its surroundings.
-pub struct Parts {
-    pub rounds: Rc<Rounds>,
-    pub hand: Rc<Hand>,
-    pub result_cache: Rc<ResultCache>,
-    pub calls: Rc<Calls>,
-    pub link: Rc<Link>,
-    /// As it is served now; a job that has arrived keeps its own.
-    pub site: RefCell<Rc<Site>>,
-    pub tally: RefCell<Tally>,
-    pub callers: Callers,
+/// Where a job stands.
+enum Phase {
+    /// It waits for the controller's decision, or for the result of the job that it repeats.
+    Queued,
+    /// The executor runs it.
+    Running(Run),
+    /// It is over, with its result if it succeeded.
+    Finished { result: Option<Body> },
 }
 
-impl Parts {
-    /// Gives the final answer, unless it was given or nobody waits for it any more.
-    fn answer(&self, id: &JobId, answer: &Answer) {
-        let mut tally = self.tally.borrow_mut();
-        let Some(asker) = self.hand.to_answer(id) else {
-            tally.unwanted += 1;
-            return;
-        };
-        tracing::trace!(job = &**id, answer = answer.word(), "answered");
-        match answer {
-            Answer::Succeeded(_) => tally.succeeded += 1,
-            Answer::Rejected { .. } => {
-                tally.rejected += 1;
-                asker.client.rejected();
-            }
-            Answer::Denied(_) => tally.denied += 1,
-            Answer::Failed => tally.failed += 1,
+impl Phase {
+    /// When the call in flight times out, if there is one.
+    fn call_deadline(&self) -> Option<Instant> {
+        match self {
+            Phase::Running(run) => Some(run.call.as_ref()?.sent.as_ref()?.deadline),
+            Phase::Queued | Phase::Finished { .. } => None,
         }
-        asker.client.put(&jsonrpc::encode(asker.call, answer, self.rounds.said()));
-        asker.client.close(asker.call);
     }
+}
 
-    /// The caller no longer waits. The module hears it before its next round, so that it can't decide to run
-    /// a job whose task has ended.
-    pub fn caller_gone(&self, id: &JobId) {
-        if let Some(asker) = self.hand.to_answer(id) {
-            self.tally.borrow_mut().callers_gone += 1;
-            asker.client.close(asker.call);
-            self.rounds.tell(Event::CallerGone(id.clone()));
-            self.hand.send(id, Turn::CallerGone);
-        }
-    }
+/// A run on the executor.
+struct Run {
+    started_at: Time,
+    /// The last command that the executor may not have received.
+    unconfirmed: Option<UnconfirmedCommand>,
+    unconfirmed_sent_at: Instant,
+    cancelled: bool,
+    /// The call that the run waits for.
+    call: Option<RequestedCall>,
+}
 
-    /// The executor runs the job: its caller is what it says.
-    fn proved(&self, id: &JobId) {
-        if let Some(client) = self.hand.asker(id) {
-            client.prove();
-        }
-    }
+/// A command that is sent again after the link has broken.
+enum UnconfirmedCommand {
+    StartRun,
+    CallReply(Body),
+    SkipCall { cursor: u64 },
+}
 
-    fn send(&self, command: &Command) {
-        self.link.send(&encode(command));
+impl Run {
+    fn unconfirmed(&mut self, command: UnconfirmedCommand) {
+        self.unconfirmed = Some(command);
+        self.unconfirmed_sent_at = Instant::now();
     }
 }
 
-/// A run that stands at a call.
-struct AtCall {
+/// A call that a run waits for.
+struct RequestedCall {
     cursor: u64,
     body: Body,
-    /// When the call was made, and when it is taken as silent.
-    made: Option<(Time, Instant)>,
+    /// Set while the call is in flight.
+    sent: Option<SentCall>,
+}
+
+#[derive(Clone, Copy)]
+struct SentCall {
+    at: Time,
+    deadline: Instant,
 }
 
-/// The last command that the executor may not have got.
-enum Last {
-    Run,
-    Reply(Body),
-    SkipCall(u64),
+/// A job that was admitted.
+struct JobTask {
+    id: JobId,
+    job_class: String,
+    body: Body,
+    /// The earlier job of which this one is a retry.
+    retry_of: Option<JobId>,
+    context: Rc<RequestContext>,
+}
+
+/// Admits a job to the controller and handles its events until it is over.
+pub async fn serve(request: JobRequest, events: Receiver<JobEvent>, context: Rc<RequestContext>) {
+    let JobRequest { job, body, .. } = request;
+    let job_class = context.site.borrow().job_classes[job.job_class].name.clone();
+    let task = JobTask { id: job.id.clone(), job_class, body, retry_of: job.retry_of.clone(), context };
+    task.arrived(job);
+    let mut phase = Phase::Queued;
+    let result = loop {
+        let Some(event) = next_event(&events, phase.call_deadline()).await else { break None };
+        phase = match phase {
+            Phase::Queued => task.handle_while_queued(event),
+            Phase::Running(run) => task.handle_while_running(run, event),
+            Phase::Finished { result } => Phase::Finished { result },
+        };
+        if let Phase::Finished { result } = phase {
+            break result;
+        }
+    };
+    task.finish(result);
 }
 
-/// Lives through a job. Its turns come one by one: decisions of the module, and what the others tell.
-pub async fn live(asked: Asked, turns: Receiver<Turn>, parts: Rc<Parts>) {
-    let Asked { job, body, .. } = asked;
-    let (id, repeats) = (job.id.clone(), job.retry_of.clone());
-    let job_class = parts.site.borrow().job_classes[job.job_class].name.clone();
-
-    // It has arrived; the module hears of it, and its verdict comes as a turn. With `--log trace` a job can be followed
-    // by its id through every instance that touched it.
-    let unread_ms = parts.rounds.clock.now().since(job.received_at).as_ms();
-    tracing::trace!(job = &*id, job_class, again = job.is_retry, unread_ms, "arrived");
-    parts.rounds.tell(Event::Arrived(job));
-    let mut result = None;
-    'in_hand: loop {
-        // Held, until it is run, answered, or its caller is gone.
-        loop {
-            let Ok(turn) = turns.recv().await else { break 'in_hand };
-            match turn {
-                Turn::Run => break,
-                Turn::Answer(answer) => {
-                    parts.answer(&id, &answer);
-                    break 'in_hand;
-                }
-                Turn::CallerGone => break 'in_hand,
-                Turn::Share => {
-                    let prior = repeats.as_ref().unwrap_or(&id);
-                    if let Some(body) = parts.result_cache.share(&id, prior) {
-                        parts.hand.send(&id, Turn::Shared(body));
-                    }
-                }
-                Turn::Shared(body) => {
-                    let answer = body.clone().map_or(Answer::Failed, Answer::Succeeded);
-                    let outcome = body.as_ref().map_or(Outcome::Failed, |_| Outcome::Completed);
-                    parts.answer(&id, &answer);
-                    parts.rounds.tell(Event::RunEnded(id.clone(), outcome, Span::ZERO));
-                    result = body;
-                    break 'in_hand;
-                }
-                _ => {}
+/// The next event of a job; past the deadline of its call, the time-out of the call.
+async fn next_event(events: &Receiver<JobEvent>, call_deadline: Option<Instant>) -> Option<JobEvent> {
+    let Some(deadline) = call_deadline else { return events.recv().await.ok() };
+    let timeout = async {
+        Timer::at(deadline).await;
+        Timer::after(UNREAD_GRACE).await;
+        Some(JobEvent::CallEnded(CallEnd::TimedOut))
+    };
+    or(async { events.recv().await.ok() }, timeout).await
+}
+
+impl JobTask {
+    /// Notifies the controller of the arrival. With `--log trace` a job can be followed by its id through every instance
+    /// that handled it.
+    fn arrived(&self, job: Job) {
+        let unread_ms = self.context.driver.clock.now().since(job.received_at).as_ms();
+        tracing::trace!(
+            job = &*self.id,
+            job_class = self.job_class,
+            is_retry = job.is_retry,
+            unread_ms,
+            "job arrived"
+        );
+        self.context.driver.notify(ControllerEvent::JobArrived { job });
+    }
+
+    fn handle_while_queued(&self, event: JobEvent) -> Phase {
+        match event {
+            JobEvent::StartRun => Phase::Running(self.start_run()),
+            JobEvent::Answer(answer) => {
+                self.context.answer(&self.id, &answer);
+                Phase::Finished { result: None }
             }
+            JobEvent::AwaitOriginal => {
+                self.await_original();
+                Phase::Queued
+            }
+            JobEvent::OriginalEnded { result } => self.answer_from_original(result),
+            JobEvent::CallerDisconnected => Phase::Finished { result: None },
+            JobEvent::StartCall { .. }
+            | JobEvent::SkipCall
+            | JobEvent::CancelRun
+            | JobEvent::CallRequested { .. }
+            | JobEvent::RunEnded { .. }
+            | JobEvent::StartRefused
+            | JobEvent::LinkRestored { .. }
+            | JobEvent::ExecutorRestarted
+            | JobEvent::CallEnded(_) => Phase::Queued,
         }
+    }
 
-        // Run. An answer may be given before the run has ended; what it yields is dropped then.
-        tracing::trace!(job = &*id, "run");
-        parts.send(&Command::Run { id: &id, job_class: &job_class, body: &body });
-        let began = parts.rounds.clock.now();
-        let (mut last, mut stopping, mut at_call) = (Some(Last::Run), false, None::<AtCall>);
-        let mut sent = Instant::now();
-        let (end, lasted, yielded) = loop {
-            let silent = at_call.as_ref().and_then(|at| at.made).map(|(_, silent)| silent);
-            let Some(turn) = next(&turns, silent).await else { break 'in_hand };
-            match turn {
-                Turn::Ended { end, lasted, body } => {
-                    parts.proved(&id);
-                    break (end, lasted, body);
-                }
-                Turn::AtCall { cursor, body } => {
-                    parts.proved(&id);
-                    tracing::trace!(job = &*id, cursor, "at a call");
-                    (last, at_call) = (None, Some(AtCall { cursor, body, made: None }));
-                    parts.rounds.tell(Event::AtCall(id.clone()));
-                }
-                Turn::Call(within) => {
-                    let Some(at) = &mut at_call else { continue };
-                    tracing::trace!(job = &*id, within_ms = within.as_ms(), "calls");
-                    let silent = Duration::from_secs_f64(within.as_ms() / 1000.0) + SILENT_AFTER;
-                    at.made = Some((parts.rounds.clock.now(), Instant::now() + silent));
-                    // The process may have stood still since it was decided: what all nodes share may be another's now.
-                    let seat = parts.rounds.seat();
-                    let by = seat.map(|seat| seat.last_look());
-                    match to_bytes(&at.body) {
-                        _ if by == Some(None) => {
-                            parts.hand.send(&id, Turn::Called(CallEnd::Lost(ConnectionEnd::Unsent)));
-                        }
-                        Some(bytes) => parts.calls.make(&id, within, &bytes, by.flatten()),
-                        None => parts.hand.send(&id, Turn::Called(CallEnd::unreadable())),
-                    }
-                }
-                Turn::Called(called) => {
-                    let Some((made, _)) = at_call.as_mut().and_then(|at| at.made.take()) else { continue };
-                    if let CallEnd::Silent = called {
-                        parts.calls.give_up(&id, true);
-                    }
-                    let (outcome, took) = (outcome::of_call(&called), parts.rounds.clock.now().since(made));
-                    tracing::trace!(job = &*id, ?outcome, took_ms = took.as_ms(), "call ended");
-                    if let CallEnd::Replied(_, reply) = called
-                        && outcome == Outcome::Completed
-                    {
-                        let reply = from_bytes(&reply);
-                        parts.send(&Command::Reply { id: &id, body: &reply });
-                        (last, at_call, sent) = (Some(Last::Reply(reply)), None, Instant::now());
-                    }
-                    parts.rounds.tell(Event::CallEnded(id.clone(), outcome, took));
-                }
-                Turn::SkipCall => {
-                    let Some(AtCall { cursor, .. }) = at_call.take() else { continue };
-                    tracing::trace!(job = &*id, "goes on without its call");
-                    parts.send(&Command::SkipCall { id: &id, cursor });
-                    (last, sent) = (Some(Last::SkipCall(cursor)), Instant::now());
-                }
-                Turn::Stop => {
-                    stopping = true;
-                    tracing::trace!(job = &*id, "is to stop");
-                    parts.send(&Command::Stop { id: &id });
-                }
-                Turn::Answer(answer) => parts.answer(&id, &answer),
-                Turn::Relinked(from, to) => {
-                    // A reply that did arrive must not come again: the run may stand at its next call.
-                    match last.as_ref().filter(|_| from <= sent && sent < to) {
-                        Some(Last::Run) => {
-                            parts.send(&Command::Run { id: &id, job_class: &job_class, body: &body })
-                        }
-                        Some(Last::Reply(body)) => parts.send(&Command::Reply { id: &id, body }),
-                        Some(Last::SkipCall(cursor)) => {
-                            parts.send(&Command::SkipCall { id: &id, cursor: *cursor })
-                        }
-                        None => {}
-                    }
-                    if stopping {
-                        parts.send(&Command::Stop { id: &id });
-                    }
-                }
-                Turn::NotDone if matches!(last, Some(Last::Run)) => {
-                    // It knows no such job: whoever asked has made it up.
-                    let mut tally = parts.tally.borrow_mut();
-                    tally.not_known += 1;
-                    if tally.not_known.is_power_of_two() {
-                        tracing::warn!(count = tally.not_known, "the executor did not start a run");
-                    }
-                    if let Some(client) = parts.hand.asker(&id) {
-                        client.misused();
-                    }
-                    break (RunEnd::Gone, Span::ZERO, "".into());
-                }
-                Turn::RunsOver => {
-                    let lasted = parts.rounds.clock.now().since(began);
-                    break (RunEnd::Bad, lasted, "".into());
-                }
-                Turn::CallerGone | Turn::Run | Turn::Share | Turn::Shared(_) | Turn::NotDone => {}
+    /// The job may be answered before its run has ended; the result of the run is dropped then.
+    fn handle_while_running(&self, mut run: Run, event: JobEvent) -> Phase {
+        match event {
+            JobEvent::CallRequested { cursor, body } => self.call_requested(&mut run, cursor, body),
+            JobEvent::StartCall { timeout } => self.start_call(&mut run, timeout),
+            JobEvent::CallEnded(end) => self.call_ended(&mut run, end),
+            JobEvent::SkipCall => self.skip_call(&mut run),
+            JobEvent::CancelRun => self.cancel_run(&mut run),
+            JobEvent::Answer(answer) => self.context.answer(&self.id, &answer),
+            JobEvent::LinkRestored { lost_from, lost_until } => {
+                self.resend_lost_commands(&run, lost_from, lost_until);
+            }
+            JobEvent::RunEnded { end, elapsed, body } => {
+                self.context.trust_caller(&self.id);
+                return self.run_ended(end, elapsed, body);
+            }
+            JobEvent::StartRefused if matches!(run.unconfirmed, Some(UnconfirmedCommand::StartRun)) => {
+                self.context.unknown_to_executor(&self.id);
+                return self.run_ended(RunEnd::Superseded, Span::ZERO, "".into());
             }
+            JobEvent::ExecutorRestarted => {
+                let elapsed = self.context.driver.clock.now().since(run.started_at);
+                return self.run_ended(RunEnd::Failed, elapsed, "".into());
+            }
+            JobEvent::CallerDisconnected
+            | JobEvent::StartRun
+            | JobEvent::StartRefused
+            | JobEvent::AwaitOriginal
+            | JobEvent::OriginalEnded { .. } => {}
+        }
+        Phase::Running(run)
+    }
+
+    /// Registers for the result of the job that this one repeats; one that is known already comes as an event at once.
+    fn await_original(&self) {
+        let original = self.retry_of.as_ref().unwrap_or(&self.id);
+        if let Some(result) = self.context.result_cache.await_result(&self.id, original) {
+            self.context.in_flight.send(&self.id, JobEvent::OriginalEnded { result });
+        }
+    }
+
+    fn answer_from_original(&self, result: Option<Body>) -> Phase {
+        let (answer, outcome) = match result.clone() {
+            Some(body) => (Answer::Succeeded(body), Outcome::Completed),
+            None => (Answer::Failed, Outcome::Failed),
         };
+        self.context.answer(&self.id, &answer);
+        let id = self.id.clone();
+        self.context.driver.notify(ControllerEvent::RunEnded { id, outcome, elapsed: Span::ZERO });
+        Phase::Finished { result }
+    }
 
-        // The run is over, and with it its call.
-        parts.calls.give_up(&id, false);
+    fn start_run(&self) -> Run {
+        tracing::trace!(job = &*self.id, "run started");
+        self.send_start_run();
+        Run {
+            started_at: self.context.driver.clock.now(),
+            unconfirmed: Some(UnconfirmedCommand::StartRun),
+            unconfirmed_sent_at: Instant::now(),
+            cancelled: false,
+            call: None,
+        }
+    }
+
+    /// The run has reached a call, so every command before it has arrived.
+    fn call_requested(&self, run: &mut Run, cursor: u64, body: Body) {
+        self.context.trust_caller(&self.id);
+        tracing::trace!(job = &*self.id, cursor, "call requested");
+        run.unconfirmed = None;
+        run.call = Some(RequestedCall { cursor, body, sent: None });
+        self.context.driver.notify(ControllerEvent::CallRequested { id: self.id.clone() });
+    }
+
+    fn start_call(&self, run: &mut Run, timeout: Span) {
+        let Some(call) = &mut run.call else { return };
+        tracing::trace!(job = &*self.id, timeout_ms = timeout.as_ms(), "call started");
+        let until_deadline = Duration::from_secs_f64(timeout.as_ms() / 1000.0) + REPLY_GRACE;
+        call.sent =
+            Some(SentCall { at: self.context.driver.clock.now(), deadline: Instant::now() + until_deadline });
+        let Ok(expires_at) = self.call_expiry() else {
+            return self.end_call_unsent(CallEnd::EXPIRED_UNSENT);
+        };
+        match to_bytes(&call.body) {
+            Some(bytes) => self.context.dependency_calls.start(&self.id, timeout, &bytes, expires_at),
+            None => self.end_call_unsent(CallEnd::INVALID_BODY),
+        }
+    }
+
+    /// Until when a call may be handed to the system. The process may have been suspended since the controller decided on
+    /// the call, and this node's share of the budget may belong to another node by now: then there is none.
+    fn call_expiry(&self) -> Result<Option<Instant>, BudgetShareExpired> {
+        match self.context.driver.budget_share() {
+            Some(share) => share.call_expiry().map(Some).ok_or(BudgetShareExpired),
+            None => Ok(None),
+        }
+    }
+
+    fn end_call_unsent(&self, end: CallEnd) {
+        self.context.in_flight.send(&self.id, JobEvent::CallEnded(end));
+    }
+
+    fn call_ended(&self, run: &mut Run, end: CallEnd) {
+        let Some(sent) = run.call.as_mut().and_then(|call| call.sent.take()) else { return };
+        if let CallEnd::TimedOut = end {
+            self.context.dependency_calls.cancel_timed_out(&self.id);
+        }
+        let outcome = outcome::of_call(&end);
+        let elapsed = self.context.driver.clock.now().since(sent.at);
+        tracing::trace!(job = &*self.id, ?outcome, elapsed_ms = elapsed.as_ms(), "call ended");
+        if let CallEnd::Replied { body, .. } = end
+            && outcome == Outcome::Completed
+        {
+            let reply = from_bytes(&body);
+            self.send_call_reply(&reply);
+            run.call = None;
+            run.unconfirmed(UnconfirmedCommand::CallReply(reply));
+        }
+        self.context.driver.notify(ControllerEvent::CallEnded { id: self.id.clone(), outcome, elapsed });
+    }
+
+    fn skip_call(&self, run: &mut Run) {
+        let Some(RequestedCall { cursor, .. }) = run.call.take() else { return };
+        tracing::trace!(job = &*self.id, "call skipped");
+        self.send_skip_call(cursor);
+        run.unconfirmed(UnconfirmedCommand::SkipCall { cursor });
+    }
+
+    fn cancel_run(&self, run: &mut Run) {
+        run.cancelled = true;
+        tracing::trace!(job = &*self.id, "run cancelled");
+        self.send_stop();
+    }
+
+    /// Only a command that was sent while the link may have been broken is sent again: after a reply that did arrive,
+    /// the run may wait for its next call.
+    fn resend_lost_commands(&self, run: &Run, lost_from: Instant, lost_until: Instant) {
+        let may_be_lost = lost_from <= run.unconfirmed_sent_at && run.unconfirmed_sent_at < lost_until;
+        match run.unconfirmed.as_ref().filter(|_| may_be_lost) {
+            Some(UnconfirmedCommand::StartRun) => self.send_start_run(),
+            Some(UnconfirmedCommand::CallReply(reply)) => self.send_call_reply(reply),
+            Some(UnconfirmedCommand::SkipCall { cursor }) => self.send_skip_call(*cursor),
+            None => {}
+        }
+        if run.cancelled {
+            self.send_stop();
+        }
+    }
+
+    /// The run is over, and its call with it. A job whose run was cancelled before the answer is queued again.
+    fn run_ended(&self, end: RunEnd, elapsed: Span, body: Body) -> Phase {
+        self.context.dependency_calls.cancel(&self.id);
         let outcome = outcome::of_run(end);
-        tracing::trace!(job = &*id, ?outcome, lasted_ms = lasted.as_ms(), "run ended");
-        let held_again = outcome == Outcome::Cancelled && parts.hand.is_owed(&id);
-        parts.rounds.tell(Event::RunEnded(id.clone(), outcome, lasted));
-        if held_again {
-            continue;
+        tracing::trace!(job = &*self.id, ?outcome, elapsed_ms = elapsed.as_ms(), "run ended");
+        let queued_again = outcome == Outcome::Cancelled && self.context.in_flight.is_unanswered(&self.id);
+        self.context.driver.notify(ControllerEvent::RunEnded { id: self.id.clone(), outcome, elapsed });
+        if queued_again {
+            return Phase::Queued;
         }
         if outcome == Outcome::Completed {
-            result = Some(yielded.clone());
-            parts.answer(&id, &Answer::Succeeded(yielded));
+            self.context.answer(&self.id, &Answer::Succeeded(body.clone()));
+            Phase::Finished { result: Some(body) }
         } else {
-            parts.answer(&id, &Answer::Failed);
+            self.context.answer(&self.id, &Answer::Failed);
+            Phase::Finished { result: None }
         }
-        break;
     }
 
-    // It leaves the hand; repeats that waited for its result get it.
-    parts.hand.let_go(&id);
-    parts.calls.done(&id);
-    let now = parts.rounds.clock.now();
-    for repeat in parts.result_cache.done(&id, now, result.clone()) {
-        parts.hand.send(&repeat, Turn::Shared(result.clone()));
+    /// Leaves the tables, and passes the result on to the retries that wait for it.
+    fn finish(self, result: Option<Body>) {
+        self.context.in_flight.remove(&self.id);
+        self.context.dependency_calls.remove_job(&self.id);
+        let now = self.context.driver.clock.now();
+        for retry in self.context.result_cache.finish(&self.id, now, result.clone()) {
+            self.context.in_flight.send(&retry, JobEvent::OriginalEnded { result: result.clone() });
+        }
     }
-}
 
-/// The next turn; that the call was silent, once its time is over.
-async fn next(turns: &Receiver<Turn>, silent: Option<Instant>) -> Option<Turn> {
-    let Some(at) = silent else { return turns.recv().await.ok() };
-    let late = async {
-        Timer::at(at).await;
-        // After a pause of the process, what came meanwhile is read first.
-        Timer::after(UNREAD).await;
-        Some(Turn::Called(CallEnd::Silent))
-    };
-    or(async { turns.recv().await.ok() }, late).await
+    fn send_start_run(&self) {
+        let command = Command::StartRun { id: &self.id, job_class: &self.job_class, body: &self.body };
+        self.context.send_command(&command);
+    }
+
+    fn send_call_reply(&self, body: &str) {
+        self.context.send_command(&Command::CallReply { id: &self.id, body });
+    }
+
+    fn send_skip_call(&self, cursor: u64) {
+        self.context.send_command(&Command::SkipCall { id: &self.id, cursor });
+    }
+
+    fn send_stop(&self) {
+        self.context.send_command(&Command::CancelRun { id: &self.id });
+    }
 }
+
+/// This node's share of the budget ended between the decision and the call.
+struct BudgetShareExpired;
--- a/crates/hazelgrade-server/src/routing/mod.rs
+++ b/crates/hazelgrade-server/src/routing/mod.rs
@@ -1,13 +1,20 @@
-//! Between the sockets and the module: the life of a job, the rounds, who has what in hand.
+//! The way of a request: from the client's connection through the controller to the executor and the database, and back.
+//!
+//! `front_end` admits what clients send; each admitted job is a task of its own (`job`), driven by events that
+//! `controller_driver`, `executor_events` and `dependency_calls` send it by way of the `in_flight` table.
 
-pub mod budgets;
+pub mod budget_share;
 pub mod callers;
-pub mod calls;
 pub mod clock;
-pub mod front;
-pub mod hand;
+pub mod context;
+pub mod controller_driver;
+pub mod counters;
+pub mod dependency_calls;
+pub mod executor_events;
+pub mod front_end;
+pub mod in_flight;
 pub mod job;
-pub mod notices;
+pub mod liveness;
 pub mod outcome;
 pub mod result_cache;
-pub mod rounds;
+pub mod timers;
--- a/crates/hazelgrade-server/src/routing/outcome.rs
+++ b/crates/hazelgrade-server/src/routing/outcome.rs
@@ -1,54 +1,77 @@
-//! The one place where the ends of runs, calls and connections become outcomes of the module.
+//! Maps the ends of runs, calls and connections to outcomes for the controller; nothing else does.
 
 use crate::protocol::database::Reply;
 use crate::protocol::executor::RunEnd;
 use hazelgrade::api::Outcome;
-use hazelgrade_net::ending::ConnectionEnd;
+use hazelgrade_net::connection_end::ConnectionEnd;
 
 /// How a call ended.
 #[derive(Clone, Debug)]
 pub enum CallEnd {
-    Replied(Reply, Vec<u8>),
-    /// Nothing was heard of it in its time.
-    Silent,
-    Lost(ConnectionEnd),
+    /// The database replied.
+    Replied {
+        /// What it said.
+        reply: Reply,
+        /// The body of the reply; empty where there is none.
+        body: Vec<u8>,
+    },
+    /// No reply came in time.
+    TimedOut,
+    /// The connection ended before the reply.
+    ConnectionLost(ConnectionEnd),
 }
 
+impl CallEnd {
+    /// The body of the call is not valid base64, so nothing was sent.
+    pub const INVALID_BODY: CallEnd = CallEnd::ConnectionLost(ConnectionEnd::Unreachable);
+    /// The call expired before it was handed to the system.
+    pub const EXPIRED_UNSENT: CallEnd = CallEnd::ConnectionLost(ConnectionEnd::Unsent);
+    /// There is no database to call.
+    pub const NO_DATABASE: CallEnd = CallEnd::ConnectionLost(ConnectionEnd::Unreachable);
+}
+
+/// The outcome of a run.
 pub fn of_run(end: RunEnd) -> Outcome {
     match end {
-        RunEnd::Good => Outcome::Completed,
-        RunEnd::Bad => Outcome::Failed,
-        RunEnd::Cut => Outcome::Cancelled,
-        RunEnd::Gone => Outcome::Superseded,
+        RunEnd::Completed => Outcome::Completed,
+        RunEnd::Failed => Outcome::Failed,
+        RunEnd::Cancelled => Outcome::Cancelled,
+        RunEnd::Superseded => Outcome::Superseded,
     }
 }
 
+/// The outcome of a call.
 pub fn of_call(end: &CallEnd) -> Outcome {
     match end {
-        CallEnd::Replied(Reply::Rows, _) => Outcome::Completed,
-        CallEnd::Replied(Reply::Full, _) => Outcome::Rejected,
-        CallEnd::Replied(Reply::Fail, _) => Outcome::Failed,
-        CallEnd::Replied(Reply::Timeout, _) | CallEnd::Silent => Outcome::TimedOut,
-        CallEnd::Replied(Reply::Nobody, _) => Outcome::Superseded,
-        CallEnd::Lost(ConnectionEnd::Unreachable | ConnectionEnd::Unsent) => Outcome::Unreachable,
-        CallEnd::Lost(
-            ConnectionEnd::Closed
-            | ConnectionEnd::CutShort
-            | ConnectionEnd::Reset
-            | ConnectionEnd::Slow
-            | ConnectionEnd::Misused
-            | ConnectionEnd::TooLong
-            | ConnectionEnd::Unreadable
-            | ConnectionEnd::Overrun
-            | ConnectionEnd::Idle
-            | ConnectionEnd::Moved,
-        ) => Outcome::ConnectionLost,
+        CallEnd::Replied { reply, .. } => of_reply(*reply),
+        CallEnd::TimedOut => Outcome::TimedOut,
+        CallEnd::ConnectionLost(end) => of_lost_connection(*end),
     }
 }
 
-impl CallEnd {
-    /// The body of the call can't be read: it was not made.
-    pub fn unreadable() -> CallEnd {
-        CallEnd::Lost(ConnectionEnd::Unreachable)
+fn of_reply(reply: Reply) -> Outcome {
+    match reply {
+        Reply::Rows => Outcome::Completed,
+        Reply::Overloaded => Outcome::Rejected,
+        Reply::Failed => Outcome::Failed,
+        Reply::TimedOut => Outcome::TimedOut,
+        Reply::NoSuchRun => Outcome::Superseded,
+    }
+}
+
+/// Only where it is certain that nothing was sent may the call count as never made.
+fn of_lost_connection(end: ConnectionEnd) -> Outcome {
+    match end {
+        ConnectionEnd::Unreachable | ConnectionEnd::Unsent => Outcome::Unreachable,
+        ConnectionEnd::Closed
+        | ConnectionEnd::Truncated
+        | ConnectionEnd::Reset
+        | ConnectionEnd::TimedOut
+        | ConnectionEnd::ProtocolViolation
+        | ConnectionEnd::TooLong
+        | ConnectionEnd::Malformed
+        | ConnectionEnd::WriteQueueFull
+        | ConnectionEnd::Idle
+        | ConnectionEnd::Moved => Outcome::ConnectionLost,
     }
 }
--- a/crates/hazelgrade-server/src/routing/result_cache.rs
+++ b/crates/hazelgrade-server/src/routing/result_cache.rs
@@ -1,5 +1,5 @@
-//! Remembered jobs: which one a repeat repeats, and the result that a repeat is answered from. The module says
-//! what is remembered and for how long; nothing here decides.
+//! Results of keyed jobs, for their retries: which job a retry repeats, and the result that it is answered with. The
+//! controller decides which records are stored and for how long.
 
 use crate::protocol::Body;
 use hazelgrade::api::JobId;
@@ -8,201 +8,240 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{BuildHasher, RandomState};
 
-/// What makes two tries those of one job: job class, tenant, mark, and what is asked for. A mark alone is no proof: whoever
-/// has seen it could ask for the result with words of its own, or have the place taken by a job that nobody has.
+/// What makes two requests attempts at one job: job class, tenant, idempotency key, and body. The key alone is no proof:
+/// whoever has seen it could ask for the result with another body, or take its place with a job that nobody asked for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Key {
+pub struct JobKey {
     job_class: usize,
     tenant: usize,
-    mark: String,
-    /// A digest that no client can choose, in place of the body: bodies are kilobytes.
-    content: u64,
+    idempotency_key: String,
+    /// A digest that no client can choose, in place of the body, which may have kilobytes.
+    body_digest: u64,
 }
 
-struct Entry {
-    holder: JobId,
-    until: Time,
+/// A keyed job that is over, as far as it is known by its id.
+pub struct FinishedJob {
+    /// What was asked for.
+    pub key: JobKey,
+    /// Its result, if it succeeded and the result is still stored.
+    pub result: Option<Body>,
 }
 
-/// A job with a mark, while it is in hand or a repeat may still name it.
-struct Marked {
-    key: Key,
-    /// A repeat that came before the window was over may lie unread for so long.
-    unread_for: Span,
-    in_hand: bool,
-    /// It waits for the result of another, and runs never.
-    shares: bool,
-    kept_until: Option<Time>,
+/// The idempotency record of a key.
+struct Record {
+    id: JobId,
+    expires: Time,
+}
+
+/// A keyed job, while it is in flight or a retry may still name it.
+struct KeyedJob {
+    key: JobKey,
+    /// A retry that came before its record expired may stay unread for so long.
+    max_unread_time: Span,
+    in_flight: bool,
+    /// It waits for the result of another job, and never runs.
+    awaits_original: bool,
+    record_expires: Option<Time>,
+    /// Set once it is over; `Some(None)` without a result.
     result: Option<Option<Body>>,
-    /// Repeats that wait for its result.
+    /// Retries that wait for its result.
     waiting: Vec<JobId>,
 }
 
-impl Marked {
-    /// When it is gone, once it is out of hand.
-    fn gone_at(&self) -> Option<Time> {
-        self.kept_until.map(|until| until + self.unread_for)
+impl KeyedJob {
+    /// When it is forgotten, once it is over.
+    fn forgotten_at(&self) -> Option<Time> {
+        self.record_expires.map(|expires| expires + self.max_unread_time)
     }
 
-    fn bytes(&self) -> usize {
+    fn result_bytes(&self) -> usize {
         self.result.as_ref().and_then(Option::as_ref).map_or(0, |body| body.len())
     }
 }
 
 #[derive(Default)]
-struct Table {
-    entries: BTreeMap<Key, Entry>,
-    jobs: BTreeMap<JobId, Marked>,
-    /// Those in hand, in the order that they came.
-    in_hand: BTreeMap<Key, Vec<JobId>>,
-    /// Those out of hand by when they are gone, and of these those with a result.
-    gone: BTreeSet<(Time, JobId)>,
+struct Tables {
+    records: BTreeMap<JobKey, Record>,
+    jobs: BTreeMap<JobId, KeyedJob>,
+    /// The jobs in flight, in the order of their arrival.
+    in_flight: BTreeMap<JobKey, Vec<JobId>>,
+    /// The jobs that are over, by when they are forgotten; and those of them with a result.
+    finished: BTreeSet<(Time, JobId)>,
     with_result: BTreeSet<(Time, JobId)>,
     result_bytes: usize,
-    /// Results that are kept take this many bytes at most; past it, the one that runs out first goes.
-    most_bytes: usize,
-}
-
-pub struct ResultCache {
-    table: RefCell<Table>,
-    digests: RandomState,
+    max_result_bytes: usize,
 }
 
-impl Table {
-    /// Out of hand: until when it is known, and what its result takes.
-    fn keep(&mut self, id: &JobId, at: Time) {
-        let bytes = self.jobs.get(id).map_or(0, Marked::bytes);
-        self.gone.insert((at, id.clone()));
+impl Tables {
+    fn add_finished(&mut self, id: &JobId, forgotten_at: Time) {
+        let bytes = self.jobs.get(id).map_or(0, KeyedJob::result_bytes);
+        self.finished.insert((forgotten_at, id.clone()));
         if bytes > 0 {
-            self.with_result.insert((at, id.clone()));
+            self.with_result.insert((forgotten_at, id.clone()));
             self.result_bytes += bytes;
         }
     }
 
-    fn drop_result(&mut self, at: Time, id: &JobId) {
-        if self.with_result.remove(&(at, id.clone())) {
-            let bytes = self.jobs.get(id).map_or(0, Marked::bytes);
+    fn release_result(&mut self, forgotten_at: Time, id: &JobId) {
+        if self.with_result.remove(&(forgotten_at, id.clone())) {
+            let bytes = self.jobs.get(id).map_or(0, KeyedJob::result_bytes);
             self.result_bytes = self.result_bytes.saturating_sub(bytes);
         }
     }
 
-    /// One that is out of hand.
+    /// Forgets a job that is over.
     fn forget(&mut self, id: &JobId) {
-        if let Some(at) = self.jobs.get(id).and_then(Marked::gone_at) {
-            self.drop_result(at, id);
-            self.gone.remove(&(at, id.clone()));
+        if let Some(at) = self.jobs.get(id).and_then(KeyedJob::forgotten_at) {
+            self.release_result(at, id);
+            self.finished.remove(&(at, id.clone()));
         }
-        if let Some(marked) = self.jobs.remove(id)
-            && self.entries.get(&marked.key).is_some_and(|entry| entry.holder == *id)
-        {
-            self.entries.remove(&marked.key);
+        if let Some(job) = self.jobs.remove(id) {
+            self.remove_record(&job.key, id);
+        }
+    }
+
+    /// Removes the record of a key, if it is that of this job.
+    fn remove_record(&mut self, key: &JobKey, id: &JobId) {
+        if self.records.get(key).is_some_and(|record| record.id == *id) {
+            self.records.remove(key);
+        }
+    }
+
+    fn remove_in_flight(&mut self, key: &JobKey, id: &JobId) {
+        if let Some(ids) = self.in_flight.get_mut(key) {
+            ids.retain(|in_flight| in_flight != id);
+            if ids.is_empty() {
+                self.in_flight.remove(key);
+            }
+        }
+    }
+
+    fn forget_expired(&mut self, now: Time) {
+        while let Some((_, id)) = self.finished.first().filter(|(at, _)| *at <= now).cloned() {
+            self.forget(&id);
+        }
+    }
+
+    /// Drops the results that would be forgotten first, until the rest fits.
+    fn drop_excess_results(&mut self) {
+        let is_over = |tables: &Tables| tables.result_bytes > tables.max_result_bytes;
+        while let Some((at, id)) = self.with_result.first().filter(|_| is_over(self)).cloned() {
+            self.release_result(at, &id);
+            if let Some(job) = self.jobs.get_mut(&id) {
+                job.result = Some(None);
+            }
         }
     }
 }
 
+/// All keyed jobs that are in flight or may still be retried.
+pub struct ResultCache {
+    tables: RefCell<Tables>,
+    digests: RandomState,
+}
+
 impl ResultCache {
-    pub fn new(most_bytes: usize) -> ResultCache {
-        let table = RefCell::new(Table { most_bytes, ..Table::default() });
-        ResultCache { table, digests: RandomState::new() }
+    /// Stores results of at most `max_result_bytes` in all, in base64; past it the one that would be forgotten first is
+    /// dropped.
+    pub fn new(max_result_bytes: usize) -> ResultCache {
+        let tables = RefCell::new(Tables { max_result_bytes, ..Tables::default() });
+        ResultCache { tables, digests: RandomState::new() }
     }
 
-    pub fn key(&self, job_class: usize, tenant: usize, mark: String, body: &Body) -> Key {
-        Key { job_class, tenant, mark, content: self.digests.hash_one(body) }
+    /// The key of a job. Keys of different caches can't be compared.
+    pub fn job_key(&self, job_class: usize, tenant: usize, idempotency_key: String, body: &Body) -> JobKey {
+        JobKey { job_class, tenant, idempotency_key, body_digest: self.digests.hash_one(body) }
     }
 
-    /// A job that is out of hand and known by this id: what it was, and the result that is kept of it.
-    pub fn kept(&self, id: &JobId) -> Option<(Key, Option<Body>)> {
-        let table = self.table.borrow();
-        let marked = table.jobs.get(id).filter(|marked| !marked.in_hand)?;
-        Some((marked.key.clone(), marked.result.clone().flatten()))
+    /// The job that is over and known by this id.
+    pub fn finished(&self, id: &JobId) -> Option<FinishedJob> {
+        let tables = self.tables.borrow();
+        let job = tables.jobs.get(id).filter(|job| !job.in_flight)?;
+        Some(FinishedJob { key: job.key.clone(), result: job.result.clone().flatten() })
     }
 
-    /// A job with a mark arrives, under an id that is known of no other: gives the one that it repeats, if that is known.
-    pub fn arrived(&self, id: &JobId, key: Key, reached: Time, unread_for: Span) -> Option<JobId> {
-        let mut table = self.table.borrow_mut();
-        let kept = table.entries.get(&key).filter(|entry| entry.until > reached);
-        let runs = |id: &&JobId| table.jobs.get(*id).is_some_and(|job| !job.shares);
-        let in_hand = || table.in_hand.get(&key).and_then(|ids| ids.iter().find(runs));
-        let prior = kept.map(|entry| &entry.holder).or_else(in_hand).cloned();
-        table.in_hand.entry(key.clone()).or_default().push(id.clone());
-        let marked = Marked {
+    /// Adds a keyed job that arrives under an id that no other one has, and gives the job that it repeats, if that is
+    /// known. A retry may stay unread for `max_unread_time`.
+    pub fn arrived(
+        &self,
+        id: &JobId,
+        key: JobKey,
+        received_at: Time,
+        max_unread_time: Span,
+    ) -> Option<JobId> {
+        let mut tables = self.tables.borrow_mut();
+        let record = tables.records.get(&key).filter(|record| record.expires > received_at);
+        let runs = |id: &&JobId| tables.jobs.get(*id).is_some_and(|job| !job.awaits_original);
+        let in_flight = || tables.in_flight.get(&key).and_then(|ids| ids.iter().find(runs));
+        let original = record.map(|record| &record.id).or_else(in_flight).cloned();
+        tables.in_flight.entry(key.clone()).or_default().push(id.clone());
+        let job = KeyedJob {
             key,
-            unread_for,
-            in_hand: true,
-            shares: false,
-            kept_until: None,
+            max_unread_time,
+            in_flight: true,
+            awaits_original: false,
+            record_expires: None,
             result: None,
             waiting: Vec::new(),
         };
-        table.jobs.insert(id.clone(), marked);
-        prior
-    }
-
-    pub fn remember(&self, id: &JobId, now: Time, span: Span) {
-        let mut table = self.table.borrow_mut();
-        let Some(marked) = table.jobs.get_mut(id).filter(|marked| marked.in_hand) else { return };
-        marked.kept_until = Some(now + span);
-        let key = marked.key.clone();
-        table.entries.insert(key, Entry { holder: id.clone(), until: now + span });
-    }
-
-    pub fn forget(&self, id: &JobId) {
-        let mut table = self.table.borrow_mut();
-        match table.jobs.get_mut(id) {
-            Some(marked) if marked.in_hand => {
-                marked.kept_until = None;
-                let key = marked.key.clone();
-                if table.entries.get(&key).is_some_and(|entry| entry.holder == *id) {
-                    table.entries.remove(&key);
-                }
+        tables.jobs.insert(id.clone(), job);
+        original
+    }
+
+    /// Stores the idempotency record of a job in flight for `lifetime`, in place of an earlier one under its key.
+    pub fn store_record(&self, id: &JobId, now: Time, lifetime: Span) {
+        let mut tables = self.tables.borrow_mut();
+        let Some(job) = tables.jobs.get_mut(id).filter(|job| job.in_flight) else { return };
+        let expires = now + lifetime;
+        job.record_expires = Some(expires);
+        let key = job.key.clone();
+        tables.records.insert(key, Record { id: id.clone(), expires });
+    }
+
+    /// Removes the idempotency record of a job.
+    pub fn remove_record(&self, id: &JobId) {
+        let mut tables = self.tables.borrow_mut();
+        match tables.jobs.get_mut(id) {
+            Some(job) if job.in_flight => {
+                job.record_expires = None;
+                let key = job.key.clone();
+                tables.remove_record(&key, id);
             }
-            _ => table.forget(id),
+            _ => tables.forget(id),
         }
     }
 
-    /// The result that a repeat shares: `None` while it is not there yet, then the repeat waits for it;
-    /// `Some(None)` where there is none to be had.
-    pub fn share(&self, id: &JobId, prior: &JobId) -> Option<Option<Body>> {
-        let mut table = self.table.borrow_mut();
-        if let Some(marked) = table.jobs.get_mut(id) {
-            marked.shares = true;
+    /// The result that a retry is answered with: `None` while the original is in flight, then the retry waits for
+    /// [`ResultCache::finish`]; `Some(None)` if there is none to be had.
+    pub fn await_result(&self, id: &JobId, original: &JobId) -> Option<Option<Body>> {
+        let mut tables = self.tables.borrow_mut();
+        if let Some(job) = tables.jobs.get_mut(id) {
+            job.awaits_original = true;
         }
-        let Some(marked) = table.jobs.get_mut(prior) else { return Some(None) };
-        if marked.result.is_none() && marked.in_hand {
-            marked.waiting.push(id.clone());
+        let Some(job) = tables.jobs.get_mut(original) else { return Some(None) };
+        if job.result.is_none() && job.in_flight {
+            job.waiting.push(id.clone());
             return None;
         }
-        Some(marked.result.clone().flatten())
-    }
-
-    /// A job leaves the hand, with its result if it has one: gives the repeats that wait for it.
-    pub fn done(&self, id: &JobId, now: Time, result: Option<Body>) -> Vec<JobId> {
-        let mut table = self.table.borrow_mut();
-        let Some(marked) = table.jobs.get_mut(id).filter(|marked| marked.in_hand) else { return Vec::new() };
-        let waiting = std::mem::take(&mut marked.waiting);
-        (marked.in_hand, marked.result) = (false, Some(result));
-        let (key, gone_at) = (marked.key.clone(), marked.gone_at());
-        if let Some(ids) = table.in_hand.get_mut(&key) {
-            ids.retain(|in_hand| in_hand != id);
-            if ids.is_empty() {
-                table.in_hand.remove(&key);
-            }
-        }
-        match gone_at {
-            Some(at) => table.keep(id, at),
-            None => table.forget(id),
-        }
-        while let Some((_, id)) = table.gone.first().filter(|(at, _)| *at <= now).cloned() {
-            table.forget(&id);
-        }
-        while let Some((at, id)) =
-            table.with_result.first().filter(|_| table.result_bytes > table.most_bytes).cloned()
-        {
-            table.drop_result(at, &id);
-            if let Some(marked) = table.jobs.get_mut(&id) {
-                marked.result = Some(None);
-            }
+        Some(job.result.clone().flatten())
+    }
+
+    /// Records that a job is over, with its result if it succeeded, and gives the retries that wait for it.
+    pub fn finish(&self, id: &JobId, now: Time, result: Option<Body>) -> Vec<JobId> {
+        let mut tables = self.tables.borrow_mut();
+        let Some(job) = tables.jobs.get_mut(id).filter(|job| job.in_flight) else { return Vec::new() };
+        let waiting = std::mem::take(&mut job.waiting);
+        job.in_flight = false;
+        job.result = Some(result);
+        let key = job.key.clone();
+        let forgotten_at = job.forgotten_at();
+        tables.remove_in_flight(&key, id);
+        match forgotten_at {
+            Some(at) => tables.add_finished(id, at),
+            None => tables.forget(id),
         }
+        tables.forget_expired(now);
+        tables.drop_excess_results();
         waiting
     }
 }
--- /dev/null
+++ b/crates/hazelgrade-server/src/transport/clients/reader.rs
@@ -0,0 +1,124 @@
+//! The reader of one connection: message after message, and the one way in which a connection is closed from this side.
+
+use super::connection::{ClientConnection, MAX_OPEN_CALLS};
+use async_io::{Async, Timer};
+use futures_lite::future::{or, yield_now};
+use futures_lite::io::{AsyncBufReadExt, AsyncRead, BufReader};
+use hazelgrade_net::connection_end::ConnectionEnd;
+use hazelgrade_net::lines::read_line;
+use std::net::{Shutdown, TcpStream};
+use std::time::{Duration, Instant};
+
+const READ_BUFFER_BYTES: usize = 4096;
+/// With more messages than this waiting beside the answers to open calls, a connection is not read until its peer takes
+/// what it was sent.
+const MAX_EXTRA_PENDING_MESSAGES: usize = 64;
+/// The pause between two messages of a connection that is read slowly: its peer may retry at once, and reading it would
+/// keep others waiting.
+const THROTTLE_PAUSE: Duration = Duration::from_millis(25);
+/// How long a connection is still read after its half-close, so that its peer receives what it was sent: closing a socket
+/// with unread bytes resets it.
+const LINGER: Duration = Duration::from_millis(300);
+/// How many bytes are read then; a peer that sends more is reset.
+const LINGER_BYTES: usize = 128 * 1024;
+
+impl<T: Clone + PartialEq> ClientConnection<T> {
+    /// Reads messages of at most `max_line_bytes` and passes each to `on_line`, until the connection ends or is to be
+    /// closed. A peer that is to be told why is sent what `closing_line` gives.
+    pub(super) async fn read(
+        &self,
+        source: impl AsyncRead + Unpin,
+        socket: &Async<TcpStream>,
+        max_line_bytes: usize,
+        on_line: impl AsyncFn(&[u8]),
+        closing_line: impl Fn(ConnectionEnd) -> Option<String>,
+    ) -> ConnectionEnd {
+        let mut source = BufReader::with_capacity(READ_BUFFER_BYTES, source);
+        let end = self.read_messages(&mut source, max_line_bytes, on_line).await;
+        if end == ConnectionEnd::Reset {
+            return end;
+        }
+        self.message_started.set(None);
+        if let Some(line) = closing_line(end) {
+            self.send(&line);
+        }
+        self.finish_calls(end).await;
+        let _ = socket.get_ref().shutdown(Shutdown::Write);
+        self.half_closed.set(true);
+        self.reader_waits.set(true);
+        self.linger(&mut source).await;
+        end
+    }
+
+    async fn read_messages(
+        &self,
+        source: &mut BufReader<impl AsyncRead + Unpin>,
+        max_line_bytes: usize,
+        on_line: impl AsyncFn(&[u8]),
+    ) -> ConnectionEnd {
+        let mut line = Vec::new();
+        loop {
+            if self.write_queue.pending() > MAX_OPEN_CALLS + MAX_EXTRA_PENDING_MESSAGES {
+                self.write_queue.flushed().await;
+            }
+            if self.is_throttled() {
+                Timer::after(THROTTLE_PAUSE).await;
+            }
+            let message = self.read_message(source, &mut line, max_line_bytes);
+            let read = or(message, self.close_requested()).await;
+            self.reader_waits.set(false);
+            if let Err(end) = read {
+                return end;
+            }
+            self.message_started.set(None);
+            self.close_reason.set(None);
+            on_line(&line).await;
+            if self.has_too_many_violations() {
+                return ConnectionEnd::ProtocolViolation;
+            }
+            // A connection that always has more to read lets the other tasks run.
+            yield_now().await;
+        }
+    }
+
+    /// Reads one message. It may take its time to begin, but not to end.
+    async fn read_message(
+        &self,
+        source: &mut BufReader<impl AsyncRead + Unpin>,
+        line: &mut Vec<u8>,
+        max_line_bytes: usize,
+    ) -> Result<(), ConnectionEnd> {
+        let available = source.fill_buf().await.map_err(|error| ConnectionEnd::from_io_error(&error))?;
+        if !available.is_empty() {
+            self.message_started.set(Some(self.message_started.get().unwrap_or_else(Instant::now)));
+        }
+        read_line(source, line, max_line_bytes).await
+    }
+
+    /// Waits until every open call is answered and every answer is handed to the system. The calls of an untrusted peer
+    /// that broke the protocol are not waited for.
+    async fn finish_calls(&self, end: ConnectionEnd) {
+        let broke_protocol = matches!(end, ConnectionEnd::TooLong | ConnectionEnd::ProtocolViolation);
+        while self.has_open_calls() && (!broke_protocol || self.is_trusted()) {
+            self.calls_changed.notified().await;
+        }
+        self.write_queue.flushed().await;
+    }
+
+    /// After the half-close: reads and drops what the peer still sends, until it closes, sends too much, takes too long,
+    /// or there is no room for further connections.
+    async fn linger(&self, source: &mut BufReader<impl AsyncRead + Unpin>) {
+        let drop_rest = async {
+            let mut bytes_left = LINGER_BYTES;
+            while matches!(source.fill_buf().await, Ok(bytes) if !bytes.is_empty()) && bytes_left > 0 {
+                let count = source.buffer().len();
+                bytes_left = bytes_left.saturating_sub(count);
+                source.consume(count);
+            }
+        };
+        let timeout = async {
+            Timer::after(LINGER).await;
+        };
+        or(drop_rest, or(timeout, self.linger_aborted.notified())).await;
+    }
+}
--- /dev/null
+++ b/crates/hazelgrade-server/src/transport/clients/table.rs
@@ -0,0 +1,145 @@
+//! All connections of clients.
+
+use super::connection::ClientConnection;
+use super::eviction::evict_idle;
+use async_executor::LocalExecutor;
+use async_io::Timer;
+use futures_lite::future::or;
+use hazelgrade_net::connection_end::ConnectionEnd;
+use hazelgrade_net::stream::SplitStream;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// How often time limits are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// How long a peer may take none of what it is sent; after that its connection is dropped.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// A connection that was used within this time may have a message on the way that crosses its close.
+const MIN_IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(50);
+
+/// All connections of clients; `T` is what is known of an open call.
+pub struct ClientConnections<T> {
+    connections: RefCell<BTreeMap<u64, Rc<ClientConnection<T>>>>,
+    last_number: Cell<u64>,
+    /// Accepted, and not in the table yet.
+    accepting: Cell<usize>,
+    /// Connections that may be open at once.
+    pub max_connections: usize,
+    /// What each new connection is sent first.
+    greeting: RefCell<Option<String>>,
+    /// Connections closed because the peer broke the protocol or a time limit, since the start.
+    pub closed_for_violation: Cell<u64>,
+}
+
+impl<T: Clone + PartialEq> ClientConnections<T> {
+    /// No connection yet, and room for `max_connections`.
+    pub fn new(max_connections: usize) -> ClientConnections<T> {
+        ClientConnections {
+            connections: RefCell::default(),
+            last_number: Cell::new(0),
+            accepting: Cell::new(0),
+            max_connections,
+            greeting: RefCell::default(),
+            closed_for_violation: Cell::new(0),
+        }
+    }
+
+    /// The number of connections, counted from their accept.
+    pub fn count(&self) -> usize {
+        self.connections.borrow().len() + self.accepting.get()
+    }
+
+    /// Counts a connection that was accepted; [`ClientConnections::serve`] or [`ClientConnections::accept_done`] follows.
+    pub fn accepted(&self) {
+        self.accepting.set(self.accepting.get() + 1);
+    }
+
+    /// An accepted connection is in the table now, or has ended before that.
+    pub fn accept_done(&self) {
+        self.accepting.set(self.accepting.get().saturating_sub(1));
+    }
+
+    /// Sends a message to all clients, and to each that connects from now on.
+    pub fn broadcast(&self, message: &str) {
+        *self.greeting.borrow_mut() = Some(message.into());
+        self.connections.borrow().values().for_each(|connection| connection.send(message));
+    }
+
+    /// Whether nothing is outstanding on any connection.
+    pub fn all_idle(&self) -> bool {
+        let connections = self.connections.borrow();
+        self.accepting.get() == 0 && connections.values().all(|connection| connection.is_idle())
+    }
+
+    /// Closes all idle connections, whose peers were told that the instance drains. One that was just opened may have its
+    /// message on the way.
+    pub fn close_idle(&self) {
+        for connection in self.connections.borrow().values() {
+            if connection.idle_for() >= MIN_IDLE_BEFORE_CLOSE && connection.can_close() {
+                connection.request_close(ConnectionEnd::Idle);
+            }
+        }
+    }
+
+    /// Closes connections past a time limit, for good.
+    pub async fn enforce_timeouts(&self) {
+        loop {
+            Timer::after(CHECK_INTERVAL).await;
+            for connection in self.connections.borrow().values() {
+                if connection.write_queue.blocked_for() >= WRITE_TIMEOUT {
+                    connection.write_stalled.notify();
+                } else if let Some(end) = connection.expired_timeout().filter(|_| connection.can_close()) {
+                    connection.request_close(end);
+                }
+            }
+        }
+    }
+
+    /// Closes some idle connections to make room for another one.
+    pub fn make_room(&self) {
+        let connections: Vec<_> = self.connections.borrow().values().cloned().collect();
+        evict_idle(&connections, self.accepting.get());
+    }
+
+    /// Serves a connection that was counted as accepted until it ends; gives why it ended and the calls that were open.
+    /// `closing_line` gives the line that a peer is sent before its connection is closed from this side.
+    pub async fn serve(
+        &self,
+        tasks: &LocalExecutor<'static>,
+        stream: SplitStream,
+        max_line_bytes: usize,
+        on_line: impl AsyncFn(&Rc<ClientConnection<T>>, &[u8]),
+        closing_line: impl Fn(ConnectionEnd) -> Option<String>,
+    ) -> (ConnectionEnd, Vec<T>) {
+        let SplitStream { reader, writer, socket } = stream;
+        let _ = socket.get_ref().set_nodelay(true);
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
+        let connection = Rc::new(ClientConnection::new());
+        if let Some(greeting) = &*self.greeting.borrow() {
+            connection.send(greeting);
+        }
+        self.connections.borrow_mut().insert(number, connection.clone());
+        self.accept_done();
+        // A peer that takes nothing can't be told that its connection is closed.
+        let stalled = async {
+            connection.write_stalled.notified().await;
+            ConnectionEnd::TimedOut
+        };
+        let on_line = async |line: &[u8]| on_line(&connection, line).await;
+        let read = connection.read(reader, &socket, max_line_bytes, on_line, &closing_line);
+        let write = connection.write_queue.clone().spawn_writer_to(tasks, writer);
+        let end = or(or(stalled, read), write).await;
+        let broke_limits = matches!(
+            end,
+            ConnectionEnd::TimedOut | ConnectionEnd::TooLong | ConnectionEnd::ProtocolViolation
+        );
+        if broke_limits {
+            self.closed_for_violation.set(self.closed_for_violation.get() + 1);
+        }
+        self.connections.borrow_mut().remove(&number);
+        (end, connection.take_open_calls())
+    }
+}
--- a/crates/hazelgrade-server/src/transport/database.rs
+++ b/crates/hazelgrade-server/src/transport/database.rs
@@ -1,184 +1,223 @@
-//! Connections to what lies below: a small set, opened as calls need them. Calls spread over them, so that one
-//! that breaks or can't be read takes few calls with it, as a rule one. Whose calls they are is known above.
+//! Connections to the database: a small set, opened as calls need them. Calls are spread over them, so that a connection
+//! that breaks or can't be decoded loses few calls, as a rule one. Whose calls they are is not known here.
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use futures_lite::future::{or, poll_once};
 use futures_lite::io::{AsyncBufRead, AsyncBufReadExt, BufReader};
-use hazelgrade_net::bell::Bell;
 use hazelgrade_net::connect::connect;
-use hazelgrade_net::ending::ConnectionEnd;
+use hazelgrade_net::connection_end::ConnectionEnd;
 use hazelgrade_net::lines::{read_body, read_line};
-use hazelgrade_net::outbox::Outbox;
+use hazelgrade_net::notify::Notify;
+use hazelgrade_net::write_queue::WriteQueue;
 use std::cell::{Cell, RefCell};
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Connections at most, those counted in that take no calls any more but still carry some: past this the oldest of these
+/// Connections at most, including those that take no further calls but still carry some: past this the oldest of these
 /// is closed. Half of them take calls: as many calls as that have one each; more share them.
-pub const MOST: usize = 32;
+pub const MAX_CONNECTIONS: usize = 32;
 /// Room for the calls of all jobs at 4 KiB each.
-const OUTBOX_BYTES: usize = 1024 * 1024;
-/// A reply that has begun is there by then, or never: peers write replies whole.
-const REPLY_WITHIN: Duration = Duration::from_millis(250);
+const WRITE_QUEUE_BYTES: usize = 1024 * 1024;
+/// How long a reply may take from its first byte to its last: the database writes replies whole.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What is heard on the connections, by their numbers.
-pub trait Hears {
+/// Handles what comes on the connections, which are told apart by their numbers.
+pub trait ReplyHandler {
+    /// The first line of a reply, decoded.
     type Head;
-    /// Decodes the line of a reply and gives the length of its body.
-    fn head(&self, line: &[u8]) -> Result<(Self::Head, Option<usize>), ConnectionEnd>;
+    /// Decodes the first line of a reply; an error ends the connection.
+    fn decode_head(&self, line: &[u8]) -> Result<Self::Head, ConnectionEnd>;
+    /// The length in bytes of the body that follows, if one does.
+    fn body_length(&self, head: &Self::Head) -> Option<usize>;
+    /// Takes a reply; `body` is empty where there is none.
     fn reply(&self, connection: u64, head: Self::Head, body: Vec<u8>);
+    /// The connection has ended, or could not be opened.
     fn ended(&self, connection: u64, end: ConnectionEnd);
 }
 
 struct Connection {
-    outbox: Rc<Outbox>,
-    /// Calls on it that are not over.
-    calls: Cell<usize>,
-    used: Cell<Instant>,
+    write_queue: Rc<WriteQueue>,
+    calls_in_flight: Cell<usize>,
+    last_used: Cell<Instant>,
     /// It takes no new calls, and is closed when those on it are over.
     retired: Cell<bool>,
-    /// Rung when the last call on it is over, or when it is to end now.
-    quiet: Bell,
+    /// The last call on it is over, or it is to be closed now.
+    check_idle: Notify,
 }
 
+impl Connection {
+    fn new() -> Connection {
+        Connection {
+            write_queue: Rc::new(WriteQueue::new(WRITE_QUEUE_BYTES)),
+            calls_in_flight: Cell::new(0),
+            last_used: Cell::new(Instant::now()),
+            retired: Cell::new(false),
+            check_idle: Notify::default(),
+        }
+    }
+}
+
+/// All connections to the database.
 pub struct Database {
     address: Cell<SocketAddr>,
-    most: usize,
-    /// After so long with no call a connection is closed: the peer would close or forget it, and a call that
-    /// crossed that is lost.
-    idle: Duration,
+    max_connections: usize,
+    /// After so long without a call a connection is closed: the database would close or forget it, and a call that
+    /// crosses that is lost.
+    idle_timeout: Duration,
     connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
-    numbers: Cell<u64>,
+    last_number: Cell<u64>,
 }
 
 impl Database {
-    pub fn new(address: SocketAddr, most: usize, idle: Duration) -> Database {
-        let (address, numbers) = (Cell::new(address), Cell::new(0));
-        Database { address, most, idle, connections: RefCell::default(), numbers }
+    /// No connection yet; `max_connections` at most, each closed after `idle_timeout` without a call.
+    pub fn new(address: SocketAddr, max_connections: usize, idle_timeout: Duration) -> Database {
+        Database {
+            address: Cell::new(address),
+            max_connections,
+            idle_timeout,
+            connections: RefCell::default(),
+            last_number: Cell::new(0),
+        }
     }
 
-    /// New calls go to this address; those under way may finish where they are.
-    pub fn move_to(&self, address: SocketAddr) {
+    /// New calls go to this address; those in flight may finish where they are.
+    pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             let numbers: Vec<u64> = self.connections.borrow().keys().copied().collect();
             numbers.into_iter().for_each(|number| self.retire(number));
         }
     }
 
-    /// Sends a call on a connection that is none of `avoided`, and gives its number. What can't be handed to the system before
-    /// `by` is not sent.
-    pub fn call<T: Hears + 'static>(
+    /// Sends a call on a connection that is none of `excluded`, and gives its number. A call that can't be handed to the
+    /// system before `expires_at` is not sent.
+    pub fn call<T: ReplyHandler + 'static>(
         self: &Rc<Self>,
         tasks: &Rc<LocalExecutor<'static>>,
-        hears: &Rc<T>,
+        handler: &Rc<T>,
         message: &[u8],
-        avoided: &[u64],
-        by: Option<Instant>,
+        excluded: &[u64],
+        expires_at: Option<Instant>,
     ) -> u64 {
-        let (number, connection) = match self.choose(avoided) {
+        let (number, connection) = match self.choose(excluded) {
             Some(chosen) => chosen,
-            None => self.open(tasks, hears),
+            None => self.open(tasks, handler),
         };
-        connection.used.set(Instant::now());
-        connection.calls.set(connection.calls.get() + 1);
-        connection.outbox.put_by(message, by);
+        connection.last_used.set(Instant::now());
+        connection.calls_in_flight.set(connection.calls_in_flight.get() + 1);
+        connection.write_queue.push_with_expiry(message, expires_at);
         number
     }
 
-    /// The one with the fewest calls, among these the one used last; none if another is better opened.
-    fn choose(&self, avoided: &[u64]) -> Option<(u64, Rc<Connection>)> {
+    /// The connection with the fewest calls, among these the one used last; `None` if a new one is to be opened.
+    fn choose(&self, excluded: &[u64]) -> Option<(u64, Rc<Connection>)> {
         let connections = self.connections.borrow();
         let open = || connections.iter().filter(|(_, connection)| !connection.retired.get());
-        let fits = open().filter(|(number, connection)| {
-            let lain = connection.calls.get() == 0 && connection.used.get().elapsed() >= self.idle;
-            !lain && !avoided.contains(number)
+        let usable = open().filter(|(number, connection)| {
+            let has_calls = connection.calls_in_flight.get() > 0;
+            let is_fresh = has_calls || connection.last_used.get().elapsed() < self.idle_timeout;
+            is_fresh && !excluded.contains(number)
         });
-        let best = fits
-            .min_by_key(|(_, connection)| (connection.calls.get(), std::cmp::Reverse(connection.used.get())));
-        let (number, connection) = best?;
-        let all_busy = connection.calls.get() > 0 && open().count() < self.most.div_ceil(2);
-        (!all_busy).then(|| (*number, connection.clone()))
+        let (number, connection) = usable.min_by_key(|(_, connection)| {
+            (connection.calls_in_flight.get(), Reverse(connection.last_used.get()))
+        })?;
+        let is_busy = connection.calls_in_flight.get() > 0;
+        let may_open = open().count() < self.max_connections.div_ceil(2);
+        if is_busy && may_open { None } else { Some((*number, connection.clone())) }
     }
 
-    fn open<T: Hears + 'static>(
+    fn open<T: ReplyHandler + 'static>(
         self: &Rc<Self>,
         tasks: &Rc<LocalExecutor<'static>>,
-        hears: &Rc<T>,
+        handler: &Rc<T>,
     ) -> (u64, Rc<Connection>) {
-        let number = self.numbers.get() + 1;
-        self.numbers.set(number);
-        let connection = Rc::new(Connection {
-            outbox: Rc::new(Outbox::new(OUTBOX_BYTES)),
-            calls: Cell::new(0),
-            used: Cell::new(Instant::now()),
-            retired: Cell::new(false),
-            quiet: Bell::default(),
-        });
-        let mut connections = self.connections.borrow_mut();
-        if connections.len() >= self.most
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
+        let connection = Rc::new(Connection::new());
+        self.close_oldest_retired_if_full();
+        self.connections.borrow_mut().insert(number, connection.clone());
+        let run = Connection::run(
+            connection.clone(),
+            self.clone(),
+            tasks.clone(),
+            handler.clone(),
+            number,
+            self.address.get(),
+        );
+        tasks.spawn(run).detach();
+        (number, connection)
+    }
+
+    fn close_oldest_retired_if_full(&self) {
+        let connections = self.connections.borrow();
+        if connections.len() >= self.max_connections
             && let Some(oldest) = connections.values().find(|connection| connection.retired.get())
         {
-            oldest.calls.set(0);
-            oldest.quiet.ring();
+            oldest.calls_in_flight.set(0);
+            oldest.check_idle.notify();
         }
-        connections.insert(number, connection.clone());
-        drop(connections);
-        let (database, hears, held) = (self.clone(), hears.clone(), connection.clone());
-        let (tasks_too, address) = (tasks.clone(), self.address.get());
-        let hold = async move {
-            let end = held.hold(&tasks_too, address, database.idle, number, &*hears).await;
-            database.connections.borrow_mut().remove(&number);
-            hears.ended(number, end);
-        };
-        tasks.spawn(hold).detach();
-        (number, connection)
     }
 
     /// A call on this connection is over.
-    pub fn over(&self, number: u64) {
+    pub fn call_ended(&self, number: u64) {
         if let Some(connection) = self.connections.borrow().get(&number) {
-            connection.calls.set(connection.calls.get().saturating_sub(1));
-            connection.used.set(Instant::now());
-            if connection.calls.get() == 0 && connection.retired.get() {
-                connection.quiet.ring();
+            connection.calls_in_flight.set(connection.calls_in_flight.get().saturating_sub(1));
+            connection.last_used.set(Instant::now());
+            if connection.calls_in_flight.get() == 0 && connection.retired.get() {
+                connection.check_idle.notify();
             }
         }
     }
 
-    /// Takes no calls any more: the peer was silent on it, or has moved.
+    /// Sends no further calls on this connection: the database was silent on it, or has moved.
     pub fn retire(&self, number: u64) {
         if let Some(connection) = self.connections.borrow().get(&number) {
             connection.retired.set(true);
-            if connection.calls.get() == 0 {
-                connection.quiet.ring();
+            if connection.calls_in_flight.get() == 0 {
+                connection.check_idle.notify();
             }
         }
     }
 
-    /// Sends a message on a connection, if that stands.
+    /// Sends a message on a connection, if there still is one under this number.
     pub fn send(&self, number: u64, message: &[u8]) {
         if let Some(connection) = self.connections.borrow().get(&number) {
-            connection.outbox.put(message);
+            connection.write_queue.push(message);
         }
     }
 
+    /// The number of connections, those counted that are being opened.
     pub fn count(&self) -> usize {
         self.connections.borrow().len()
     }
 }
 
 impl Connection {
-    async fn hold<T: Hears>(
+    /// Serves the connection until it ends, removes it, and reports the end.
+    async fn run<T: ReplyHandler>(
+        self: Rc<Self>,
+        database: Rc<Database>,
+        tasks: Rc<LocalExecutor<'static>>,
+        handler: Rc<T>,
+        number: u64,
+        address: SocketAddr,
+    ) {
+        let end = self.serve(&tasks, address, database.idle_timeout, number, &*handler).await;
+        database.connections.borrow_mut().remove(&number);
+        handler.ended(number, end);
+    }
+
+    async fn serve<T: ReplyHandler>(
         &self,
         tasks: &LocalExecutor<'static>,
         address: SocketAddr,
-        idle: Duration,
+        idle_timeout: Duration,
         number: u64,
-        hears: &T,
+        handler: &T,
     ) -> ConnectionEnd {
         let stream = match connect(address).await {
             Ok(stream) => Rc::new(stream),
@@ -187,60 +226,68 @@
         let read = async {
             let mut source = BufReader::new(&*stream);
             loop {
-                match read_reply(&mut source, hears).await {
-                    Ok((head, body)) => hears.reply(number, head, body),
+                match read_reply(&mut source, handler).await {
+                    Ok((head, body)) => handler.reply(number, head, body),
                     Err(end) => break end,
                 }
             }
         };
-        let needless = async {
-            loop {
-                let late = async {
-                    Timer::after(idle).await;
-                };
-                or(self.quiet.heard(), late).await;
-                let lain = self.retired.get() || self.used.get().elapsed() >= idle;
-                if self.calls.get() == 0 && lain {
-                    break ConnectionEnd::Idle;
-                }
+        let write = self.write_queue.clone().spawn_writer(tasks, stream.clone());
+        let end = or(or(read, self.idle(idle_timeout)), write).await;
+        self.classify_end(end)
+    }
+
+    /// Waits until the connection is not needed any more.
+    async fn idle(&self, idle_timeout: Duration) -> ConnectionEnd {
+        loop {
+            let timeout = async {
+                Timer::after(idle_timeout).await;
+            };
+            or(self.check_idle.notified(), timeout).await;
+            let is_unneeded = self.retired.get() || self.last_used.get().elapsed() >= idle_timeout;
+            if self.calls_in_flight.get() == 0 && is_unneeded {
+                return ConnectionEnd::Idle;
             }
-        };
-        let end = or(or(read, needless), self.outbox.clone().writer(tasks, stream.clone())).await;
-        // What was never handed to the system can't have had an effect.
-        let sent_none = self.outbox.unwritten() > 0 && self.outbox.unwritten() >= self.calls.get();
+        }
+    }
+
+    /// Calls of which none was handed to the system can't have had an effect.
+    fn classify_end(&self, end: ConnectionEnd) -> ConnectionEnd {
+        let pending = self.write_queue.pending();
+        let sent_none = pending > 0 && pending >= self.calls_in_flight.get();
         match end {
             ConnectionEnd::Idle => end,
             _ if sent_none => ConnectionEnd::Unsent,
-            // Some were too late to be sent, but not all that were on it.
-            ConnectionEnd::Unsent => ConnectionEnd::CutShort,
+            // Some calls expired unsent, but not all that were on it.
+            ConnectionEnd::Unsent => ConnectionEnd::Truncated,
             _ => end,
         }
     }
 }
 
 /// Reads one reply. It may take its time to begin, but not to end.
-async fn read_reply<T: Hears>(
+async fn read_reply<T: ReplyHandler>(
     source: &mut (impl AsyncBufRead + Unpin),
-    hears: &T,
+    handler: &T,
 ) -> Result<(T::Head, Vec<u8>), ConnectionEnd> {
-    source.fill_buf().await.map_err(|error| ConnectionEnd::of(&error))?;
-    let mut whole = pin!(async {
+    source.fill_buf().await.map_err(|error| ConnectionEnd::from_io_error(&error))?;
+    let mut reply = pin!(async {
         let mut line = Vec::new();
         read_line(source, &mut line, crate::protocol::database::LONGEST_LINE).await?;
-        let (head, length) = hears.head(&line)?;
-        let body = match length {
+        let head = handler.decode_head(&line)?;
+        let body = match handler.body_length(&head) {
             Some(length) => read_body(source, length).await?,
             None => Vec::new(),
         };
         Ok((head, body))
     });
-    // Nearly always all of it is there.
-    if let Some(reply) = poll_once(&mut whole).await {
+    // Nearly always all of it is there, and no timer is needed.
+    if let Some(reply) = poll_once(&mut reply).await {
         return reply;
     }
-    let late = async {
-        Timer::after(REPLY_WITHIN).await;
-        Err(ConnectionEnd::Slow)
+    let timeout = async {
+        Timer::after(REPLY_TIMEOUT).await;
+        Err(ConnectionEnd::TimedOut)
     };
-    or(whole, late).await
+    or(reply, timeout).await
 }
--- a/crates/hazelgrade-server/src/transport/executor.rs
+++ b/crates/hazelgrade-server/src/transport/executor.rs
@@ -1,147 +1,179 @@
-//! The link to the executor: held open, and opened anew when it ends.
+//! The link to the executor: one connection, opened again whenever it ends.
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::future::or;
 use futures_lite::io::BufReader;
-use hazelgrade_net::bell::Bell;
 use hazelgrade_net::connect::connect;
-use hazelgrade_net::ending::ConnectionEnd;
+use hazelgrade_net::connection_end::ConnectionEnd;
 use hazelgrade_net::lines::read_line;
-use hazelgrade_net::outbox::Outbox;
+use hazelgrade_net::notify::Notify;
+use hazelgrade_net::write_queue::WriteQueue;
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const OUTBOX_BYTES: usize = 4 * 1024 * 1024;
-const AGAIN_AFTER: Duration = Duration::from_millis(20);
-/// When the executor has moved, the old link is left once it has said that it got all that was sent there, or
-/// after this long: it stays open for longer.
-const PART_WITHIN: Duration = Duration::from_millis(200);
+const WRITE_QUEUE_BYTES: usize = 4 * 1024 * 1024;
+/// The pause before the link is opened again.
+const RECONNECT_DELAY: Duration = Duration::from_millis(20);
+/// When the executor has moved, the old link is left once the executor has confirmed all that was sent on it, or after
+/// this time; the executor keeps it open for longer.
+const OLD_LINK_TIMEOUT: Duration = Duration::from_millis(200);
+/// A link that has been up is broken if nothing comes for so long after something was sent. A new one replaces it, and the
+/// runs go on.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A link that has been up and is asked, but says nothing for so long, is broken without a word: a new one replaces
-/// it, and the runs go on.
-const SILENT_FOR: Duration = Duration::from_secs(2);
-
-/// What is said and heard on the link.
-pub trait LinkEnds {
-    /// The first line on each new one.
-    fn hello(&self) -> String;
-    /// The last line on one that is left for another address.
-    fn parting(&self) -> String;
-    /// Takes a line; it may end the link.
+/// What is sent and received on the link.
+pub trait LinkHandler {
+    /// The first line on each new link.
+    fn first_line(&self) -> String;
+    /// The last line on a link that is left for another address.
+    fn last_line(&self) -> String;
+    /// Handles a line; an error ends the link.
     fn line(&self, line: &[u8]) -> Result<(), ConnectionEnd>;
+    /// The link has ended, or could not be opened.
     fn ended(&self, end: ConnectionEnd);
 }
 
-pub struct Link {
+/// The link to the executor.
+pub struct ExecutorLink {
     address: Cell<SocketAddr>,
-    outbox: RefCell<Option<Rc<Outbox>>>,
-    moved: Bell,
-    parted: Bell,
-    /// Since when something that was sent has waited for any word, on a link that is up.
-    unanswered: Cell<Option<Instant>>,
+    /// Where lines go while there is a link.
+    write_queue: RefCell<Option<Rc<WriteQueue>>>,
+    address_changed: Notify,
+    old_link_done: Notify,
+    /// Since when something that was sent has been without any answer.
+    unanswered_since: Cell<Option<Instant>>,
 }
 
-impl Link {
-    pub fn new(address: SocketAddr) -> Link {
-        Link {
+impl ExecutorLink {
+    /// A link to this address, which [`ExecutorLink::run`] opens.
+    pub fn new(address: SocketAddr) -> ExecutorLink {
+        ExecutorLink {
             address: Cell::new(address),
-            outbox: RefCell::default(),
-            moved: Bell::default(),
-            parted: Bell::default(),
-            unanswered: Cell::new(None),
+            write_queue: RefCell::default(),
+            address_changed: Notify::default(),
+            old_link_done: Notify::default(),
+            unanswered_since: Cell::new(None),
         }
     }
 
-    /// The executor is at another address from now on: the link there replaces this one.
-    pub fn move_to(&self, address: SocketAddr) {
+    /// Replaces the link by one to another address.
+    pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
-            self.moved.ring();
+            self.address_changed.notify();
         }
     }
 
-    /// It stands, as far as is known.
+    /// Whether there is a link, as far as is known.
     pub fn is_up(&self) -> bool {
-        self.outbox.borrow().is_some()
+        self.write_queue.borrow().is_some()
     }
 
-    /// All that was sent on the old link has arrived.
-    pub fn part(&self) {
-        self.parted.ring();
+    /// The executor has confirmed all that was sent on the link that is left.
+    pub fn old_link_done(&self) {
+        self.old_link_done.notify();
     }
 
-    /// Sends a line, if the link stands; else it is dropped, and whoever sent it says so again later.
+    /// Queues a line. While there is no link it is dropped, and whoever sent it sends it again later.
     pub fn send(&self, line: &str) {
-        if let Some(outbox) = &*self.outbox.borrow() {
-            outbox.put(line.as_bytes());
-            self.unanswered.set(Some(self.unanswered.get().unwrap_or_else(Instant::now)));
+        if let Some(write_queue) = &*self.write_queue.borrow() {
+            write_queue.push(line.as_bytes());
+            self.unanswered_since.set(Some(self.unanswered_since.get().unwrap_or_else(Instant::now)));
         }
     }
 
-    /// Holds the link for good.
-    pub async fn keep(&self, tasks: &LocalExecutor<'static>, longest: usize, ends: &impl LinkEnds) {
+    /// Keeps the link open for good. Lines have at most `max_line_bytes`.
+    pub async fn run(
+        &self,
+        tasks: &LocalExecutor<'static>,
+        max_line_bytes: usize,
+        handler: &impl LinkHandler,
+    ) {
         loop {
             let address = self.address.get();
             let end = match connect(address).await {
-                Ok(stream) => self.hold(tasks, address, Rc::new(stream), longest, ends).await,
+                Ok(stream) => {
+                    self.run_connection(tasks, address, Rc::new(stream), max_line_bytes, handler).await
+                }
                 Err(_) => ConnectionEnd::Unreachable,
             };
-            *self.outbox.borrow_mut() = None;
-            ends.ended(end);
+            *self.write_queue.borrow_mut() = None;
+            handler.ended(end);
             if self.address.get() == address {
-                Timer::after(AGAIN_AFTER).await;
+                Timer::after(RECONNECT_DELAY).await;
             }
         }
     }
 
-    async fn hold(
+    async fn run_connection(
         &self,
         tasks: &LocalExecutor<'static>,
         address: SocketAddr,
         stream: Rc<Async<TcpStream>>,
-        longest: usize,
-        ends: &impl LinkEnds,
+        max_line_bytes: usize,
+        handler: &impl LinkHandler,
     ) -> ConnectionEnd {
-        let outbox = Rc::new(Outbox::new(OUTBOX_BYTES));
-        outbox.put(ends.hello().as_bytes());
-        *self.outbox.borrow_mut() = Some(outbox.clone());
-        let up = Cell::new(false);
-        let read = async {
-            let (mut source, mut line) = (BufReader::new(&*stream), Vec::new());
-            loop {
-                if let Err(end) = read_line(&mut source, &mut line, longest).await {
-                    break end;
-                }
-                up.set(true);
-                self.unanswered.set(None);
-                if let Err(end) = ends.line(&line) {
-                    break end;
-                }
+        let write_queue = Rc::new(WriteQueue::new(WRITE_QUEUE_BYTES));
+        write_queue.push(handler.first_line().as_bytes());
+        *self.write_queue.borrow_mut() = Some(write_queue.clone());
+        let was_up = Cell::new(false);
+        let read = self.read_lines(&stream, max_line_bytes, handler, &was_up);
+        let left = self.leave_for_new_address(address, &write_queue, handler);
+        let silent = self.detect_silence(&was_up);
+        let write = write_queue.clone().spawn_writer(tasks, stream.clone());
+        or(or(or(read, left), silent), write).await
+    }
+
+    async fn read_lines(
+        &self,
+        stream: &Async<TcpStream>,
+        max_line_bytes: usize,
+        handler: &impl LinkHandler,
+        was_up: &Cell<bool>,
+    ) -> ConnectionEnd {
+        let mut source = BufReader::new(stream);
+        let mut line = Vec::new();
+        loop {
+            if let Err(end) = read_line(&mut source, &mut line, max_line_bytes).await {
+                return end;
             }
-        };
-        let moved = async {
-            while self.address.get() == address {
-                self.moved.heard().await;
+            was_up.set(true);
+            self.unanswered_since.set(None);
+            if let Err(end) = handler.line(&line) {
+                return end;
             }
-            // What is sent from here on waits for the new link, so that nothing has to be sent twice.
-            *self.outbox.borrow_mut() = None;
-            outbox.put(ends.parting().as_bytes());
-            let late = async {
-                Timer::after(PART_WITHIN).await;
-            };
-            or(self.parted.heard(), late).await;
-            ConnectionEnd::Moved
+        }
+    }
+
+    /// Waits until the executor has another address, and then for the end of what was sent on this link.
+    async fn leave_for_new_address(
+        &self,
+        address: SocketAddr,
+        write_queue: &WriteQueue,
+        handler: &impl LinkHandler,
+    ) -> ConnectionEnd {
+        while self.address.get() == address {
+            self.address_changed.notified().await;
+        }
+        // What is sent from here on waits for the new link, so that nothing has to be sent twice.
+        *self.write_queue.borrow_mut() = None;
+        write_queue.push(handler.last_line().as_bytes());
+        let timeout = async {
+            Timer::after(OLD_LINK_TIMEOUT).await;
         };
-        let silent = async {
-            loop {
-                Timer::after(SILENT_FOR / 4).await;
-                if up.get() && self.unanswered.get().is_some_and(|since| since.elapsed() >= SILENT_FOR) {
-                    break ConnectionEnd::Slow;
-                }
+        or(self.old_link_done.notified(), timeout).await;
+        ConnectionEnd::Moved
+    }
+
+    async fn detect_silence(&self, was_up: &Cell<bool>) -> ConnectionEnd {
+        let is_silent = |since: Instant| since.elapsed() >= SILENCE_TIMEOUT;
+        loop {
+            Timer::after(SILENCE_TIMEOUT / 4).await;
+            if was_up.get() && self.unanswered_since.get().is_some_and(is_silent) {
+                return ConnectionEnd::TimedOut;
             }
-        };
-        or(or(or(read, moved), silent), outbox.clone().writer(tasks, stream.clone())).await
+        }
     }
 }
--- a/crates/hazelgrade-server/src/transport/listener.rs
+++ b/crates/hazelgrade-server/src/transport/listener.rs
@@ -1,60 +1,62 @@
-//! Takes connections as they come; when descriptors run out it slows down, and ends nothing that is in use.
+//! Accepts connections. When descriptors run out it slows down and makes room, and closes nothing that is in use.
 
-use super::clients::Clients;
+use super::clients::ClientConnections;
 use async_io::{Async, Timer};
 use futures_lite::future::yield_now;
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Connections that the system may take before they are accepted here.
+/// Connections that the system may hold before they are accepted here.
 const BACKLOG: i32 = 1024;
-const PAUSE: Duration = Duration::from_millis(5);
+/// The pause before the next attempt when there is no room.
+const RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Binds with the address reusable, as old connections may still be in the system after a restart.
+/// Listens on `address`, which may still have connections of an earlier process. Fails with the system's error.
 pub fn bind(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     let listener = Async::<TcpListener>::bind(address)?;
     rustix::net::listen(&listener, BACKLOG)?;
     Ok(listener)
 }
 
-/// Accepts until it is dropped.
+/// Accepts connections and passes each to `on_stream`, until the future is dropped.
 pub async fn accept<T: Clone + PartialEq>(
     listener: &Async<TcpListener>,
-    clients: &Clients<T>,
+    connections: &ClientConnections<T>,
     on_stream: impl Fn(Async<TcpStream>),
 ) {
     loop {
-        while clients.count() >= clients.most {
-            clients.make_room();
-            Timer::after(PAUSE).await;
+        while connections.count() >= connections.max_connections {
+            connections.make_room();
+            Timer::after(RETRY_DELAY).await;
         }
         match listener.accept().await {
             Ok((stream, _)) => {
                 on_stream(stream);
-                // Connections that come without end leave the others their turn.
+                // However many connections come, the other tasks run in between.
                 yield_now().await;
             }
             Err(error) => {
-                tracing::debug!(%error, "a connection could not be accepted");
-                clients.make_room();
-                Timer::after(PAUSE).await;
+                tracing::debug!(%error, "accept failed");
+                connections.make_room();
+                Timer::after(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Takes what the system has accepted already, as far as there is room, without waiting for more; `true` once that is all.
+/// Takes the connections that the system has accepted already, as far as there is room, without waiting for more; `true`
+/// once there are none left.
 pub fn take_backlog<T: Clone + PartialEq>(
     listener: &Async<TcpListener>,
-    clients: &Clients<T>,
+    connections: &ClientConnections<T>,
     on_stream: impl Fn(Async<TcpStream>),
 ) -> bool {
-    while clients.count() < clients.most {
+    while connections.count() < connections.max_connections {
         match listener.get_ref().accept() {
             Ok((stream, _)) => match Async::new(stream) {
                 Ok(stream) => on_stream(stream),
-                Err(error) => tracing::warn!(%error, "an accepted connection could not be used"),
+                Err(error) => tracing::warn!(%error, "accepted connection is unusable"),
             },
             Err(error) => return error.kind() == io::ErrorKind::WouldBlock,
         }
--- a/crates/hazelgrade-server/src/transport/mod.rs
+++ b/crates/hazelgrade-server/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets: bytes, bounded lines, reconnects. What the bytes mean is not known here.
+//! Sockets: bytes, lines of bounded length, time limits, reconnects. What the bytes mean is not known here.
 
 pub mod clients;
 pub mod database;
