--- a/crates/hazelgrade-server/src/transport/tls.rs
+++ b/crates/hazelgrade-server/src/transport/tls.rs
@@ -1,17 +1,18 @@
-//! TLS on the client front: handshakes bounded in number, time and bytes, and settings that are replaced while connections
-//! stand. Without it connections are plain.
+//! TLS on the connections of clients: handshakes bounded in number, time and bytes, and a configuration that is replaced
+//! while connections are open. While there is none, connections are plain.
 
-use async_channel::{Sender, bounded};
+use async_channel::{Receiver, Sender, bounded};
 use async_io::{Async, Timer};
 use futures_lite::future::or;
 use futures_lite::io::split;
 use futures_rustls::TlsAcceptor;
+use futures_rustls::server::TlsStream;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_identity::certificate;
 use hazelgrade_identity::desk::Certificate;
 use hazelgrade_identity::handshakes::{Handshakes, MOST};
-use hazelgrade_net::ending::ConnectionEnd;
-use hazelgrade_net::wire::{Shared, Wire};
+use hazelgrade_net::connection_end::ConnectionEnd;
+use hazelgrade_net::stream::{SharedSocket, SplitStream};
 use rustls::ServerConfig;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -20,79 +21,110 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An ordinary handshake takes two round trips; a message that begins has as long.
-const WITHIN: Duration = Duration::from_secs(2);
+/// How long a handshake may take. An ordinary one takes two round trips; a message that has begun may take as long.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// An accepted connection.
+pub struct Accepted {
+    /// What is read and written, encrypted where TLS is on.
+    pub stream: SplitStream,
+    /// The client's certificate, if it has sent one.
+    pub certificate: Option<Rc<Certificate>>,
+}
+
+/// The TLS configuration and the handshakes in progress.
 pub struct Tls {
     config: RefCell<Option<Arc<ServerConfig>>>,
     handshakes: RefCell<Handshakes>,
-    /// By which a handshake is ended to make room.
-    ends: RefCell<BTreeMap<u64, Sender<()>>>,
+    /// What ends each handshake, to make room for others.
+    aborts: RefCell<BTreeMap<u64, Sender<()>>>,
 }
 
 impl Default for Tls {
     fn default() -> Tls {
-        let within = Span::from_ms(WITHIN.as_secs_f64() * 1000.0);
+        let timeout = Span::from_ms(HANDSHAKE_TIMEOUT.as_secs_f64() * 1000.0);
         Tls {
             config: RefCell::default(),
-            handshakes: RefCell::new(Handshakes::new(MOST, within)),
-            ends: RefCell::default(),
+            handshakes: RefCell::new(Handshakes::new(MOST, timeout)),
+            aborts: RefCell::default(),
         }
     }
 }
 
 impl Tls {
-    /// For connections from now on; those that stand keep what they have, and sessions of before can't be resumed.
+    /// Replaces the configuration for connections from now on. Open ones keep theirs, and earlier sessions can't be
+    /// resumed.
     pub fn replace(&self, config: Arc<ServerConfig>) {
         self.config.replace(Some(config));
     }
 
-    pub fn ended(&self) -> u64 {
+    /// Handshakes that failed or were ended, since the start.
+    pub fn failed_handshakes(&self) -> u64 {
         self.handshakes.borrow().ended
     }
 
-    /// Shakes hands, if TLS is on: what carries the connection then, and what the client's certificate says.
-    pub async fn accept(
-        &self,
-        stream: Async<TcpStream>,
-        now: Time,
-    ) -> Result<(Wire, Option<Rc<Certificate>>), ConnectionEnd> {
-        let Some(config) = self.config.borrow().clone() else { return Ok((Wire::plain(stream), None)) };
+    /// Performs the handshake, if TLS is on.
+    ///
+    /// Ends with [`ConnectionEnd::TimedOut`] past the time limit or when the handshake was ended to make room, with
+    /// [`ConnectionEnd::Malformed`] for a certificate that can't be parsed, and as the connection ends otherwise.
+    pub async fn accept(&self, stream: Async<TcpStream>, now: Time) -> Result<Accepted, ConnectionEnd> {
+        let Some(config) = self.config.borrow().clone() else {
+            return Ok(Accepted { stream: SplitStream::plain(stream), certificate: None });
+        };
         let _ = stream.get_ref().set_nodelay(true);
+        let (number, aborted) = self.begin_handshake(now);
+        let socket = Rc::new(stream);
+        let done = shake_hands(config, &socket, aborted).await;
+        self.handshakes.borrow_mut().over(number, done.is_ok());
+        self.aborts.borrow_mut().remove(&number);
+        let stream = done?;
+        let certificate = read_certificate(&stream)?;
+        let (reader, writer) = split(stream);
+        let stream = SplitStream { reader: Box::new(reader), writer: Box::new(writer), socket };
+        Ok(Accepted { stream, certificate })
+    }
+
+    /// Adds a handshake; with too many in progress the slowest is ended. Gives its number, and what ends it.
+    fn begin_handshake(&self, now: Time) -> (u64, Receiver<()>) {
         let (number, _, makes_room) = self.handshakes.borrow_mut().begin(now);
-        let (end, ended) = bounded(1);
-        self.ends.borrow_mut().insert(number, end);
-        if let Some(slowest) = makes_room.and_then(|slowest| self.ends.borrow_mut().remove(&slowest)) {
-            // Full or closed: it is over already.
+        let (abort, aborted) = bounded(1);
+        self.aborts.borrow_mut().insert(number, abort);
+        if let Some(slowest) = makes_room.and_then(|slowest| self.aborts.borrow_mut().remove(&slowest)) {
+            // Full or closed means that it is over already.
             let _ = slowest.try_send(());
         }
-        let socket = Rc::new(stream);
-        let shaking = async {
-            let done = TlsAcceptor::from(config).accept(Shared(socket.clone())).await;
-            done.map_err(|error| ConnectionEnd::of(&error))
-        };
-        let late = async {
-            Timer::after(WITHIN).await;
-            Err(ConnectionEnd::Slow)
-        };
-        let room = async {
-            let _ = ended.recv().await;
-            Err(ConnectionEnd::Slow)
-        };
-        let shaken = or(shaking, or(late, room)).await;
-        self.handshakes.borrow_mut().over(number, shaken.is_ok());
-        self.ends.borrow_mut().remove(&number);
-        let stream = shaken?;
-        let chain = stream.get_ref().1.peer_certificates();
-        let certificate = match chain.and_then(<[_]>::first).map(|der| certificate::read(der)) {
-            None => None,
-            Some(Ok(certificate)) => Some(Rc::new(certificate)),
-            Some(Err(why)) => {
-                tracing::warn!(why, "a client's certificate can't be read");
-                return Err(ConnectionEnd::Unreadable);
-            }
-        };
-        let (source, sink) = split(stream);
-        Ok((Wire { source: Box::new(source), sink: Box::new(sink), socket }, certificate))
+        (number, aborted)
+    }
+}
+
+async fn shake_hands(
+    config: Arc<ServerConfig>,
+    socket: &Rc<Async<TcpStream>>,
+    aborted: Receiver<()>,
+) -> Result<TlsStream<SharedSocket>, ConnectionEnd> {
+    let handshake = async {
+        let done = TlsAcceptor::from(config).accept(SharedSocket(socket.clone())).await;
+        done.map_err(|error| ConnectionEnd::from_io_error(&error))
+    };
+    let timeout = async {
+        Timer::after(HANDSHAKE_TIMEOUT).await;
+        Err(ConnectionEnd::TimedOut)
+    };
+    let aborted = async {
+        let _ = aborted.recv().await;
+        Err(ConnectionEnd::TimedOut)
+    };
+    or(handshake, or(timeout, aborted)).await
+}
+
+fn read_certificate(stream: &TlsStream<SharedSocket>) -> Result<Option<Rc<Certificate>>, ConnectionEnd> {
+    let chain = stream.get_ref().1.peer_certificates();
+    let Some(der) = chain.and_then(<[_]>::first) else { return Ok(None) };
+    match certificate::read(der) {
+        Ok(certificate) => Ok(Some(Rc::new(certificate))),
+        Err(error) => {
+            tracing::warn!(%error, "malformed client certificate");
+            Err(ConnectionEnd::Malformed)
+        }
     }
 }
--- a/crates/hazelgrade-server/tests/instance/common.rs
+++ b/crates/hazelgrade-server/tests/instance/common.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-pub const SOON: Duration = Duration::from_secs(5);
+pub const TIMEOUT: Duration = Duration::from_secs(5);
 
 pub fn settings() -> Value {
     json!({
@@ -26,7 +26,7 @@
     })
 }
 
-/// A process and its configuration. The stand-ins listen before it starts.
+/// A process and its configuration. The fakes listen before it starts.
 pub struct Instance {
     child: Child,
     file: PathBuf,
@@ -37,8 +37,8 @@
     configuration: Value,
 }
 
-/// An address that nothing else of these tests uses: each has a loopback host of its own. It isn't tried out
-/// first: a process that is being started in another thread would hold it for a moment longer.
+/// An address that nothing else of these tests uses: each has a loopback host of its own. It isn't bound to check that:
+/// a process that is being started in another thread would hold it for a moment longer.
 pub fn free_address() -> SocketAddr {
     static HOSTS: AtomicU32 = AtomicU32::new(2);
     let host = HOSTS.fetch_add(1, Ordering::Relaxed).to_be_bytes();
@@ -74,7 +74,7 @@
         let bind = || TcpListener::bind("127.0.0.1:0").expect("a port");
         let (executor, database) = (bind(), bind());
         let registry = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        registry.set_read_timeout(Some(SOON)).expect("a time-out");
+        registry.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
         let listen = free_address();
         let mut configuration = json!({
             "name": "n1", "listen": listen.to_string(), "seed": "00000000000000ff", "stop_ms": 1500,
@@ -101,7 +101,7 @@
         self.configuration.to_string()
     }
 
-    /// Killed outright, and started again under its name and address.
+    /// Kills it, and starts it again under its name and address.
     pub fn start_again(&mut self) {
         self.kill();
         self.child = Instance::spawn(&self.file);
@@ -132,7 +132,7 @@
 
     /// The exit code, once it has ended by itself.
     pub fn exit_code(&mut self) -> Option<i32> {
-        let by = Instant::now() + SOON;
+        let by = Instant::now() + TIMEOUT;
         while Instant::now() < by {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return status.code();
@@ -143,7 +143,7 @@
     }
 
     pub fn client(&self) -> Peer {
-        let by = Instant::now() + SOON;
+        let by = Instant::now() + TIMEOUT;
         loop {
             match TcpStream::connect(self.listen) {
                 Ok(stream) => return Peer::of(stream),
@@ -153,10 +153,10 @@
         }
     }
 
-    /// Accepts the link: gives it, and the number of the last notice that was read.
+    /// Accepts the link: gives it, and the cursor that the process sent.
     pub fn link(&self) -> (Peer, u64) {
         let mut link = Peer::accept(&self.executor);
-        let join = link.hear();
+        let join = link.receive();
         assert_eq!(join["event"], "JOIN");
         (link, join["cursor"].as_u64().expect("a number"))
     }
@@ -165,22 +165,26 @@
     pub fn ready(&self) -> (Peer, Peer) {
         let (mut link, cursor) = self.link();
         assert_eq!(cursor, 0);
-        link.say(&json!({"event": "WELCOME", "fate": "old", "lasted": 5}));
+        link.send(&json!({"event": "WELCOME", "fate": "old", "lasted": 5}));
         (link, self.client())
     }
 }
 
-/// The run of a job comes to its first call, the reply to it is proved to have arrived, and the link ends.
-pub fn replied_before_the_link_ends<'a>(instance: &'a Instance, mut link: Peer, id: &str) -> Below<'a> {
-    link.say(&json!({"event": "CALLOUT", "cursor": 1, "handle": id, "arg": "cXVlcnk="}));
-    let mut below = Below::of(&instance.database);
-    let place = below.call(id);
-    below.reply(place, &format!("{id} ROWS 0\r\n\r\n"));
+/// The run of a job makes its first call, the reply to it is confirmed, and the link ends.
+pub fn replied_before_the_link_ends<'a>(
+    instance: &'a Instance,
+    mut link: Peer,
+    id: &str,
+) -> DatabaseConnections<'a> {
+    link.send(&json!({"event": "CALLOUT", "cursor": 1, "handle": id, "arg": "cXVlcnk="}));
+    let mut database_connections = DatabaseConnections::of(&instance.database);
+    let place = database_connections.call(id);
+    database_connections.reply(place, &format!("{id} ROWS 0\r\n\r\n"));
     assert_eq!(link.command()["event"], "RETURN");
-    // Two questions answered in order after it prove that it arrived.
+    // Two requests for gauges, answered after it, confirm that it arrived.
     link.answer_gauges(2);
     std::thread::sleep(Duration::from_millis(20));
-    below
+    database_connections
 }
 
 impl Drop for Instance {
@@ -190,21 +194,21 @@
     }
 }
 
-/// The connections that calls come over.
-pub struct Below<'a> {
+/// The connections to the database, at its end.
+pub struct DatabaseConnections<'a> {
     listener: &'a TcpListener,
     pub peers: Vec<Peer>,
 }
 
-impl Below<'_> {
-    pub fn of(listener: &TcpListener) -> Below<'_> {
-        Below { listener, peers: Vec::new() }
+impl DatabaseConnections<'_> {
+    pub fn of(listener: &TcpListener) -> DatabaseConnections<'_> {
+        DatabaseConnections { listener, peers: Vec::new() }
     }
 
-    /// Hears the call of this job, wherever it comes: gives the place of its connection.
+    /// Receives the call of this job on any connection: gives the index of that.
     pub fn call(&mut self, id: &str) -> usize {
         self.listener.set_nonblocking(true).expect("a socket");
-        let by = Instant::now() + SOON;
+        let by = Instant::now() + TIMEOUT;
         loop {
             while let Ok((stream, _)) = self.listener.accept() {
                 self.peers.push(Peer::of(stream));
@@ -214,7 +218,7 @@
                 let some = matches!(peer.reader.fill_buf(), Ok(bytes) if !bytes.is_empty());
                 peer.stream().set_nonblocking(false).expect("a socket");
                 if some {
-                    let line = peer.hear_line();
+                    let line = peer.receive_line();
                     let words: Vec<&str> = line.trim_end().split(' ').collect();
                     if words[0] == "Q" {
                         assert_eq!((words[1], words[3]), (id, "5"), "{line}");
@@ -240,13 +244,13 @@
 
 impl Peer {
     pub fn of(stream: TcpStream) -> Peer {
-        stream.set_read_timeout(Some(SOON)).expect("a time-out");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
         Peer { reader: BufReader::new(stream) }
     }
 
     pub fn accept(listener: &TcpListener) -> Peer {
         listener.set_nonblocking(true).expect("a socket");
-        let by = Instant::now() + SOON;
+        let by = Instant::now() + TIMEOUT;
         loop {
             match listener.accept() {
                 Ok((stream, _)) => {
@@ -271,50 +275,50 @@
         self.stream().write_all(text.as_bytes()).expect("it takes bytes");
     }
 
-    pub fn say(&mut self, message: &Value) {
+    pub fn send(&mut self, message: &Value) {
         self.write(&format!("{message}\n"));
     }
 
-    pub fn hear_line(&mut self) -> String {
+    pub fn receive_line(&mut self) -> String {
         let mut line = String::new();
         self.reader.read_line(&mut line).expect("a line in time");
         line
     }
 
-    pub fn hear(&mut self) -> Value {
-        let line = self.hear_line();
+    pub fn receive(&mut self) -> Value {
+        let line = self.receive_line();
         serde_json::from_str(&line).unwrap_or_else(|_| panic!("not JSON: {line:?}"))
     }
 
-    /// Hears that a run is to be stopped, well before its job would be given up by itself.
-    pub fn is_told_to_stop(&mut self, id: &str) -> bool {
+    /// Receives the command to cancel a run, well before the deadline of its job.
+    pub fn receives_cancel(&mut self, id: &str) -> bool {
         let began = Instant::now();
         self.command() == json!({"event": "KILL", "handle": id}) && began.elapsed() < Duration::from_secs(1)
     }
 
-    /// The next command that isn't about gauges; these are answered.
+    /// The next command that is no request for gauges; these are answered.
     pub fn command(&mut self) -> Value {
-        let by = Instant::now() + SOON;
+        let by = Instant::now() + TIMEOUT;
         loop {
-            let heard = self.hear();
-            if heard["event"] != "METER" {
-                return heard;
+            let received = self.receive();
+            if received["event"] != "METER" {
+                return received;
             }
-            assert!(Instant::now() < by, "nothing but questions for the gauges");
-            self.gauges(&heard);
+            assert!(Instant::now() < by, "nothing but requests for gauges");
+            self.gauges(&received);
         }
     }
 
     fn gauges(&mut self, asked: &Value) {
-        self.say(&json!({"event": "METERS", "ticket": asked["ticket"], "figures": [3, 0.5]}));
+        self.send(&json!({"event": "METERS", "ticket": asked["ticket"], "figures": [3, 0.5]}));
     }
 
-    /// Answers so many questions for the gauges; nothing else may come before.
+    /// Answers so many requests for gauges; nothing else may come before.
     pub fn answer_gauges(&mut self, count: usize) {
         for _ in 0..count {
-            let heard = self.hear();
-            assert_eq!(heard["event"], "METER", "{heard}");
-            self.gauges(&heard);
+            let received = self.receive();
+            assert_eq!(received["event"], "METER", "{received}");
+            self.gauges(&received);
         }
     }
 
@@ -328,7 +332,7 @@
     pub fn is_silent(&mut self) -> bool {
         self.stream().set_read_timeout(Some(Duration::from_millis(150))).expect("a time-out");
         let silent = self.reader.fill_buf().is_err();
-        self.stream().set_read_timeout(Some(SOON)).expect("a time-out");
+        self.stream().set_read_timeout(Some(TIMEOUT)).expect("a time-out");
         silent
     }
 
@@ -336,10 +340,10 @@
         matches!(self.reader.fill_buf(), Ok([]))
     }
 
-    /// Asks for a check: alive, and not kept waiting by others.
+    /// Sends a health check and gives its answer.
     pub fn check(&mut self, call: u64) -> Value {
-        self.say(&json!({"jsonrpc": "2.0", "id": call, "method": "ping"}));
-        self.hear()
+        self.send(&json!({"jsonrpc": "2.0", "id": call, "method": "ping"}));
+        self.receive()
     }
 }
 
--- a/crates/hazelgrade-server/tests/instance/fleet.rs
+++ b/crates/hazelgrade-server/tests/instance/fleet.rs
@@ -1,4 +1,4 @@
-//! Twenty processes at a time: what holds for each has to hold for all of them together.
+//! Twenty processes at a time: what holds for each must hold for all of them together.
 
 use crate::common::*;
 use hazelgrade_fakes::callers::{Callers, Fate, Plan};
@@ -12,10 +12,10 @@
 use std::time::{Duration, Instant};
 
 const NODES: usize = 20;
-/// What the settings tell each of the calls that all may have in hand.
+/// Each process's share, by its settings, of the calls that all may have in flight.
 const SHARE: usize = 2;
 const CALL: Duration = Duration::from_millis(40);
-/// What holds for a restart.
+/// The time limit of a restart.
 const READY_WITHIN: Duration = Duration::from_secs(10);
 
 struct Member {
@@ -31,16 +31,16 @@
     ONE.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Each with an executor and callers of its own, which ask for twice what the calls below allow.
+/// Each with an executor and callers of its own, which ask for twice what the calls allow.
 fn fleet(dependency: &Dependency) -> Vec<Member> {
     let member = |_| {
         let work = Work { cores: 4, takes: Duration::from_millis(8), calls: true };
         let executor = Executor::start(work).expect("a port");
         let link = Edge::tcp(executor.address).expect("a port");
-        let instance = Instance::start_with(|told| {
-            told["executor"] = json!(link.address.to_string());
-            told["db"] = json!(dependency.address.to_string());
-            let specifics = &mut told["settings"]["specifics"];
+        let instance = Instance::start_with(|configuration| {
+            configuration["executor"] = json!(link.address.to_string());
+            configuration["db"] = json!(dependency.address.to_string());
+            let specifics = &mut configuration["settings"]["specifics"];
             (specifics["below"], specifics["callsOut"]) = (json!("shared"), json!(SHARE));
             (specifics["callsOver"], specifics["cores"]) = (json!(1000), json!(4));
         });
@@ -53,7 +53,7 @@
     (0..NODES).map(member).collect()
 }
 
-fn comes(mut so: impl FnMut() -> bool) {
+fn wait_until(mut so: impl FnMut() -> bool) {
     let by = Instant::now() + Duration::from_secs(60);
     while !so() {
         assert!(Instant::now() < by, "it does not come");
@@ -64,7 +64,7 @@
 /// Until a check is answered with `up`.
 fn up(listen: SocketAddr) -> Option<()> {
     let mut stream = TcpStream::connect(listen).ok()?;
-    stream.set_read_timeout(Some(SOON)).ok()?;
+    stream.set_read_timeout(Some(TIMEOUT)).ok()?;
     stream.write_all(b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"ping\"}\n").ok()?;
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line).ok()?;
@@ -80,13 +80,13 @@
 /// Waits until each has served so many more.
 fn serve_on(members: &[Member], more: usize) {
     let before = served(members);
-    comes(|| served(members).iter().zip(&before).all(|(now, before)| *now >= before + more));
+    wait_until(|| served(members).iter().zip(&before).all(|(now, before)| *now >= before + more));
 }
 
-/// Each holds its own part, whatever it knows of the others, so that all together never pass the whole: not when they
-/// start cold at once, nor past capacity, nor when half of them are killed and come back.
+/// Each keeps to its own share, whatever it knows of the others, so that together they never exceed the limit: not during
+/// warm-up, nor past capacity, nor when half of them are killed and restarted.
 #[test]
-fn calls_below_of_twenty_processes_never_pass_the_whole_at_any_instant() {
+fn calls_of_twenty_processes_never_exceed_the_shared_limit_at_any_instant() {
     let _alone = alone();
     let dependency = Dependency::start(CALL, NODES * SHARE).expect("a port");
     let mut members = fleet(&dependency);
@@ -96,16 +96,16 @@
         member.instance.kill();
         member.executor.restart();
     }
-    // What they had in hand is over before they come back: a new process can't know of it.
+    // Their calls are over before they restart: a new process can't know of them.
     std::thread::sleep(2 * CALL);
     for member in members.iter_mut().step_by(2) {
         member.instance.start_again();
     }
     serve_on(&members, 10);
-    println!("{} in hand at most, {crowded} before the restart, of {}", dependency.peak(), NODES * SHARE);
-    assert_eq!(dependency.passed(), (0, 0), "{} in hand at most", dependency.peak());
-    // Close to the whole was asked for, or nothing is shown.
-    assert!(crowded * 2 > NODES * SHARE, "only {crowded} in hand");
+    println!("{} in flight at most, {crowded} before the restart, of {}", dependency.peak(), NODES * SHARE);
+    assert_eq!(dependency.passed(), (0, 0), "{} in flight at most", dependency.peak());
+    // Close to the limit was asked for, or nothing is shown.
+    assert!(crowded * 2 > NODES * SHARE, "only {crowded} in flight");
 }
 
 /// Twenty are killed together under load; their executors come 2 s late.
--- a/crates/hazelgrade-server/tests/instance/input.rs
+++ b/crates/hazelgrade-server/tests/instance/input.rs
@@ -1,19 +1,19 @@
-//! Bad input, clients that misbehave, limits, and the command line.
+//! Invalid input, clients that break the protocol, limits, and the command line.
 
 use crate::common::*;
 use hazelgrade::time::{Span, Time};
-use hazelgrade_net::ending::ConnectionEnd;
+use hazelgrade_net::connection_end::ConnectionEnd;
 use hazelgrade_server::protocol;
 use hazelgrade_server::routing::clock::Clock;
 use hazelgrade_server::routing::result_cache::ResultCache;
-use hazelgrade_server::transport::database::{Database, Hears};
+use hazelgrade_server::transport::database::{Database, ReplyHandler};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 #[test]
-fn bad_input_gets_the_standards_error_and_the_connection_goes_on() {
+fn invalid_input_is_answered_with_a_json_rpc_error_and_the_connection_stays_open() {
     let instance = Instance::start();
     let (mut link, mut client) = instance.ready();
     let with = |field: &str, value: Value| {
@@ -53,47 +53,47 @@
             client = instance.client();
         }
         client.write(&format!("{line}\n"));
-        let error = client.hear()["error"].clone();
+        let error = client.receive()["error"].clone();
         assert_eq!(error["code"], code, "{line}: {error}");
         assert!(error["message"].as_str().is_some_and(|message| message.contains(names)), "{line}: {error}");
     }
-    client.say(&job(8, "read", "a2"));
+    client.send(&job(8, "read", "a2"));
     assert_eq!(link.command()["handle"], "a2");
-    client.say(&job(8, "read", "a3"));
-    assert_eq!(client.hear()["error"]["code"], -32600);
+    client.send(&job(8, "read", "a3"));
+    assert_eq!(client.receive()["error"]["code"], -32600);
     for (place, far) in [0, unix_ms() - 7000, unix_ms() + 60_000].into_iter().enumerate() {
         let mut client = instance.client();
         let mut job = job(1, "read", &format!("b{place}"));
         job["params"]["ts"] = json!(far);
-        client.say(&job);
-        assert_eq!(client.hear()["error"]["code"], -32602);
+        client.send(&job);
+        assert_eq!(client.receive()["error"]["code"], -32602);
     }
 }
 
-/// Has a job of this client run, so that it counts as what it says.
+/// Runs a job of this client, so that it is trusted.
 fn prove(link: &mut Peer, client: &mut Peer, cursor: u64) {
     let id = format!("proof{cursor}");
-    client.say(&job(900 + cursor, "read", &id));
+    client.send(&job(900 + cursor, "read", &id));
     assert_eq!(link.command()["handle"], id);
-    link.say(
+    link.send(
         &json!({"event": "EXIT", "cursor": cursor, "handle": id, "fate": "good", "lasted": 9, "arg": "b25l"}),
     );
-    assert!(client.hear()["result"].is_object());
+    assert!(client.receive()["result"].is_object());
 }
 
 #[test]
-fn a_client_that_goes_on_sending_what_is_wrong_is_told_so_and_turned_out_and_others_are_served() {
+fn a_client_that_keeps_sending_invalid_messages_is_told_so_and_closed_while_others_are_served() {
     let instance = Instance::start();
     let (mut link, mut stub) = instance.ready();
     let (mut wrong, mut unknown) = (instance.client(), instance.client());
     wrong.write(&"what\n".repeat(500));
     for _ in 0..6 {
-        assert!(wrong.hear()["error"].is_object());
+        assert!(wrong.receive()["error"].is_object());
     }
     assert!(wrong.is_closed());
-    // Jobs that nobody has: each is failed, and after a few the next ones aren't read.
+    // Made-up jobs: each is failed, and after a few no more are read.
     for call in 1..=30 {
-        unknown.say(&job(call, "read", &format!("u{call}")));
+        unknown.send(&job(call, "read", &format!("u{call}")));
     }
     let refuse_until = |link: &mut Peer, id: &str, most: usize| {
         for _ in 0..most {
@@ -101,27 +101,27 @@
             if command["handle"] == id {
                 break;
             }
-            link.say(&json!({"event": "BAD", "fate": command["event"], "handle": command["handle"]}));
+            link.send(&json!({"event": "BAD", "fate": command["event"], "handle": command["handle"]}));
         }
     };
     refuse_until(&mut link, "", 5);
-    let mut heard = 0;
+    let mut received = 0;
     while !unknown.is_closed() {
-        assert!(unknown.hear()["error"].is_object());
-        heard += 1;
+        assert!(unknown.receive()["error"].is_object());
+        received += 1;
     }
-    assert!((6..=30).contains(&heard), "{heard} answers");
-    // None of them keeps the stub from being served.
-    stub.say(&job(1, "read", "a1"));
+    assert!((6..=30).contains(&received), "{received} answers");
+    // None of them keeps the good client from being served.
+    stub.send(&job(1, "read", "a1"));
     refuse_until(&mut link, "a1", 60);
-    link.say(
+    link.send(
         &json!({"event": "EXIT", "cursor": 1, "handle": "a1", "fate": "good", "lasted": 9, "arg": "b25l"}),
     );
-    assert_eq!(stub.hear()["result"]["body"], "b25l");
+    assert_eq!(stub.receive()["result"]["body"], "b25l");
 }
 
 #[test]
-fn connections_that_say_nothing_or_half_a_message_are_closed_within_three_seconds_and_others_stay() {
+fn silent_connections_and_half_messages_are_closed_within_three_seconds_and_others_stay() {
     let instance = Instance::start();
     let (_link, mut stub) = instance.ready();
     stub.check(1);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn odd_order_spacing_escapes_and_unknown_fields_are_fine_and_so_is_one_byte_at_a_time() {
+fn unusual_order_spacing_escapes_unknown_fields_and_single_bytes_are_accepted() {
     let instance = Instance::start();
     let (mut link, mut client) = instance.ready();
     let escaped: String = "A".repeat(2728).chars().map(|c| format!("\\u{:04x}", c as u32)).collect();
@@ -153,32 +153,32 @@
         assert_eq!(other.check(3)["result"]["up"], true);
     }
     client.write("\n");
-    assert_eq!(client.hear()["error"]["code"], -32600);
+    assert_eq!(client.receive()["error"]["code"], -32600);
 }
 
 #[test]
-fn a_line_without_end_ends_its_connection_once_what_is_owed_on_it_is_answered() {
+fn a_line_without_end_closes_its_connection_once_its_open_calls_are_answered() {
     let instance = Instance::start();
     let (mut link, mut client) = instance.ready();
-    // One that nothing is known of is told, and closed; even if it goes on and on.
+    // A stranger is sent an error and closed, however much it sends.
     let mut stranger = instance.client();
-    stranger.say(&job(1, "read", "s1"));
+    stranger.send(&job(1, "read", "s1"));
     assert_eq!(link.command()["handle"], "s1");
     stranger.stream().set_write_timeout(Some(Duration::from_millis(300))).expect("a time-out");
     stranger.write(&" ".repeat(30_000));
-    assert!(stranger.hear()["error"].is_object() && stranger.is_closed());
+    assert!(stranger.receive()["error"].is_object() && stranger.is_closed());
     while std::io::Write::write_all(&mut stranger.stream(), &[b' '; 65_536]).is_ok() {}
-    assert!(link.is_told_to_stop("s1"));
+    assert!(link.receives_cancel("s1"));
     prove(&mut link, &mut client, 1);
-    client.say(&job(1, "read", "a1"));
+    client.send(&job(1, "read", "a1"));
     assert_eq!(link.command()["handle"], "a1");
     client.write(&" ".repeat(30_000));
-    assert!(client.hear()["error"].is_object() && client.is_silent());
+    assert!(client.receive()["error"].is_object() && client.is_silent());
     assert_eq!(instance.client().check(1)["result"]["up"], true);
-    link.say(
+    link.send(
         &json!({"event": "EXIT", "cursor": 2, "handle": "a1", "fate": "good", "lasted": 9, "arg": "b25l"}),
     );
-    assert_eq!(client.hear()["result"]["body"], "b25l");
+    assert_eq!(client.receive()["result"]["body"], "b25l");
     assert!(client.is_closed());
 }
 
@@ -187,15 +187,15 @@
     let instance = Instance::start();
     let (mut link, mut client) = instance.ready();
     prove(&mut link, &mut client, 1);
-    // Few run at once; the others are held.
+    // Few run at once; the others are queued.
     for call in 1..=33 {
-        client.say(&job(call, "read", &format!("a{call}")));
+        client.send(&job(call, "read", &format!("a{call}")));
     }
-    client.say(&json!({"jsonrpc": "2.0", "id": 90, "method": "ping"}));
+    client.send(&json!({"jsonrpc": "2.0", "id": 90, "method": "ping"}));
     assert!(client.is_silent());
     let first = link.command()["handle"].clone();
-    link.say(&json!({"event": "EXIT", "cursor": 2, "handle": first, "fate": "bad", "lasted": 9}));
-    let answers = [client.hear(), client.hear()];
+    link.send(&json!({"event": "EXIT", "cursor": 2, "handle": first, "fate": "bad", "lasted": 9}));
+    let answers = [client.receive(), client.receive()];
     assert!(answers.iter().any(|answer| answer["id"] == 90), "{answers:?}");
     let mut deaf = instance.client();
     let ping = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"ping\"}\n".repeat(1000);
@@ -204,16 +204,16 @@
     let began = Instant::now();
     assert_eq!(instance.client().check(1)["result"]["up"], true);
     assert!(began.elapsed() < Duration::from_millis(500));
-    deaf.hear();
+    deaf.receive();
 }
 
 #[test]
-fn when_descriptors_run_out_the_idlest_connection_goes_and_those_in_use_stay() {
-    let instance = Instance::start_with(|told| told["limits"]["sockets"] = json!(32));
+fn when_descriptors_run_out_the_longest_idle_connection_is_evicted_and_those_in_use_stay() {
+    let instance = Instance::start_with(|configuration| configuration["limits"]["sockets"] = json!(32));
     let (mut link, mut busy) = instance.ready();
     let mut stub = instance.client();
     prove(&mut link, &mut stub, 1);
-    busy.say(&job(1, "read", "a1"));
+    busy.send(&job(1, "read", "a1"));
     assert_eq!(link.command()["handle"], "a1");
     let mut crowd: Vec<Peer> = (0..30).map(|_| instance.client()).collect();
     for _ in 0..3 {
@@ -222,21 +222,25 @@
         crowd.push(late);
     }
     assert!(crowd[0].is_closed());
-    // A stub that was served before is idle for longer, and stays.
+    // A trusted client is idle for longer, and stays.
     assert_eq!(stub.check(2)["result"]["up"], true);
-    link.say(
+    link.send(
         &json!({"event": "EXIT", "cursor": 2, "handle": "a1", "fate": "good", "lasted": 9, "arg": "b25l"}),
     );
-    assert_eq!(busy.hear()["result"]["body"], "b25l");
+    assert_eq!(busy.receive()["result"]["body"], "b25l");
 }
 
-struct Heard(RefCell<Vec<String>>);
+struct Received(RefCell<Vec<String>>);
 
-impl Hears for Heard {
+impl ReplyHandler for Received {
     type Head = ();
 
-    fn head(&self, _: &[u8]) -> Result<((), Option<usize>), ConnectionEnd> {
-        Ok(((), None))
+    fn decode_head(&self, _: &[u8]) -> Result<(), ConnectionEnd> {
+        Ok(())
+    }
+
+    fn body_length(&self, (): &()) -> Option<usize> {
+        None
     }
 
     fn reply(&self, connection: u64, (): (), _: Vec<u8>) {
@@ -249,63 +253,64 @@
 }
 
 #[test]
-fn connections_below_are_used_again_closed_when_idle_and_told_apart_when_nothing_was_sent() {
+fn database_connections_are_reused_closed_when_idle_and_report_whether_anything_was_sent() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let database = Rc::new(Database::new(address, 32, Duration::from_millis(100)));
-    let (heard, tasks) = (Rc::new(Heard(RefCell::default())), Rc::new(async_executor::LocalExecutor::new()));
+    let (received, tasks) =
+        (Rc::new(Received(RefCell::default())), Rc::new(async_executor::LocalExecutor::new()));
     let pause = |ms| async_io::Timer::after(Duration::from_millis(ms));
     let play = async {
-        let call = |avoided: &[u64]| database.call(&tasks, &heard, b"Q\r\n", avoided, None);
+        let call = |avoided: &[u64]| database.call(&tasks, &received, b"Q\r\n", avoided, None);
         assert_eq!((call(&[]), call(&[])), (1, 2));
         pause(30).await;
         let (mut one, _two) = (Peer::accept(&listener), Peer::accept(&listener));
         one.write("Q ROWS\r\n");
         pause(30).await;
-        database.over(1);
+        database.call_ended(1);
         assert_eq!(call(&[1]), 3);
         assert_eq!(call(&[]), 1);
-        database.over(1);
+        database.call_ended(1);
         pause(250).await;
-        assert!(one.hear_line() == "Q\r\n" && one.hear_line() == "Q\r\n" && one.is_closed());
-        database.move_to(free_address());
+        assert!(one.receive_line() == "Q\r\n" && one.receive_line() == "Q\r\n" && one.is_closed());
+        database.set_address(free_address());
         assert_eq!(call(&[]), 4);
         pause(30).await;
     };
     async_io::block_on(tasks.run(play));
-    assert_eq!(*heard.0.borrow(), ["reply on 1", "1: Idle", "4: Unreachable"]);
+    assert_eq!(*received.0.borrow(), ["reply on 1", "1: Idle", "4: Unreachable"]);
 }
 
 #[test]
-fn kept_results_stay_within_their_part_of_the_memory_and_the_one_that_runs_out_first_goes() {
+fn stored_results_stay_within_their_memory_limit_and_the_earliest_to_expire_is_dropped() {
     let (now, result_cache) = (Time::from_ms(0.0), ResultCache::new(10));
     for (place, id) in ["a1", "a2"].into_iter().enumerate() {
         let id = id.into();
-        let key = result_cache.key(0, 0, place.to_string(), &"".into());
+        let key = result_cache.job_key(0, 0, place.to_string(), &"".into());
         result_cache.arrived(&id, key, now, Span::ZERO);
-        result_cache.remember(&id, now, Span::from_ms(1000.0 + place as f64));
-        result_cache.done(&id, now, Some("12345678".into()));
+        result_cache.store_record(&id, now, Span::from_ms(1000.0 + place as f64));
+        result_cache.finish(&id, now, Some("12345678".into()));
     }
-    assert_eq!(result_cache.share(&"b1".into(), &"a1".into()), Some(None));
-    assert_eq!(result_cache.share(&"b2".into(), &"a2".into()), Some(Some("12345678".into())));
+    assert_eq!(result_cache.await_result(&"b1".into(), &"a1".into()), Some(None));
+    assert_eq!(result_cache.await_result(&"b2".into(), &"a2".into()), Some(Some("12345678".into())));
 }
 
 #[test]
-fn a_clock_that_is_set_back_does_not_run_backwards_and_moves_what_is_stamped_along() {
+fn a_unix_clock_that_is_set_back_does_not_run_this_one_backwards_and_shifts_time_stamps() {
     thread_local!(static UNIX: Cell<f64> = const { Cell::new(1000.0) });
-    let clock = Clock::of(|| Time::from_ms(UNIX.get()));
+    let clock = Clock::new(|| Time::from_ms(UNIX.get()));
     UNIX.set(1500.0);
     assert_eq!(clock.now(), Time::from_ms(1500.0));
     UNIX.set(200.0);
     assert_eq!(clock.now(), Time::from_ms(1500.0));
     UNIX.set(300.0);
     assert_eq!(clock.now(), Time::from_ms(1600.0));
-    assert_eq!(clock.now().since(clock.past(Time::from_ms(280.0))), Span::from_ms(20.0));
-    assert_eq!(clock.past(Time::from_ms(9000.0)), clock.now());
+    assert_eq!(clock.now().since(clock.to_monotonic(Time::from_ms(280.0))), Span::from_ms(20.0));
+    assert_eq!(clock.to_monotonic(Time::from_ms(9000.0)), clock.now());
 }
 
 #[test]
-fn lines_of_any_kind_are_decoded_or_refused_without_a_panic() {
+fn arbitrary_lines_are_decoded_or_refused_without_a_panic() {
     fn property(place: usize, byte: u8, cut: usize) -> bool {
         let (_, site) = hazelgrade_settings::instance(&settings(), 1).expect("settings");
         let mut line = job(1, "read", "a1").to_string().into_bytes();
@@ -320,14 +325,14 @@
 }
 
 #[test]
-fn a_wrong_configuration_ends_it_with_2_and_one_line_that_names_the_field() {
+fn an_invalid_configuration_exits_with_2_and_one_line_that_names_the_field() {
     let instance = Instance::start();
     instance.client();
     let whole = instance.configuration();
     let with = |field: &str, value: Value| {
-        let mut told: Value = serde_json::from_str(&whole).expect("JSON");
-        told[field] = value;
-        told.to_string()
+        let mut configuration: Value = serde_json::from_str(&whole).expect("JSON");
+        configuration[field] = value;
+        configuration.to_string()
     };
     let cases = [
         ("{".into(), "line 1"),
--- a/crates/hazelgrade-server/tests/instance/process.rs
+++ b/crates/hazelgrade-server/tests/instance/process.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn it_is_one_process_linked_to_the_c_library_on_plain_sockets_at_a_start_and_under_load() {
+fn it_is_one_process_linked_to_the_c_library_on_plain_sockets_at_start_and_under_load() {
     let instance = Instance::start();
     let process = instance.process();
     let (mut link, mut client) = instance.ready();
@@ -61,15 +61,15 @@
     let mut others: Vec<Peer> = (0..20).map(|_| instance.client()).collect();
     for round in 0..5 {
         for (place, other) in others.iter_mut().enumerate() {
-            other.say(&job(round + 1, "read", &format!("{place}-{round}")));
+            other.send(&job(round + 1, "read", &format!("{place}-{round}")));
         }
         for number in 0..others.len() as u64 {
             let run = link.command();
             let cursor = round * others.len() as u64 + number + 1;
-            link.say(&json!({"event": "EXIT", "cursor": cursor, "handle": run["handle"], "fate": "good",
+            link.send(&json!({"event": "EXIT", "cursor": cursor, "handle": run["handle"], "fate": "good",
                 "lasted": 1, "arg": "b25l"}));
         }
-        others.iter_mut().for_each(|other| assert!(other.hear()["result"]["body"].is_string()));
+        others.iter_mut().for_each(|other| assert!(other.receive()["result"]["body"].is_string()));
     }
     instance.reload_text(&instance.configuration());
     client.check(2);
--- a/crates/hazelgrade-server/tests/recorded_messages.rs
+++ b/crates/hazelgrade-server/tests/recorded_messages.rs
@@ -3,8 +3,8 @@
 
 use hazelgrade::api::Idempotency;
 use hazelgrade::time::Span;
-use hazelgrade_server::protocol::executor::{Command, Notice, RunEnd};
-use hazelgrade_server::protocol::jsonrpc::{Answer, Incoming};
+use hazelgrade_server::protocol::executor::{Command, Event, RunEnd};
+use hazelgrade_server::protocol::jsonrpc::{Answer, ClientMessage};
 use hazelgrade_server::protocol::{database, executor, jsonrpc, registry};
 use hazelgrade_settings::Site;
 use serde_json::json;
@@ -115,14 +115,15 @@
     for (line, id, code, message) in cases {
         assert_refused(line, &site(false), id, code, message);
     }
-    let line = jsonrpc::encode_wrong(&jsonrpc::wrong_time(7));
+    let line = jsonrpc::encode_error(&jsonrpc::invalid_time(7));
     let message = "field ts: expected a time in the past, and within the cut-off";
     assert_eq!(line, error_line("7", -32602, message));
-    let line = jsonrpc::encode_wrong(&jsonrpc::still_open());
+    let line = jsonrpc::encode_error(&jsonrpc::call_id_in_use());
     assert_eq!(line, error_line("null", -32600, "field id: a call with this id is still open"));
-    let too_long = "the line is longer than any message";
-    assert_eq!(jsonrpc::last_words(true), error_line("null", -32600, too_long));
-    assert_eq!(jsonrpc::last_words(false), error_line("null", -32600, "too many wrong messages"));
+    let line = jsonrpc::encode_error(&jsonrpc::line_too_long());
+    assert_eq!(line, error_line("null", -32600, "the line is longer than any message"));
+    let line = jsonrpc::encode_error(&jsonrpc::too_many_violations());
+    assert_eq!(line, error_line("null", -32600, "too many wrong messages"));
 }
 
 #[test]
@@ -174,8 +175,8 @@
 }
 
 fn assert_refused(line: &str, site: &Site, id: &str, code: i64, message: &str) {
-    let wrong = jsonrpc::decode(line.as_bytes(), site).expect_err(line);
-    assert_eq!(jsonrpc::encode_wrong(&wrong), error_line(id, code, message), "{line}");
+    let error = jsonrpc::decode(line.as_bytes(), site).expect_err(line);
+    assert_eq!(jsonrpc::encode_error(&error), error_line(id, code, message), "{line}");
 }
 
 #[test]
@@ -183,13 +184,13 @@
     for (job_class, place, key) in [("read", 0, "s1"), ("book", 1, "k1")] {
         for callers_known in [false, true] {
             let decoded = jsonrpc::decode(job_line(job_class).as_bytes(), &site(callers_known));
-            let Ok(Incoming::Job(asked)) = decoded else { panic!("{decoded:?}") };
-            assert_eq!((asked.call, &*asked.job.id, asked.job.job_class), (7, "a1", place));
-            assert_eq!((asked.job.tenant, asked.for_customer), (0, true));
-            assert_eq!((asked.job.received_at.as_ms(), asked.job.queued_kb), (1000.5, 12.5));
-            assert_eq!((asked.job.priority_rank, asked.job.is_retry), (0.5, true));
-            assert_eq!((&*asked.body, asked.mark.as_deref()), ("aGk=", Some(key)));
-            assert_eq!(asked.token.as_deref(), callers_known.then_some("t1"));
+            let Ok(ClientMessage::Job(request)) = decoded else { panic!("{decoded:?}") };
+            assert_eq!((request.call_id, &*request.job.id, request.job.job_class), (7, "a1", place));
+            assert_eq!((request.job.tenant, request.names_tenant), (0, true));
+            assert_eq!((request.job.received_at.as_ms(), request.job.queued_kb), (1000.5, 12.5));
+            assert_eq!((request.job.priority_rank, request.job.is_retry), (0.5, true));
+            assert_eq!((&*request.body, request.idempotency_key.as_deref()), ("aGk=", Some(key)));
+            assert_eq!(request.token.as_deref(), callers_known.then_some("t1"));
         }
     }
 }
@@ -199,15 +200,18 @@
     let site = site(true);
     let decode = |line: &str| jsonrpc::decode(line.as_bytes(), &site).expect(line);
     let ping = decode(r#"{"jsonrpc":"2.0","id":3,"method":"ping"}"#);
-    assert!(matches!(ping, Incoming::Check(3)), "{ping:?}");
+    assert!(matches!(ping, ClientMessage::HealthCheck { call_id: 3 }), "{ping:?}");
     let hello = decode(r#"{"jsonrpc":"2.0","id":4,"method":"hello","params":{"token":"t1"}}"#);
-    assert!(matches!(&hello, Incoming::Hello(4, token) if token == "t1"), "{hello:?}");
+    assert!(matches!(&hello, ClientMessage::Hello { call_id: 4, token } if token == "t1"), "{hello:?}");
     let by_job = decode(r#"{"jsonrpc":"2.0","method":"abort","params":{"req":"a1"}}"#);
-    assert!(matches!(&by_job, Incoming::Abort(None, Some(id)) if &**id == "a1"), "{by_job:?}");
+    assert!(
+        matches!(&by_job, ClientMessage::Abort { call_id: None, job_id: Some(id) } if &**id == "a1"),
+        "{by_job:?}"
+    );
     let by_call = decode(r#"{"jsonrpc":"2.0","method":"abort","params":{"id":9}}"#);
-    assert!(matches!(by_call, Incoming::Abort(Some(9), None)), "{by_call:?}");
+    assert!(matches!(by_call, ClientMessage::Abort { call_id: Some(9), job_id: None }), "{by_call:?}");
     let by_own_id = decode(r#"{"jsonrpc":"2.0","id":8,"method":"abort"}"#);
-    assert!(matches!(by_own_id, Incoming::Abort(Some(8), None)), "{by_own_id:?}");
+    assert!(matches!(by_own_id, ClientMessage::Abort { call_id: Some(8), job_id: None }), "{by_own_id:?}");
 }
 
 #[test]
@@ -215,11 +219,11 @@
     let cases = [
         (Command::Join { cursor: 5 }, r#"{"cursor":5,"event":"JOIN"}"#),
         (
-            Command::Run { id: "a1", job_class: "read", body: "aGk=" },
+            Command::StartRun { id: "a1", job_class: "read", body: "aGk=" },
             r#"{"arg":"aGk=","entry":"read","event":"EXEC","handle":"a1"}"#,
         ),
-        (Command::Stop { id: "a1" }, r#"{"event":"KILL","handle":"a1"}"#),
-        (Command::Reply { id: "a1", body: "aGk=" }, r#"{"arg":"aGk=","event":"RETURN","handle":"a1"}"#),
+        (Command::CancelRun { id: "a1" }, r#"{"event":"KILL","handle":"a1"}"#),
+        (Command::CallReply { id: "a1", body: "aGk=" }, r#"{"arg":"aGk=","event":"RETURN","handle":"a1"}"#),
         (Command::SkipCall { id: "a1", cursor: 5 }, r#"{"cursor":5,"event":"BYPASS","handle":"a1"}"#),
         (Command::Gauges { ticket: "12" }, r#"{"event":"METER","ticket":"12"}"#),
     ];
@@ -229,36 +233,47 @@
 }
 
 #[test]
-fn notices_from_the_executor() {
+fn events_of_the_executor() {
     let decode = |line: &str| executor::decode(line.as_bytes());
     let welcome = decode(r#"{"event":"WELCOME","fate":"new","lasted":5}"#);
-    let Ok(Notice::Welcome { fate, up_for }) = welcome else { panic!("{welcome:?}") };
-    assert_eq!((&*fate, up_for), ("new", Span::from_ms(5.0)));
-    let ends = [("good", RunEnd::Good), ("bad", RunEnd::Bad), ("cut", RunEnd::Cut), ("gone", RunEnd::Gone)];
+    let Ok(Event::Welcome { is_new, uptime }) = welcome else { panic!("{welcome:?}") };
+    assert_eq!((is_new, uptime), (true, Span::from_ms(5.0)));
+    let welcome = decode(r#"{"event":"WELCOME","fate":"old"}"#);
+    let Ok(Event::Welcome { is_new, uptime }) = welcome else { panic!("{welcome:?}") };
+    assert_eq!((is_new, uptime), (false, Span::ZERO));
+    let ends = [
+        ("good", RunEnd::Completed),
+        ("bad", RunEnd::Failed),
+        ("cut", RunEnd::Cancelled),
+        ("gone", RunEnd::Superseded),
+    ];
     for (fate, expected) in ends {
         let line = format!(
             r#"{{"event":"EXIT","cursor":1,"handle":"a1","fate":"{fate}","lasted":9.5,"arg":"b25l"}}"#
         );
         let ended = decode(&line);
-        let Ok(Notice::Ended { cursor, id, end, lasted, body }) = ended else { panic!("{ended:?}") };
+        let Ok(Event::RunEnded { cursor, id, end, elapsed, body }) = ended else { panic!("{ended:?}") };
         assert_eq!((cursor, &*id, end), (1, "a1", expected));
-        assert_eq!((lasted, &*body), (Span::from_ms(9.5), "b25l"));
+        assert_eq!((elapsed, &*body), (Span::from_ms(9.5), "b25l"));
     }
     let at_call = decode(r#"{"event":"CALLOUT","cursor":2,"handle":"a1","arg":"cXVlcnk="}"#);
-    let Ok(Notice::AtCall { cursor, id, body }) = at_call else { panic!("{at_call:?}") };
+    let Ok(Event::CallRequested { cursor, id, body }) = at_call else { panic!("{at_call:?}") };
     assert_eq!((cursor, &*id, &*body), (2, "a1", "cXVlcnk="));
     let gauges = decode(r#"{"event":"METERS","ticket":"12","figures":[3,0.5]}"#);
-    let Ok(Notice::Gauges { ticket, figures }) = gauges else { panic!("{gauges:?}") };
-    assert_eq!((&*ticket, figures), ("12", vec![3.0, 0.5]));
+    let Ok(Event::Gauges { ticket, values }) = gauges else { panic!("{gauges:?}") };
+    assert_eq!((&*ticket, values), ("12", vec![3.0, 0.5]));
     let bad = decode(r#"{"event":"BAD","fate":"EXEC","handle":"a1"}"#);
-    let Ok(Notice::NotDone { command, id }) = bad else { panic!("{bad:?}") };
-    assert_eq!((&*command, id.as_deref()), ("EXEC", Some("a1")));
+    let Ok(Event::CommandRefused { is_start, command, id }) = bad else { panic!("{bad:?}") };
+    assert_eq!((is_start, &*command, id.as_deref()), (true, "EXEC", Some("a1")));
+    let bad = decode(r#"{"event":"BAD","fate":"KILL"}"#);
+    let Ok(Event::CommandRefused { is_start, command, id }) = bad else { panic!("{bad:?}") };
+    assert_eq!((is_start, &*command, id), (false, "KILL", None));
     let log = decode(r#"{"event":"LOG","cursor":3,"fate":"a remark"}"#);
-    let Ok(Notice::Remark { cursor, text }) = log else { panic!("{log:?}") };
+    let Ok(Event::Log { cursor, text }) = log else { panic!("{log:?}") };
     assert_eq!((cursor, &*text), (3, "a remark"));
     let other = decode(r#"{"event":"OTHER","cursor":4}"#);
-    let Ok(Notice::Unknown { event, cursor }) = other else { panic!("{other:?}") };
-    assert_eq!((&*event, cursor), ("OTHER", Some(4)));
+    let Ok(Event::Unknown { name, cursor }) = other else { panic!("{other:?}") };
+    assert_eq!((&*name, cursor), ("OTHER", Some(4)));
 }
 
 #[test]
@@ -266,19 +281,19 @@
     let call = database::encode_call("a1", Span::from_ms(12.2), b"query");
     assert_eq!(call, b"Q a1 13 5\r\nquery\r\n");
     assert_eq!(database::encode_call("a1", Span::ZERO, b""), b"Q a1 1 0\r\n\r\n");
-    assert_eq!(database::encode_give_up("a1"), "X a1\r\n");
-    use database::Reply;
+    assert_eq!(database::encode_cancel("a1"), "X a1\r\n");
+    use database::{Reply, ReplyHead};
     let cases = [
         ("a1 ROWS 5\r\n", Reply::Rows, Some(5)),
-        ("a1 FULL\r\n", Reply::Full, None),
-        ("a1 FAIL\r\n", Reply::Fail, None),
-        ("a1 TIMEOUT\r\n", Reply::Timeout, None),
-        ("a1 NONE\r\n", Reply::Nobody, None),
-        ("a1 FULL 3\r\n", Reply::Full, Some(3)),
+        ("a1 FULL\r\n", Reply::Overloaded, None),
+        ("a1 FAIL\r\n", Reply::Failed, None),
+        ("a1 TIMEOUT\r\n", Reply::TimedOut, None),
+        ("a1 NONE\r\n", Reply::NoSuchRun, None),
+        ("a1 FULL 3\r\n", Reply::Overloaded, Some(3)),
     ];
-    for (line, reply, length) in cases {
+    for (line, reply, body_length) in cases {
         let decoded = database::decode(line.as_bytes()).expect(line);
-        assert_eq!(decoded, ("a1".into(), reply, length), "{line}");
+        assert_eq!(decoded, ReplyHead { id: "a1".into(), reply, body_length }, "{line}");
     }
 }
 
