--- a/crates/hazelgrade-net/src/write_queue.rs
+++ b/crates/hazelgrade-net/src/write_queue.rs
@@ -54,8 +54,8 @@
         self.pushed.notify();
     }
 
-    /// Queues a message that must not be written at `expires_at` or later: if that comes first, the connection ends with
-    /// [`ConnectionEnd::Unsent`], and everything queued is lost with it. `None` sets no limit.
+    /// Queues a message that must not be written at `expires_at` or later: if that comes first, the connection ends
+    /// with [`ConnectionEnd::Unsent`], and everything queued is lost with it. `None` sets no limit.
     pub fn push_with_expiry(&self, message: &[u8], expires_at: Option<Instant>) {
         self.expires_at.set(self.expires_at.get().into_iter().chain(expires_at).min());
         self.push(message);
--- a/crates/hazelgrade-server/src/protocol/jsonrpc/request.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc/request.rs
@@ -8,7 +8,8 @@
 use hazelgrade_settings::Site;
 use serde_json::{Map, Value};
 
-/// The longest line of a client, in bytes: a body of 2 KiB in base64, every character of it escaped, and room for the rest.
+/// The longest line of a client, in bytes: a body of 2 KiB in base64, every character of it escaped, and room for the
+/// rest.
 pub const LONGEST_LINE: usize = 24 * 1024;
 /// The longest body of a job, in bytes before base64.
 const LONGEST_BODY: usize = 2048;
@@ -195,8 +196,8 @@
     ClientMessage::Abort { call_id, job_id: job_id.map(JobId::from) }
 }
 
-/// The index of the job class that a method names. One that is out of use here, or any while this instance has nothing to
-/// serve, may be served by others.
+/// The index of the job class that a method names. One that is out of use here, or any while this instance has
+/// nothing to serve, may be served by others.
 fn find_job_class(call_id: u64, method: &str, site: &Site) -> Result<usize, RequestError> {
     match site.job_class(method) {
         Some((job_class, true)) => Ok(job_class),
--- a/crates/hazelgrade-server/src/protocol/mod.rs
+++ b/crates/hazelgrade-server/src/protocol/mod.rs
@@ -1,5 +1,7 @@
-//! The messages of each peer, decoded once into typed values and encoded once. Names on the wire appear here and nowhere
-//! else. No input, no output.
+//! The messages of each peer, decoded once into typed values and encoded once. Names on the wire appear here and
+//! nowhere else. No input, no output.
+
+#![warn(missing_docs)]
 
 pub mod database;
 pub mod executor;
--- a/crates/hazelgrade-server/src/routing/budget_share.rs
+++ b/crates/hazelgrade-server/src/routing/budget_share.rs
@@ -1,8 +1,9 @@
-//! This node's share of the budgets that all nodes share: its leases, on this machine's monotonic clock, and where they act.
+//! This node's share of the budgets that all nodes share: its leases, on this machine's monotonic clock, and where
+//! they act.
 //!
-//! The controller bounds calls by the lease; right before a call is sent the lease is checked once more, as the process
-//! may have been suspended in between. A tenant's jobs a second and retries are bounded by token buckets; the controller
-//! rejects a job for which there is no token.
+//! The controller bounds calls by the lease; right before a call is sent the lease is checked once more, as the
+//! process may have been suspended in between. A tenant's jobs a second and retries are bounded by token buckets; the
+//! controller rejects a job for which there is no token.
 
 use hazelgrade::api::{CallDemand, CallLease, Job};
 use hazelgrade::statistics::DecayingSum;
@@ -172,8 +173,8 @@
         }
     }
 
-    /// Checks the lease right before a call is sent: until when the call may be handed to the system, or `None` if it may
-    /// not be sent at all.
+    /// Checks the lease right before a call is sent: until when the call may be handed to the system, or `None` if it
+    /// may not be sent at all.
     pub fn call_expiry(&self) -> Option<Instant> {
         let now = self.now();
         let call_budget = self.call_budget.borrow();
--- a/crates/hazelgrade-server/src/routing/callers.rs
+++ b/crates/hazelgrade-server/src/routing/callers.rs
@@ -37,8 +37,8 @@
         self.enabled.get()
     }
 
-    /// Replaces keys, callers and rights from the next job on. With `is_rollback`, `identity` is the set before one that
-    /// failed; what the failed one revoked stays revoked. The error says why the set can't be used.
+    /// Replaces keys, callers and rights from the next job on. With `is_rollback`, `identity` is the set before one
+    /// that failed; what the failed one revoked stays revoked. The error says why the set can't be used.
     pub fn replace(
         &self,
         mut identity: Identity,
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Decides whether a caller may ask for a job. Fills in the tenant where the request doesn't name one, and whether the
-    /// caller is over its rate limit.
+    /// Decides whether a caller may ask for a job. Fills in the tenant where the request doesn't name one, and
+    /// whether the caller is over its rate limit.
     pub fn authorize(&self, now: Time, caller: &Caller, request: &mut JobRequest) -> Result<(), Refused> {
         if !self.enabled.get() {
             return Ok(());
--- a/crates/hazelgrade-server/src/routing/executor_events.rs
+++ b/crates/hazelgrade-server/src/routing/executor_events.rs
@@ -1,8 +1,8 @@
 //! What the executor reports: each event is handled once and passed on to its job.
 //!
 //! The executor numbers its events; the number of the last one that was handled, the cursor, is sent when the link is
-//! opened anew, and the executor repeats all events after it. Commands carry no numbers. Gauges are answered in the order
-//! of commands, so the answer to a request for gauges confirms every command that was sent before it.
+//! opened anew, and the executor repeats all events after it. Commands carry no numbers. Gauges are answered in the
+//! order of commands, so the answer to a request for gauges confirms every command that was sent before it.
 
 use super::controller_driver::ControllerDriver;
 use super::in_flight::{InFlightTable, JobEvent};
@@ -122,8 +122,8 @@
         Ok(is_new)
     }
 
-    /// Ends the link, so that the executor repeats the events after the cursor; the second time for the same cursor goes
-    /// on without.
+    /// Ends the link, so that the executor repeats the events after the cursor; the second time for the same cursor
+    /// goes on without.
     fn request_again(&self) -> Result<(), ConnectionEnd> {
         let cursor = Some(self.cursor.get());
         if self.requested_again_at.replace(cursor) == cursor { Ok(()) } else { Err(ConnectionEnd::Malformed) }
--- a/crates/hazelgrade-server/src/routing/front_end.rs
+++ b/crates/hazelgrade-server/src/routing/front_end.rs
@@ -6,7 +6,7 @@
 use super::in_flight::{JobFingerprint, Responder};
 use super::job;
 use crate::protocol::jsonrpc::{self, Answer, ClientMessage, JobRequest, RequestError};
-use crate::transport::clients::{ClientConnection, ClientConnections};
+use crate::transport::clients::{Accepting, ClientConnection, ClientConnections};
 use crate::transport::tls::Tls;
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -42,19 +42,18 @@
 impl FrontEnd {
     /// Starts to serve an accepted connection.
     pub fn start(self: &Rc<Self>, stream: Async<TcpStream>) {
-        self.connections.accepted();
-        self.tasks.spawn(self.clone().serve(stream)).detach();
+        let accepting = self.connections.accepted();
+        self.tasks.spawn(self.clone().serve(accepting, stream)).detach();
     }
 
     /// Serves one connection until it ends; the callers of its open calls are disconnected then.
-    async fn serve(self: Rc<Self>, stream: Async<TcpStream>) {
+    async fn serve(self: Rc<Self>, accepting: Accepting, stream: Async<TcpStream>) {
         let unknown = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
         let address = stream.get_ref().peer_addr().map_or(unknown, |peer| peer.ip());
         let accepted = match self.tls.accept(stream, self.context.driver.clock.now()).await {
             Ok(accepted) => accepted,
             Err(end) => {
-                tracing::debug!(?end, "handshake failed");
-                return self.connections.accept_done();
+                return tracing::debug!(?end, "handshake failed");
             }
         };
         let known = Known { token: None, certificate: accepted.certificate };
@@ -64,7 +63,7 @@
         };
         let (end, open) = self
             .connections
-            .serve(&self.tasks, accepted.stream, jsonrpc::LONGEST_LINE, on_line, closing_line)
+            .serve(&self.tasks, accepting, accepted.stream, jsonrpc::LONGEST_LINE, on_line, closing_line)
             .await;
         if !open.is_empty() {
             tracing::debug!(?end, jobs = open.len(), "connection ended with open calls");
--- a/crates/hazelgrade-server/src/routing/job.rs
+++ b/crates/hazelgrade-server/src/routing/job.rs
@@ -127,8 +127,8 @@
 }
 
 impl JobTask {
-    /// Notifies the controller of the arrival. With `--log trace` a job can be followed by its id through every instance
-    /// that handled it.
+    /// Notifies the controller of the arrival. With `--log trace` a job can be followed by its id through every
+    /// instance that handled it.
     fn arrived(&self, job: Job) {
         let unread_ms = self.context.driver.clock.now().since(job.received_at).as_ms();
         tracing::trace!(
@@ -254,8 +254,9 @@
         }
     }
 
-    /// Until when a call may be handed to the system. The process may have been suspended since the controller decided on
-    /// the call, and this node's share of the budget may belong to another node by now: then there is none.
+    /// Until when a call may be handed to the system. The process may have been suspended since the controller
+    /// decided on the call, and this node's share of the budget may belong to another node by now: then there is
+    /// none.
     fn call_expiry(&self) -> Result<Option<Instant>, BudgetShareExpired> {
         match self.context.driver.budget_share() {
             Some(share) => share.call_expiry().map(Some).ok_or(BudgetShareExpired),
--- a/crates/hazelgrade-server/src/routing/mod.rs
+++ b/crates/hazelgrade-server/src/routing/mod.rs
@@ -1,8 +1,11 @@
-//! The way of a request: from the client's connection through the controller to the executor and the database, and back.
+//! The way of a request: from the client's connection through the controller to the executor and the database, and
+//! back.
 //!
 //! `front_end` admits what clients send; each admitted job is a task of its own (`job`), driven by events that
 //! `controller_driver`, `executor_events` and `dependency_calls` send it by way of the `in_flight` table.
 
+#![warn(missing_docs)]
+
 pub mod budget_share;
 pub mod callers;
 pub mod clock;
--- a/crates/hazelgrade-server/src/routing/result_cache.rs
+++ b/crates/hazelgrade-server/src/routing/result_cache.rs
@@ -8,8 +8,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{BuildHasher, RandomState};
 
-/// What makes two requests attempts at one job: job class, tenant, idempotency key, and body. The key alone is no proof:
-/// whoever has seen it could ask for the result with another body, or take its place with a job that nobody asked for.
+/// What makes two requests attempts at one job: job class, tenant, idempotency key, and body. The key alone is no
+/// proof: whoever has seen it could ask for the result with another body, or take its place with a job that nobody
+/// asked for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobKey {
     job_class: usize,
--- a/crates/hazelgrade-server/src/transport/clients/connection.rs
+++ b/crates/hazelgrade-server/src/transport/clients/connection.rs
@@ -141,8 +141,8 @@
         self.health_checks.get()
     }
 
-    /// The peer came back for another health check, so it is likely to decide by them whether clients are sent here. One
-    /// that asked once and stays is as idle as one that never asked.
+    /// The peer came back for another health check, so it is likely to decide by them whether clients are sent here.
+    /// One that asked once and stays is as idle as one that never asked.
     pub(super) fn watches_health(&self) -> bool {
         !self.trusted.get() && self.health_checks.get() > 1
     }
@@ -176,7 +176,8 @@
         self.last_used.get()
     }
 
-    /// Nothing is outstanding: all that was read has been handled, no call is open, every answer was handed to the system.
+    /// Nothing is outstanding: all that was read has been handled, no call is open, every answer was handed to the
+    /// system.
     pub fn is_idle(&self) -> bool {
         self.reader_waits.get() && !self.has_open_calls() && self.write_queue.pending() == 0
     }
--- a/crates/hazelgrade-server/src/transport/clients/eviction.rs
+++ b/crates/hazelgrade-server/src/transport/clients/eviction.rs
@@ -22,9 +22,9 @@
 }
 
 /// Closes some idle connections, those that were idle for longest: first of strangers, then of those that watch this
-/// instance's health, last of trusted ones. While some of a rank are only too young they are waited for, which is short;
-/// with more than a few that watch health all of these count as strangers. `accepting` connections are expected to be
-/// strangers.
+/// instance's health, last of trusted ones. While some of a rank are only too young they are waited for, which is
+/// short; with more than a few that watch health all of these count as strangers. `accepting` connections are
+/// expected to be strangers.
 pub(super) fn evict_idle<T: Clone + PartialEq>(connections: &[Rc<ClientConnection<T>>], accepting: usize) {
     let half_closed = connections.iter().filter(|connection| connection.half_closed.get());
     let closing = half_closed.map(|connection| connection.linger_aborted.notify()).count();
--- a/crates/hazelgrade-server/src/transport/clients/reader.rs
+++ b/crates/hazelgrade-server/src/transport/clients/reader.rs
@@ -16,8 +16,8 @@
 /// The pause between two messages of a connection that is read slowly: its peer may retry at once, and reading it would
 /// keep others waiting.
 const THROTTLE_PAUSE: Duration = Duration::from_millis(25);
-/// How long a connection is still read after its half-close, so that its peer receives what it was sent: closing a socket
-/// with unread bytes resets it.
+/// How long a connection is still read after its half-close, so that its peer receives what it was sent: closing a
+/// socket with unread bytes resets it.
 const LINGER: Duration = Duration::from_millis(300);
 /// How many bytes are read then; a peer that sends more is reset.
 const LINGER_BYTES: usize = 128 * 1024;
@@ -105,8 +105,8 @@
         self.write_queue.flushed().await;
     }
 
-    /// After the half-close: reads and drops what the peer still sends, until it closes, sends too much, takes too long,
-    /// or there is no room for further connections.
+    /// After the half-close: reads and drops what the peer still sends, until it closes, sends too much, takes too
+    /// long, or there is no room for further connections.
     async fn linger(&self, source: &mut BufReader<impl AsyncRead + Unpin>) {
         let drop_rest = async {
             let mut bytes_left = LINGER_BYTES;
--- a/crates/hazelgrade-server/src/transport/clients/table.rs
+++ b/crates/hazelgrade-server/src/transport/clients/table.rs
@@ -19,12 +19,29 @@
 /// A connection that was used within this time may have a message on the way that crosses its close.
 const MIN_IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(50);
 
+/// A connection that was accepted and is not in the table yet; it counts as one until this is dropped.
+#[must_use = "the connection counts until this is dropped"]
+pub struct Accepting(Rc<Cell<usize>>);
+
+impl Accepting {
+    fn new(count: &Rc<Cell<usize>>) -> Accepting {
+        count.set(count.get() + 1);
+        Accepting(count.clone())
+    }
+}
+
+impl Drop for Accepting {
+    fn drop(&mut self) {
+        self.0.set(self.0.get().saturating_sub(1));
+    }
+}
+
 /// All connections of clients; `T` is what is known of an open call.
 pub struct ClientConnections<T> {
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection<T>>>>,
     last_number: Cell<u64>,
     /// Accepted, and not in the table yet.
-    accepting: Cell<usize>,
+    accepting: Rc<Cell<usize>>,
     /// Connections that may be open at once.
     pub max_connections: usize,
     /// What each new connection is sent first.
@@ -39,7 +56,7 @@
         ClientConnections {
             connections: RefCell::default(),
             last_number: Cell::new(0),
-            accepting: Cell::new(0),
+            accepting: Rc::default(),
             max_connections,
             greeting: RefCell::default(),
             closed_for_violation: Cell::new(0),
@@ -51,14 +68,9 @@
         self.connections.borrow().len() + self.accepting.get()
     }
 
-    /// Counts a connection that was accepted; [`ClientConnections::serve`] or [`ClientConnections::accept_done`] follows.
-    pub fn accepted(&self) {
-        self.accepting.set(self.accepting.get() + 1);
-    }
-
-    /// An accepted connection is in the table now, or has ended before that.
-    pub fn accept_done(&self) {
-        self.accepting.set(self.accepting.get().saturating_sub(1));
+    /// Counts a connection that was accepted, until it is served or ends before that.
+    pub fn accepted(&self) -> Accepting {
+        Accepting::new(&self.accepting)
     }
 
     /// Sends a message to all clients, and to each that connects from now on.
@@ -73,8 +85,8 @@
         self.accepting.get() == 0 && connections.values().all(|connection| connection.is_idle())
     }
 
-    /// Closes all idle connections, whose peers were told that the instance drains. One that was just opened may have its
-    /// message on the way.
+    /// Closes all idle connections, whose peers were told that the instance drains. One that was just opened may have
+    /// its message on the way.
     pub fn close_idle(&self) {
         for connection in self.connections.borrow().values() {
             if connection.idle_for() >= MIN_IDLE_BEFORE_CLOSE && connection.can_close() {
@@ -108,6 +120,7 @@
     pub async fn serve(
         &self,
         tasks: &LocalExecutor<'static>,
+        accepting: Accepting,
         stream: SplitStream,
         max_line_bytes: usize,
         on_line: impl AsyncFn(&Rc<ClientConnection<T>>, &[u8]),
@@ -122,7 +135,7 @@
             connection.send(greeting);
         }
         self.connections.borrow_mut().insert(number, connection.clone());
-        self.accept_done();
+        drop(accepting);
         // A peer that takes nothing can't be told that its connection is closed.
         let stalled = async {
             connection.write_stalled.notified().await;
--- a/crates/hazelgrade-server/src/transport/database.rs
+++ b/crates/hazelgrade-server/src/transport/database.rs
@@ -1,5 +1,5 @@
-//! Connections to the database: a small set, opened as calls need them. Calls are spread over them, so that a connection
-//! that breaks or can't be decoded loses few calls, as a rule one. Whose calls they are is not known here.
+//! Connections to the database: a small set, opened as calls need them. Calls are spread over them, so that a
+//! connection that breaks or can't be decoded loses few calls, as a rule one. Whose calls they are is not known here.
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Sends a call on a connection that is none of `excluded`, and gives its number. A call that can't be handed to the
-    /// system before `expires_at` is not sent.
+    /// Sends a call on a connection that is none of `excluded`, and gives its number. A call that can't be handed to
+    /// the system before `expires_at` is not sent.
     pub fn call<T: ReplyHandler + 'static>(
         self: &Rc<Self>,
         tasks: &Rc<LocalExecutor<'static>>,
--- a/crates/hazelgrade-server/src/transport/executor.rs
+++ b/crates/hazelgrade-server/src/transport/executor.rs
@@ -20,8 +20,8 @@
 /// When the executor has moved, the old link is left once the executor has confirmed all that was sent on it, or after
 /// this time; the executor keeps it open for longer.
 const OLD_LINK_TIMEOUT: Duration = Duration::from_millis(200);
-/// A link that has been up is broken if nothing comes for so long after something was sent. A new one replaces it, and the
-/// runs go on.
+/// A link that has been up is broken if nothing comes for so long after something was sent. A new one replaces it,
+/// and the runs go on.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What is sent and received on the link.
--- a/crates/hazelgrade-server/src/transport/listener.rs
+++ b/crates/hazelgrade-server/src/transport/listener.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// Takes the connections that the system has accepted already, as far as there is room, without waiting for more; `true`
-/// once there are none left.
+/// Takes the connections that the system has accepted already, as far as there is room, without waiting for more;
+/// `true` once there are none left.
 pub fn take_backlog<T: Clone + PartialEq>(
     listener: &Async<TcpListener>,
     connections: &ClientConnections<T>,
--- a/crates/hazelgrade-server/src/transport/registry.rs
+++ b/crates/hazelgrade-server/src/transport/registry.rs
@@ -5,8 +5,8 @@
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 
-/// Sends to the registry. The socket is not connected: an address that can't be reached now does not stop the start, and
-/// the error of an earlier datagram does not stop a later one.
+/// Sends to the registry. The socket is not connected: an address that can't be reached now does not stop the start,
+/// and the error of an earlier datagram does not stop a later one.
 pub struct Registry {
     socket: Async<UdpSocket>,
     address: Cell<SocketAddr>,
--- a/crates/hazelgrade-server/src/transport/tls.rs
+++ b/crates/hazelgrade-server/src/transport/tls.rs
@@ -1,5 +1,5 @@
-//! TLS on the connections of clients: handshakes bounded in number, time and bytes, and a configuration that is replaced
-//! while connections are open. While there is none, connections are plain.
+//! TLS on the connections of clients: handshakes bounded in number, time and bytes, and a configuration that is
+//! replaced while connections are open. While there is none, connections are plain.
 
 use async_channel::{Receiver, Sender, bounded};
 use async_io::{Async, Timer};
@@ -72,20 +72,20 @@
             return Ok(Accepted { stream: SplitStream::plain(stream), certificate: None });
         };
         let _ = stream.get_ref().set_nodelay(true);
-        let (number, aborted) = self.begin_handshake(now);
+        let (mut handshake, aborted) = self.begin_handshake(now);
         let socket = Rc::new(stream);
-        let done = shake_hands(config, &socket, aborted).await;
-        self.handshakes.borrow_mut().over(number, done.is_ok());
-        self.aborts.borrow_mut().remove(&number);
-        let stream = done?;
+        let stream = shake_hands(config, &socket, aborted).await?;
+        handshake.succeeded = true;
+        drop(handshake);
         let certificate = read_certificate(&stream)?;
         let (reader, writer) = split(stream);
         let stream = SplitStream { reader: Box::new(reader), writer: Box::new(writer), socket };
         Ok(Accepted { stream, certificate })
     }
 
-    /// Adds a handshake; with too many in progress the slowest is ended. Gives its number, and what ends it.
-    fn begin_handshake(&self, now: Time) -> (u64, Receiver<()>) {
+    /// Adds a handshake; with too many in progress the slowest is ended. What it gives second
+    /// is notified when this one is to end.
+    fn begin_handshake(&self, now: Time) -> (HandshakeGuard<'_>, Receiver<()>) {
         let (number, _, makes_room) = self.handshakes.borrow_mut().begin(now);
         let (abort, aborted) = bounded(1);
         self.aborts.borrow_mut().insert(number, abort);
@@ -93,7 +93,21 @@
             // Full or closed means that it is over already.
             let _ = slowest.try_send(());
         }
-        (number, aborted)
+        (HandshakeGuard { tls: self, number, succeeded: false }, aborted)
+    }
+}
+
+/// A handshake in progress; it is over when this is dropped.
+struct HandshakeGuard<'a> {
+    tls: &'a Tls,
+    number: u64,
+    succeeded: bool,
+}
+
+impl Drop for HandshakeGuard<'_> {
+    fn drop(&mut self) {
+        self.tls.handshakes.borrow_mut().over(self.number, self.succeeded);
+        self.tls.aborts.borrow_mut().remove(&self.number);
     }
 }
 
--- a/crates/hazelgrade-server/tests/instance/crossings.rs
+++ b/crates/hazelgrade-server/tests/instance/crossings.rs
@@ -62,7 +62,7 @@
         let near = Async::new(listener.accept().expect("connected").0).expect("a socket");
         let (tasks, clients, lines) = (self.tasks.clone(), self.clients.clone(), self.lines.clone());
         let last = self.last.clone();
-        clients.accepted();
+        let accepting = clients.accepted();
         let serve = async move {
             let on_line = async |client: &Rc<ClientConnection<u64>>, line: &[u8]| {
                 lines.borrow_mut().push(String::from_utf8_lossy(line).trim_end().to_owned());
@@ -75,7 +75,7 @@
                 }
                 client.send("answer\n");
             };
-            clients.serve(&tasks, SplitStream::plain(near), 1000, on_line, |_| None).await;
+            clients.serve(&tasks, accepting, SplitStream::plain(near), 1000, on_line, |_| None).await;
         };
         self.tasks.spawn(serve).detach();
         far.set_nonblocking(true).expect("a socket");
@@ -168,8 +168,9 @@
     }));
 }
 
-/// Found by the sockets' rude day: with a table full of connections that had asked for one health check and stayed, eviction
-/// waited as long as any other connection was young, so that four were accepted a second and the system's queue was lost.
+/// Found by the sockets' rude day: with a table full of connections that had asked for one health check and stayed,
+/// eviction waited as long as any other connection was young, so that four were accepted a second and the system's
+/// queue was lost.
 #[test]
 fn connections_with_one_health_check_are_evicted_at_once_and_those_with_repeated_checks_after_them() {
     let harness = ConnectionHarness::new();
@@ -274,9 +275,9 @@
             harness.ask(far, "job\n", 1).await;
         }
         Timer::after(IDLE).await;
-        harness.clients.accepted();
+        let accepting = harness.clients.accepted();
         assert_eq!(harness.ended(&[&one, &other]).await, [0; 0]);
-        harness.clients.accept_done();
+        drop(accepting);
         assert_eq!(harness.ended(&[&one, &other]).await, [0]);
     }));
 }
@@ -298,8 +299,8 @@
     }));
 }
 
-/// Two idle clients see the end of a drain, the second with half a message written, and go on writing: `true` if neither was
-/// reset.
+/// Two idle clients see the end of a drain, the second with half a message written, and go on writing: `true` if
+/// neither was reset.
 fn end_of_a_drain_resets_nothing() -> bool {
     let mut instance = Instance::start();
     let (mut link, mut idle) = instance.ready();
@@ -424,8 +425,8 @@
         Waits { child, pipe, whole: configuration.to_string(), listen }
     }
 
-    /// Opens the pipe, which is done once it reads at the other end; sends a signal then, puts a file in the pipe's place for
-    /// whoever reads it again, and lets it go on.
+    /// Opens the pipe, which is done once it reads at the other end; sends a signal then, puts a file in the pipe's
+    /// place for whoever reads it again, and lets it go on.
     fn signal_while_it_reads(&mut self, name: &str, next: &Value) {
         let mut pipe = std::fs::OpenOptions::new().write(true).open(&self.pipe).expect("it reads");
         let id = self.child.id().to_string();
--- a/crates/hazelgrade-server/tests/instance/fleet.rs
+++ b/crates/hazelgrade-server/tests/instance/fleet.rs
@@ -83,8 +83,8 @@
     wait_until(|| served(members).iter().zip(&before).all(|(now, before)| *now >= before + more));
 }
 
-/// Each keeps to its own share, whatever it knows of the others, so that together they never exceed the limit: not during
-/// warm-up, nor past capacity, nor when half of them are killed and restarted.
+/// Each keeps to its own share, whatever it knows of the others, so that together they never exceed the limit: not
+/// during warm-up, nor past capacity, nor when half of them are killed and restarted.
 #[test]
 fn calls_of_twenty_processes_never_exceed_the_shared_limit_at_any_instant() {
     let _alone = alone();
--- a/crates/hazelgrade-server/tests/instance/process.rs
+++ b/crates/hazelgrade-server/tests/instance/process.rs
@@ -30,9 +30,9 @@
     })
 }
 
-/// Its sockets that the kernel doesn't list as TCP or UDP over IPv4, and what else of its descriptors is of a kind that
-/// the trial's page refuses. A pair without a name, over which signals are handed on inside the process, is nothing that
-/// anyone could come to.
+/// Its sockets that the kernel doesn't list as TCP or UDP over IPv4, and what else of its descriptors is of a kind
+/// that the trial's page refuses. A pair without a name, over which signals are handed on inside the process, is
+/// nothing that anyone could come to.
 fn odd_descriptors(process: u32) -> Vec<String> {
     let mut known = BTreeSet::new();
     for table in ["net/tcp", "net/udp"] {
--- a/crates/hazelgrade-server/tests/instance/serving.rs
+++ b/crates/hazelgrade-server/tests/instance/serving.rs
@@ -434,25 +434,24 @@
     let address = listener.get_ref().local_addr().expect("bound");
     let early: Vec<_> = (0..3).map(|_| std::net::TcpStream::connect(address).expect("accepted")).collect();
     let clients: ClientConnections<JobId> = ClientConnections::new(2);
+    let accepting = std::cell::RefCell::new(Vec::new());
     let taken = || {
-        let taken = std::cell::Cell::new(0);
-        let all = take_backlog(&listener, &clients, |_| {
-            clients.accepted();
-            taken.set(taken.get() + 1);
-        });
-        (taken.get(), all)
+        let before = accepting.borrow().len();
+        let all = take_backlog(&listener, &clients, |_| accepting.borrow_mut().push(clients.accepted()));
+        (accepting.borrow().len() - before, all)
     };
     assert_eq!(taken(), (2, false));
     // Only as connections end: the rest stays in the system's queue.
-    clients.accept_done();
+    drop(accepting.borrow_mut().pop());
     assert_eq!(taken(), (1, false));
-    clients.accept_done();
+    drop(accepting.borrow_mut().pop());
     assert_eq!(taken(), (0, true));
     drop(early);
 }
 
-/// Found by groups of processes under faults: jobs that were unread past their deadline while the process was suspended counted
-/// as invalid messages, and after five of them the connection was closed with all other calls on it.
+/// Found by groups of processes under faults: jobs that were unread past their deadline while the process was
+/// suspended counted as invalid messages, and after five of them the connection was closed with all other calls on
+/// it.
 #[test]
 fn jobs_unread_while_the_process_was_suspended_are_not_counted_against_their_caller() {
     let instance = Instance::start_with(|configuration| {
--- a/crates/hazelgrade-server/tests/recorded_messages.rs
+++ b/crates/hazelgrade-server/tests/recorded_messages.rs
@@ -1,5 +1,5 @@
-//! Every line that an instance sends or reads, byte for byte: clients, executor, database, registry. The peers are other
-//! programs, so a name inside this one may change and a line may not.
+//! Every line that an instance sends or reads, byte for byte: clients, executor, database, registry. The peers are
+//! other programs, so a name inside this one may change and a line may not.
 
 use hazelgrade::api::Idempotency;
 use hazelgrade::time::Span;
