--- a/crates/hazelgrade-demo/src/measure/streaming.rs
+++ b/crates/hazelgrade-demo/src/measure/streaming.rs
@@ -15,7 +15,7 @@
 use hazelgrade_fakes::executor::Work;
 use hazelgrade_fakes::world::{World, callers};
 use hazelgrade_fakes::{comes_true, free_address, node::settings};
-use hazelgrade_net::bell::Bell;
+use hazelgrade_net::notify::Notify;
 use hazelgrade_store::Store;
 use hazelgrade_stream::admission::Admission;
 use hazelgrade_stream::backoff::Backoff;
@@ -152,7 +152,7 @@
             host,
             control_services: vec![control],
             executor: tasks.clone(),
-            drain_started: Rc::new(Bell::default()),
+            drain_started: Rc::new(Notify::default()),
         };
         tasks.spawn(async move { follow.run(subscriber, first).await }).detach();
     }
--- a/crates/hazelgrade-fault-injection/src/subscriber_fleet.rs
+++ b/crates/hazelgrade-fault-injection/src/subscriber_fleet.rs
@@ -7,7 +7,7 @@
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::operator::Trial;
 use hazelgrade_config::{Document, Kind};
-use hazelgrade_net::bell::Bell;
+use hazelgrade_net::notify::Notify;
 use hazelgrade_stream::backoff::Backoff;
 use hazelgrade_stream::client::{Host, SubscriberClient};
 use hazelgrade_stream::stored::StoredState;
@@ -79,7 +79,7 @@
                     };
                     let mut first = Vec::new();
                     let subscriber = Subscriber::start(host.now(), start, &mut first);
-                    let leaving = Rc::new(Bell::default());
+                    let leaving = Rc::new(Notify::default());
                     let follow = SubscriberClient {
                         host,
                         control_services: vec![control],
--- a/crates/hazelgrade-server/src/program/budgets.rs
+++ b/crates/hazelgrade-server/src/program/budgets.rs
@@ -5,9 +5,9 @@
 use super::serving_document::InitialConfiguration;
 use super::store::SharedStore;
 use super::subscription::{StartedSubscription, Subscription};
-use crate::routing::budgets::Seat;
-use crate::routing::job::Parts;
-use crate::routing::rounds::Event;
+use crate::routing::budget_share::BudgetShare;
+use crate::routing::context::RequestContext;
+use crate::routing::controller_driver::ControllerEvent;
 use futures_lite::future::{BoxedLocal, FutureExt};
 use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::Time;
@@ -38,13 +38,13 @@
     stream: &StreamConfig,
     initial: &InitialConfiguration,
     deployment: &Deployment,
-    parts: &Rc<Parts>,
+    parts: &Rc<RequestContext>,
     clock_rate: f64,
 ) -> Result<BudgetSubscription, String> {
     let document = config.document.as_deref().map(|path| documents::read(Kind::Budgets, path)).transpose()?;
     let seat = Rc::new(node_part(config, deployment, parts, clock_rate));
-    seat.bind(&BTreeMap::new());
-    parts.rounds.by_budgets(seat.clone());
+    seat.set_budgets(&BTreeMap::new());
+    parts.driver.set_budget_share(seat.clone());
     let store = initial.store.clone();
     let subscription = Subscription {
         kind: Kind::Budgets,
@@ -54,12 +54,17 @@
         stored: store.stored_state(Kind::Budgets),
         initial: document,
     };
-    let started = subscription.start(parts.rounds.clock.now());
+    let started = subscription.start(parts.driver.clock.now());
     let host = BudgetHost { parts: parts.clone(), seat, store, counted: Cell::default() };
     Ok(BudgetSubscription { started, host })
 }
 
-fn node_part(config: &BudgetConfig, deployment: &Deployment, parts: &Parts, clock_rate: f64) -> Seat {
+fn node_part(
+    config: &BudgetConfig,
+    deployment: &Deployment,
+    parts: &RequestContext,
+    clock_rate: f64,
+) -> BudgetShare {
     // Two processes of one name are two holders, so the incarnation can't come from the name or the seed.
     let incarnation = RandomState::new().hash_one((SystemTime::now(), std::process::id()));
     let holder = Holder::new(
@@ -70,13 +75,13 @@
         MultiplyWithCarry::new(incarnation),
     );
     let linger = parts.site.borrow().linger;
-    Seat::new(holder, config.call_budget.clone(), linger, clock_rate)
+    BudgetShare::new(holder, config.call_budget.clone(), linger, clock_rate)
 }
 
 /// What a document of budgets, and leases, change of a node.
 pub struct BudgetHost {
-    parts: Rc<Parts>,
-    seat: Rc<Seat>,
+    parts: Rc<RequestContext>,
+    seat: Rc<BudgetShare>,
     store: SharedStore,
     counted: Cell<CountedJobs>,
 }
@@ -91,16 +96,16 @@
 impl BudgetHost {
     /// Tells the controller what this node may use now.
     fn update_allowance(&self) {
-        let rounds = &self.parts.rounds;
-        if let Some(allowance) = self.seat.allowance(rounds.clock.now()) {
-            rounds.tell(Event::Allowed(allowance));
+        let rounds = &self.parts.driver;
+        if let Some(allowance) = self.seat.call_lease(rounds.clock.now()) {
+            rounds.notify(ControllerEvent::LeaseUpdated(allowance));
         }
     }
 }
 
 impl Host for BudgetHost {
     fn now(&self) -> Time {
-        self.parts.rounds.clock.now()
+        self.parts.driver.clock.now()
     }
 
     fn store(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
@@ -108,13 +113,13 @@
     }
 
     fn apply(&self, document: Option<&Document>, _is_rollback: bool) -> Result<(), String> {
-        self.seat.bind(&document.map(terms::read).unwrap_or_default());
+        self.seat.set_budgets(&document.map(terms::read).unwrap_or_default());
         self.update_allowance();
         Ok(())
     }
 
     fn sample(&self) -> Sample {
-        let tally = *self.parts.tally.borrow();
+        let tally = *self.parts.counters.borrow();
         let counted = CountedJobs {
             answered: tally.succeeded + tally.rejected + tally.failed,
             succeeded: tally.succeeded,
@@ -123,12 +128,12 @@
         Sample {
             answered: counted.answered.saturating_sub(before.answered) as f64,
             succeeded: counted.succeeded.saturating_sub(before.succeeded) as f64,
-            executor_connected: self.parts.link.is_up(),
+            executor_connected: self.parts.executor.is_up(),
         }
     }
 
     fn next_message(&self) -> Option<SubscriberMessage> {
-        let request = self.seat.ask()?;
+        let request = self.seat.due_request()?;
         // A node that drains has given units back by saying so.
         if request.leaving {
             self.update_allowance();
@@ -137,12 +142,12 @@
     }
 
     fn next_message_at(&self) -> Option<Time> {
-        Some(self.seat.asks_at(self.parts.rounds.clock.now()))
+        Some(self.seat.next_request_at(self.parts.driver.clock.now()))
     }
 
     fn message_ready(&self) -> BoxedLocal<()> {
         let seat = self.seat.clone();
-        async move { seat.stirred().await }.boxed_local()
+        async move { seat.changed().await }.boxed_local()
     }
 
     fn on_connected(&self) {
@@ -152,7 +157,7 @@
     fn on_message(&self, published: &PublisherMessage) {
         match published {
             PublisherMessage::LeaseGrant(grant) => {
-                if self.seat.granted(grant) {
+                if self.seat.apply_grant(grant) {
                     self.update_allowance();
                 } else {
                     tracing::debug!(count = grant.count, "a grant that is not the latest");
--- a/crates/hazelgrade-server/src/program/configuration.rs
+++ b/crates/hazelgrade-server/src/program/configuration.rs
@@ -148,7 +148,7 @@
 impl Deployment {
     /// Connections to the dependency that may be open at once: with few descriptors, half of those not reserved.
     pub fn max_dependency_connections(&self) -> usize {
-        database::MOST.min(self.sockets.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(1)
+        database::MAX_CONNECTIONS.min(self.sockets.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(1)
     }
 
     /// Client connections that may be open at once.
--- a/crates/hazelgrade-server/src/program/drain.rs
+++ b/crates/hazelgrade-server/src/program/drain.rs
@@ -2,13 +2,13 @@
 
 use super::serve::Services;
 use crate::protocol::jsonrpc;
-use crate::routing::front::Front;
-use crate::routing::rounds::Event;
+use crate::routing::controller_driver::ControllerEvent;
+use crate::routing::front_end::FrontEnd;
 use crate::transport::listener::take_backlog;
 use async_executor::Task;
 use async_io::{Async, Timer};
 use hazelgrade::time::{Span, Time};
-use hazelgrade_net::bell::Bell;
+use hazelgrade_net::notify::Notify;
 use std::net::TcpListener;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -24,16 +24,16 @@
 /// Tells the subscriptions to documents that the node drains.
 #[derive(Default)]
 pub struct DrainNotices {
-    pub serving: Rc<Bell>,
-    pub identity: Rc<Bell>,
-    pub budgets: Rc<Bell>,
+    pub serving: Rc<Notify>,
+    pub identity: Rc<Notify>,
+    pub budgets: Rc<Notify>,
 }
 
 impl DrainNotices {
     fn notify(&self) {
-        self.serving.ring();
-        self.identity.ring();
-        self.budgets.ring();
+        self.serving.notify();
+        self.identity.notify();
+        self.budgets.notify();
     }
 }
 
@@ -66,21 +66,21 @@
 fn announce(services: &Services, notices: &DrainNotices) {
     services.is_draining.set(true);
     notices.notify();
-    if let Some(seat) = services.rounds.seat() {
-        seat.leave();
+    if let Some(seat) = services.rounds.budget_share() {
+        seat.start_drain();
     }
-    services.rounds.beat_now();
+    services.rounds.request_heartbeat();
 }
 
 struct Drain<'a> {
-    front: &'a Rc<Front>,
+    front: &'a Rc<FrontEnd>,
     began: Instant,
     stop: Duration,
 }
 
 impl Drain<'_> {
-    fn new(front: &Rc<Front>, requested_at: Time, stop: Duration) -> Drain<'_> {
-        let elapsed = front.parts.rounds.clock.now().since(requested_at);
+    fn new(front: &Rc<FrontEnd>, requested_at: Time, stop: Duration) -> Drain<'_> {
+        let elapsed = front.context.driver.clock.now().since(requested_at);
         let elapsed = Duration::from_secs_f64(elapsed.as_ms() / 1000.0).min(stop);
         let began = Instant::now().checked_sub(elapsed).unwrap_or_else(Instant::now);
         Drain { front, began, stop }
@@ -92,28 +92,28 @@
 
     /// No answer is owed, and all that was written has left the process.
     fn is_settled(&self) -> bool {
-        self.front.parts.hand.owed() == 0 && self.front.clients.all_quiet()
+        self.front.context.in_flight.unanswered() == 0 && self.front.connections.all_idle()
     }
 
     fn tell_controller_and_clients(&self, requested_at: Time) {
-        let parts = &self.front.parts;
+        let parts = &self.front.context;
         let stop_at = requested_at + Span::from_ms(self.stop.as_secs_f64() * 1000.0);
         tracing::info!(
-            in_flight = parts.hand.count(),
-            unanswered = parts.hand.owed(),
+            in_flight = parts.in_flight.count(),
+            unanswered = parts.in_flight.unanswered(),
             stop_ms = self.stop.as_millis(),
             "draining"
         );
-        parts.rounds.begin();
-        parts.rounds.tell(Event::Leaving(stop_at));
-        self.front.clients.tell_all(jsonrpc::DRAINING);
+        parts.driver.start_rounds();
+        parts.driver.notify(ControllerEvent::DrainStarted(stop_at));
+        self.front.connections.broadcast(jsonrpc::DRAINING);
     }
 
     async fn wait_for_clients_to_leave(&self) {
         let mut no_clients_since: Option<Instant> = None;
         while self.elapsed() + LISTENER_CLOSES_BEFORE_STOP < self.stop {
             Timer::after(POLL_INTERVAL).await;
-            if self.front.clients.count() > 0 || !self.is_settled() {
+            if self.front.connections.count() > 0 || !self.is_settled() {
                 no_clients_since = None;
                 continue;
             }
@@ -125,7 +125,7 @@
     }
 
     async fn take_backlog(&self, listener: &Async<TcpListener>) {
-        let clients = &self.front.clients;
+        let clients = &self.front.connections;
         while !take_backlog(listener, clients, |stream| self.front.start(stream))
             && self.elapsed() < self.stop
         {
@@ -137,23 +137,23 @@
     /// The controller's last answers come shortly before the stop. A connection on which nothing is owed is closed as
     /// any other, so that nothing on its way to the peer is lost with the process.
     async fn write_last_answers(&self) {
-        let clients = &self.front.clients;
+        let clients = &self.front.connections;
         while clients.count() > 0 || !self.is_settled() {
             let reserve = if self.is_settled() { EXITS_BEFORE_STOP } else { Duration::ZERO };
             if self.elapsed() >= self.stop.saturating_sub(reserve) {
                 break;
             }
             Timer::after(POLL_INTERVAL).await;
-            clients.end_quiet();
+            clients.close_idle();
         }
     }
 
     fn log_end(&self) {
-        let parts = &self.front.parts;
+        let parts = &self.front.context;
         tracing::info!(
-            tally = ?*parts.tally.borrow(),
-            unanswered = parts.hand.owed(),
-            connections = self.front.clients.count(),
+            tally = ?*parts.counters.borrow(),
+            unanswered = parts.in_flight.unanswered(),
+            connections = self.front.connections.count(),
             after_ms = self.elapsed().as_millis(),
             "drained"
         );
--- a/crates/hazelgrade-server/src/program/identity.rs
+++ b/crates/hazelgrade-server/src/program/identity.rs
@@ -5,7 +5,7 @@
 use super::serving_document::InitialConfiguration;
 use super::store::SharedStore;
 use super::subscription::{StartedSubscription, Subscription};
-use crate::routing::job::Parts;
+use crate::routing::context::RequestContext;
 use async_io::Timer;
 use futures_lite::future::BoxedLocal;
 use hazelgrade::time::Time;
@@ -25,14 +25,14 @@
 
 /// Makes the node go by an identity document. `is_rollback`: after a version that failed; what that one revoked stays
 /// revoked.
-fn apply(document: &Document, parts: &Parts, is_rollback: bool) -> Result<(), String> {
+fn apply(document: &Document, parts: &RequestContext, is_rollback: bool) -> Result<(), String> {
     let identity = Identity::of(document)?;
-    let now = parts.rounds.clock.now();
+    let now = parts.driver.clock.now();
     parts.callers.replace(identity, &parts.site.borrow(), now, is_rollback).map_err(str::to_owned)
 }
 
 /// Reads the identity document again, on SIGHUP; one that is wrong changes nothing.
-pub fn reload(path: &Path, parts: &Parts) {
+pub fn reload(path: &Path, parts: &RequestContext) {
     let applied = documents::read(Kind::Identity, path).and_then(|document| apply(&document, parts, false));
     match applied {
         Ok(()) => tracing::info!(path = %path.display(), "identities reloaded"),
@@ -41,10 +41,10 @@
 }
 
 /// Logs denied requests until it is dropped.
-pub async fn log_denied_requests(parts: &Parts) {
+pub async fn log_denied_requests(parts: &RequestContext) {
     loop {
         Timer::after(AUDIT_INTERVAL).await;
-        parts.callers.audit(parts.rounds.clock.now());
+        parts.callers.audit(parts.driver.clock.now());
     }
 }
 
@@ -60,9 +60,9 @@
     stream: Option<&StreamConfig>,
     initial: Option<&InitialConfiguration>,
     deployment: &Deployment,
-    parts: &Rc<Parts>,
+    parts: &Rc<RequestContext>,
 ) -> Result<Option<IdentitySubscription>, String> {
-    parts.callers.switch_on();
+    parts.callers.enable();
     let mut host_settings = (**parts.site.borrow()).clone();
     host_settings.authenticates_callers = true;
     parts.site.replace(Rc::new(host_settings));
@@ -83,14 +83,14 @@
         stored: store.stored_state(Kind::Identity),
         initial: document,
     };
-    let started = subscription.start(parts.rounds.clock.now());
+    let started = subscription.start(parts.driver.clock.now());
     let host = IdentityHost { parts: parts.clone(), store, counted: Cell::default() };
     Ok(Some(IdentitySubscription { started, host }))
 }
 
 /// What an identity document changes of a node.
 pub struct IdentityHost {
-    parts: Rc<Parts>,
+    parts: Rc<RequestContext>,
     store: SharedStore,
     counted: Cell<CountedJobs>,
 }
@@ -104,7 +104,7 @@
 
 impl Host for IdentityHost {
     fn now(&self) -> Time {
-        self.parts.rounds.clock.now()
+        self.parts.driver.clock.now()
     }
 
     fn store(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
@@ -115,7 +115,7 @@
         match document {
             Some(document) => apply(document, &self.parts, is_rollback),
             None => {
-                self.parts.callers.none();
+                self.parts.callers.clear();
                 Ok(())
             }
         }
@@ -124,7 +124,7 @@
     /// Requests that signing keys deny count as failures, those that rights and revocations deny do not: else a
     /// revocation would be rolled back for doing what it is for.
     fn sample(&self) -> Sample {
-        let tally = *self.parts.tally.borrow();
+        let tally = *self.parts.counters.borrow();
         let counted = CountedJobs {
             authenticated: tally.succeeded + tally.rejected + tally.failed,
             unverified: tally.unverified,
--- a/crates/hazelgrade-server/src/program/reload.rs
+++ b/crates/hazelgrade-server/src/program/reload.rs
@@ -2,9 +2,9 @@
 //! stays as it was, and a file that is wrong changes nothing.
 
 use super::configuration::{Addresses, ConfigurationError, ErrorReason, FieldError, StartFields, read_json};
-use crate::routing::calls::Calls;
-use crate::routing::rounds::Rounds;
-use crate::transport::executor::Link;
+use crate::routing::controller_driver::ControllerDriver;
+use crate::routing::dependency_calls::DependencyCalls;
+use crate::transport::executor::ExecutorLink;
 use crate::transport::registry::Registry;
 use hazelgrade_config::serving::NodeAddresses;
 use serde_json::Value;
@@ -23,10 +23,10 @@
     pub file: Cell<Addresses>,
     /// The addresses of the serving document, which take precedence.
     pub streamed: Cell<NodeAddresses>,
-    pub link: Rc<Link>,
-    pub calls: Rc<Calls>,
+    pub link: Rc<ExecutorLink>,
+    pub calls: Rc<DependencyCalls>,
     pub registry: Rc<Registry>,
-    pub rounds: Rc<Rounds>,
+    pub rounds: Rc<ControllerDriver>,
 }
 
 impl Reload {
@@ -84,17 +84,17 @@
             database: streamed.database.filter(|_| self.calls_dependency).or(file.database),
         };
         // The registry comes first, as it may refuse and nothing has changed yet.
-        if !self.registry.move_to(addresses.registry) {
+        if !self.registry.set_address(addresses.registry) {
             let expected = "an address of the same family as at the start";
             return Err(FieldError { field: "registry", expected });
         }
         self.file.set(file);
         self.streamed.set(streamed);
-        self.link.move_to(addresses.executor);
+        self.link.set_address(addresses.executor);
         if let Some(database) = addresses.database {
-            self.calls.move_to(database);
+            self.calls.set_address(database);
         }
-        self.rounds.beat_now();
+        self.rounds.request_heartbeat();
         Ok(addresses)
     }
 }
--- a/crates/hazelgrade-server/src/program/serve.rs
+++ b/crates/hazelgrade-server/src/program/serve.rs
@@ -15,7 +15,7 @@
 use super::reload::Reload;
 use super::serving_document::{InitialConfiguration, ServingContext};
 use super::{budgets, identity, tls};
-use crate::routing::notices::Notices;
+use crate::routing::executor_events::ExecutorEvents;
 use crate::transport::listener;
 use async_executor::Task;
 use async_io::{Async, block_on};
@@ -144,7 +144,7 @@
         let summarized = front.clone();
         self.services.spawn(async move { reports::log_summaries(&summarized).await });
         let watched = front.clone();
-        self.services.spawn(async move { watched.clients.watch().await });
+        self.services.spawn(async move { watched.connections.enforce_timeouts().await });
     }
 
     fn reload(&self, configuration_path: PathBuf) -> Reload {
@@ -155,8 +155,8 @@
             calls_dependency: addresses.database.is_some(),
             file: Cell::new(addresses),
             streamed: Cell::default(),
-            link: self.services.parts.link.clone(),
-            calls: self.services.parts.calls.clone(),
+            link: self.services.parts.executor.clone(),
+            calls: self.services.parts.dependency_calls.clone(),
             registry: self.services.registry.clone(),
             rounds: self.services.rounds.clone(),
         }
@@ -218,10 +218,10 @@
     }
 
     /// The link to the executor, and the rounds of the controller.
-    fn start_rounds(&self, notices: Notices) {
+    fn start_rounds(&self, notices: ExecutorEvents) {
         let Services { rounds, tasks, .. } = &self.services;
         let link_tasks = tasks.clone();
-        self.services.spawn(async move { notices.keep(&link_tasks).await });
+        self.services.spawn(async move { notices.run(&link_tasks).await });
         let rounds = rounds.clone();
         self.services.spawn(async move { rounds.run().await });
     }
@@ -229,8 +229,9 @@
     fn start_accepting(&self, listener: &Rc<Async<TcpListener>>) -> Task<()> {
         let listener = listener.clone();
         let front = self.services.front.clone();
-        let accept =
-            async move { listener::accept(&listener, &front.clients, |stream| front.start(stream)).await };
+        let accept = async move {
+            listener::accept(&listener, &front.connections, |stream| front.start(stream)).await
+        };
         self.services.tasks.spawn(accept)
     }
 }
--- a/crates/hazelgrade-server/src/program/serve/reports.rs
+++ b/crates/hazelgrade-server/src/program/serve/reports.rs
@@ -1,8 +1,8 @@
 //! What an instance reports: heartbeats to the registry, and a summary in the log.
 
 use crate::protocol::registry;
-use crate::routing::front::Front;
-use crate::routing::rounds::Rounds;
+use crate::routing::controller_driver::ControllerDriver;
+use crate::routing::front_end::FrontEnd;
 use crate::transport::registry::Registry;
 use async_io::Timer;
 use futures_lite::future::or;
@@ -18,7 +18,7 @@
 pub struct Heartbeat {
     pub registry: Rc<Registry>,
     pub node: String,
-    pub rounds: Rc<Rounds>,
+    pub rounds: Rc<ControllerDriver>,
     pub is_draining: Rc<Cell<bool>>,
     pub readiness_follows_health: bool,
 }
@@ -27,9 +27,10 @@
     /// Sends one at each interval and at each change of health.
     pub async fn run(&self) {
         loop {
-            let is_ready = !self.is_draining.get() && (self.rounds.good() || !self.readiness_follows_health);
+            let is_ready =
+                !self.is_draining.get() && (self.rounds.is_healthy() || !self.readiness_follows_health);
             self.registry.send(&registry::encode(&self.node, is_ready));
-            self.rounds.alive();
+            self.rounds.record_liveness();
             let interval = async {
                 Timer::after(HEARTBEAT_INTERVAL).await;
             };
@@ -39,36 +40,36 @@
 }
 
 /// Logs the counters at each interval in which jobs arrived.
-pub async fn log_summaries(front: &Front) {
+pub async fn log_summaries(front: &FrontEnd) {
     let mut arrived_before = 0;
     loop {
         Timer::after(SUMMARY_INTERVAL).await;
-        let parts = &front.parts;
-        let tally = *parts.tally.borrow();
+        let parts = &front.context;
+        let tally = *parts.counters.borrow();
         if tally.arrived == arrived_before {
             continue;
         }
         arrived_before = tally.arrived;
         tracing::info!(
             ?tally,
-            in_flight = parts.hand.count(),
-            connections = front.clients.count(),
-            rounds = parts.rounds.rounds.get(),
-            longest_round_us = parts.rounds.longest.take().as_micros(),
-            dependency_connections = parts.calls.connections(),
-            calls_lost = parts.calls.lost.get(),
-            unknown_call_replies = parts.calls.unknown.get(),
-            unknown_jobs = parts.hand.unknown.get(),
-            malformed_lines = front.bad_lines.get(),
-            clients_evicted = front.clients.turned_out.get(),
-            handshakes_failed = front.tls.ended(),
+            in_flight = parts.in_flight.count(),
+            connections = front.connections.count(),
+            rounds = parts.driver.round_count.get(),
+            longest_round_us = parts.driver.longest_round.take().as_micros(),
+            dependency_connections = parts.dependency_calls.connections(),
+            calls_lost = parts.dependency_calls.lost.get(),
+            unknown_call_replies = parts.dependency_calls.unknown_replies.get(),
+            unknown_jobs = parts.in_flight.unknown_jobs.get(),
+            malformed_lines = front.invalid_messages.get(),
+            clients_evicted = front.connections.closed_for_violation.get(),
+            handshakes_failed = front.tls.failed_handshakes(),
             "summary"
         );
-        if let Some(seat) = parts.rounds.seat() {
+        if let Some(seat) = parts.driver.budget_share() {
             tracing::info!(
-                short = seat.short.get(),
-                calls_too_late = seat.too_late.get(),
-                grants_rejected = seat.refused(),
+                short = seat.jobs_rejected.get(),
+                calls_too_late = seat.calls_expired.get(),
+                grants_rejected = seat.ignored_grants(),
                 "summary of budgets"
             );
         }
--- a/crates/hazelgrade-server/src/program/serve/services.rs
+++ b/crates/hazelgrade-server/src/program/serve/services.rs
@@ -2,16 +2,17 @@
 
 use crate::program::configuration::Deployment;
 use crate::routing::callers::Callers;
-use crate::routing::calls::Calls;
-use crate::routing::front::Front;
-use crate::routing::hand::Hand;
-use crate::routing::job::{Parts, Tally};
-use crate::routing::notices::Notices;
+use crate::routing::context::RequestContext;
+use crate::routing::controller_driver::ControllerDriver;
+use crate::routing::counters::Counters;
+use crate::routing::dependency_calls::DependencyCalls;
+use crate::routing::executor_events::ExecutorEvents;
+use crate::routing::front_end::FrontEnd;
+use crate::routing::in_flight::InFlightTable;
 use crate::routing::result_cache::ResultCache;
-use crate::routing::rounds::Rounds;
-use crate::transport::clients::Clients;
+use crate::transport::clients::ClientConnections;
 use crate::transport::database::Database;
-use crate::transport::executor::Link;
+use crate::transport::executor::ExecutorLink;
 use crate::transport::registry::Registry;
 use crate::transport::tls::Tls;
 use async_executor::LocalExecutor;
@@ -31,9 +32,9 @@
     /// The executor of all tasks.
     pub tasks: Rc<LocalExecutor<'static>>,
     pub registry: Rc<Registry>,
-    pub rounds: Rc<Rounds>,
-    pub parts: Rc<Parts>,
-    pub front: Rc<Front>,
+    pub rounds: Rc<ControllerDriver>,
+    pub parts: Rc<RequestContext>,
+    pub front: Rc<FrontEnd>,
     /// Set once shutdown is requested; heartbeats say not ready from then on.
     pub is_draining: Rc<Cell<bool>>,
 }
@@ -52,10 +53,10 @@
             .map_err(|error| format!("field registry: {}: {error}", addresses.registry))?;
         tracing::info!(name = deployment.name, listen = %deployment.listen, "started");
         let tasks = Rc::new(LocalExecutor::new());
-        let hand = Rc::new(Hand::default());
+        let hand = Rc::new(InFlightTable::default());
         let result_cache = Rc::new(ResultCache::new(deployment.max_result_cache_bytes()));
-        let link = Rc::new(Link::new(addresses.executor));
-        let rounds = Rc::new(Rounds::new(
+        let link = Rc::new(ExecutorLink::new(addresses.executor));
+        let rounds = Rc::new(ControllerDriver::new(
             controller,
             host_settings.tick,
             hand.clone(),
@@ -70,22 +71,22 @@
         let database = addresses
             .database
             .map(|address| Database::new(address, max_connections, DEPENDENCY_IDLE_TIMEOUT));
-        let calls = Rc::new(Calls::new(database, hand.clone(), tasks.clone()));
-        let parts = Rc::new(Parts {
-            rounds: rounds.clone(),
-            hand,
+        let calls = Rc::new(DependencyCalls::new(database, hand.clone(), tasks.clone()));
+        let parts = Rc::new(RequestContext {
+            driver: rounds.clone(),
+            in_flight: hand,
             result_cache,
-            calls,
-            link,
+            dependency_calls: calls,
+            executor: link,
             site: RefCell::new(Rc::new(host_settings)),
-            tally: RefCell::new(Tally::default()),
+            counters: RefCell::new(Counters::default()),
             callers: Callers::default(),
         });
-        let front = Rc::new(Front {
-            parts: parts.clone(),
-            clients: Clients::new(deployment.max_client_connections()),
+        let front = Rc::new(FrontEnd {
+            context: parts.clone(),
+            connections: ClientConnections::new(deployment.max_client_connections()),
             tasks: tasks.clone(),
-            bad_lines: Cell::new(0),
+            invalid_messages: Cell::new(0),
             tls: Rc::new(Tls::default()),
         });
         let is_draining = Rc::default();
@@ -93,9 +94,9 @@
     }
 
     /// What turns messages of the executor into events of jobs.
-    pub fn notices(&self) -> Notices {
-        let Parts { rounds, hand, link, site, .. } = &*self.parts;
-        Notices::new(rounds.clone(), hand.clone(), link.clone(), &site.borrow().gauge_names)
+    pub fn notices(&self) -> ExecutorEvents {
+        let RequestContext { driver: rounds, in_flight: hand, executor: link, site, .. } = &*self.parts;
+        ExecutorEvents::new(rounds.clone(), hand.clone(), link.clone(), &site.borrow().gauge_names)
     }
 
     /// Runs a task until the exit.
--- a/crates/hazelgrade-server/src/program/serve/signals.rs
+++ b/crates/hazelgrade-server/src/program/serve/signals.rs
@@ -3,14 +3,14 @@
 use super::services::Services;
 use crate::program::reload::Reload;
 use crate::program::{identity, tls};
-use crate::routing::front::Front;
-use crate::routing::rounds::Rounds;
+use crate::routing::controller_driver::ControllerDriver;
+use crate::routing::front_end::FrontEnd;
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 use hazelgrade::time::Time;
 use hazelgrade_config::OperatorConfig;
 use hazelgrade_config::operator::TlsConfig;
-use hazelgrade_net::bell::Bell;
+use hazelgrade_net::notify::Notify;
 use std::cell::Cell;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -23,25 +23,25 @@
 /// Passes the request to shut down from the signals to the shutdown.
 #[derive(Default)]
 pub struct ShutdownRequest {
-    notify: Bell,
+    notify: Notify,
     requested_at: Cell<Option<Time>>,
 }
 
 impl ShutdownRequest {
     /// Requests shutdown; only the first request counts.
-    fn request(&self, rounds: &Rounds) {
+    fn request(&self, rounds: &ControllerDriver) {
         if self.requested_at.get().is_some() {
             return;
         }
         // If the process was stopped, the signal came meanwhile: at worst, as soon as it was last seen to run.
-        self.requested_at.set(Some(rounds.alive()));
-        self.notify.ring();
+        self.requested_at.set(Some(rounds.record_liveness()));
+        self.notify.notify();
     }
 
     /// Waits for the request; gives its time.
-    pub async fn requested(&self, rounds: &Rounds) -> Time {
-        self.notify.heard().await;
-        self.requested_at.get().unwrap_or_else(|| rounds.alive())
+    pub async fn requested(&self, rounds: &ControllerDriver) -> Time {
+        self.notify.notified().await;
+        self.requested_at.get().unwrap_or_else(|| rounds.record_liveness())
     }
 }
 
@@ -51,7 +51,7 @@
     tls: Option<TlsConfig>,
     /// The identity document, if it is not streamed.
     identity_document: Option<PathBuf>,
-    front: Rc<Front>,
+    front: Rc<FrontEnd>,
 }
 
 impl Reloader {
@@ -67,7 +67,7 @@
 
     /// Reads the files; one that is wrong changes nothing, and is logged.
     fn reload(&self) {
-        let Front { parts, tls, .. } = &*self.front;
+        let FrontEnd { context: parts, tls, .. } = &*self.front;
         self.configuration.reload();
         match self.tls.as_ref().map(|config| tls::load(config, tls, parts)) {
             Some(Ok(())) => tracing::info!("certificates reloaded"),
@@ -86,7 +86,7 @@
     reload_requested: bool,
     reloader: &Reloader,
     shutdown: &ShutdownRequest,
-    rounds: &Rounds,
+    rounds: &ControllerDriver,
 ) -> Output {
     if reload_requested {
         reloader.reload();
--- a/crates/hazelgrade-server/src/program/serving_document.rs
+++ b/crates/hazelgrade-server/src/program/serving_document.rs
@@ -86,7 +86,7 @@
         deployment: &Deployment,
         context: ServingContext,
     ) -> (StartedSubscription, ServingHost) {
-        context.parts.rounds.set_ready(false);
+        context.parts.driver.set_ready(false);
         let subscription = Subscription {
             kind: Kind::Serving,
             deployment,
@@ -95,7 +95,7 @@
             stored: self.stored,
             initial: self.document,
         };
-        let started = subscription.start(context.parts.rounds.clock.now());
+        let started = subscription.start(context.parts.driver.clock.now());
         (started, ServingHost::new(context, self.store, self.unreadable))
     }
 }
--- a/crates/hazelgrade-server/src/program/serving_document/host.rs
+++ b/crates/hazelgrade-server/src/program/serving_document/host.rs
@@ -4,7 +4,7 @@
 use crate::program::logging::LevelHandle;
 use crate::program::reload::Reload;
 use crate::program::store::SharedStore;
-use crate::routing::job::Parts;
+use crate::routing::context::RequestContext;
 use futures_lite::future::{BoxedLocal, FutureExt};
 use hazelgrade::api::{ClassSlot, JobClass, ServiceLimits, SettingsUpdate, Tenant};
 use hazelgrade::time::{Span, Time};
@@ -28,7 +28,7 @@
 /// What of the program a serving document changes.
 pub struct ServingContext {
     pub node: String,
-    pub parts: Rc<Parts>,
+    pub parts: Rc<RequestContext>,
     pub reload: Rc<Reload>,
     pub log_level: LevelHandle,
     /// The level of the command line, for documents that have none.
@@ -74,14 +74,14 @@
     fn apply(&self, document: Option<&Document>) -> Result<(), String> {
         let context = &self.context;
         let parts = &context.parts;
-        let now = parts.rounds.clock.now();
+        let now = parts.driver.clock.now();
         let settings = self.settings_of(document);
         let job_classes = self.revised_job_classes(now, &settings)?;
         let tenants = self.revised_tenants(now, &settings)?;
         // Of all that may fail this is the last; after it all of the document takes effect.
         let addresses = document.map(|document| document.addresses_for(&context.node)).unwrap_or_default();
         context.reload.set_streamed(addresses).map_err(|error| error.to_string())?;
-        if !parts.rounds.revise(settings_update(settings.limits, &job_classes, &tenants)) {
+        if !parts.driver.update_settings(settings_update(settings.limits, &job_classes, &tenants)) {
             return Err("a place was taken away that jobs in hand may name".into());
         }
         let before = parts.site.borrow().clone();
@@ -90,10 +90,10 @@
             tenants: tenant_names(&tenants.table),
             ..(*before).clone()
         }));
-        parts.callers.compile(&parts.site.borrow());
+        parts.callers.site_changed(&parts.site.borrow());
         self.job_classes.replace(job_classes.table);
         self.tenants.replace(tenants.table);
-        parts.rounds.set_ready(document.is_some());
+        parts.driver.set_ready(document.is_some());
         self.set_log_level(document);
         Ok(())
     }
@@ -118,7 +118,7 @@
         settings: &ServingSettings,
     ) -> Result<RevisedTable<JobClass>, String> {
         let parts = &self.context.parts;
-        let is_busy = |slot| parts.hand.names(|job_class, _| job_class == slot);
+        let is_busy = |slot| parts.in_flight.any(|job_class, _| job_class == slot);
         let job_classes = self.job_classes.borrow();
         job_classes
             .revised(now, &settings.job_classes, quarantine, MAX_JOB_CLASSES, is_busy)
@@ -127,7 +127,7 @@
 
     fn revised_tenants(&self, now: Time, settings: &ServingSettings) -> Result<RevisedTable<Tenant>, String> {
         let parts = &self.context.parts;
-        let is_busy = |slot| parts.hand.names(|_, tenant| tenant == slot);
+        let is_busy = |slot| parts.in_flight.any(|_, tenant| tenant == slot);
         let classes = settings.job_classes.iter();
         let longest = classes.map(|(_, class)| quarantine(class)).max().unwrap_or(Span::ZERO);
         let tenants = self.tenants.borrow();
@@ -185,7 +185,7 @@
 
 impl Host for ServingHost {
     fn now(&self) -> Time {
-        self.context.parts.rounds.clock.now()
+        self.context.parts.driver.clock.now()
     }
 
     fn store(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
@@ -210,16 +210,16 @@
 
     fn sample(&self) -> Sample {
         let parts = &self.context.parts;
-        let tally = *parts.tally.borrow();
+        let tally = *parts.counters.borrow();
         let counted = CountedJobs {
-            answered: tally.succeeded + tally.rejected + tally.failed + tally.not_here + tally.unverified,
+            answered: tally.succeeded + tally.rejected + tally.failed + tally.not_served + tally.unverified,
             succeeded: tally.succeeded,
         };
         let before = self.counted.replace(counted);
         Sample {
             answered: counted.answered.saturating_sub(before.answered) as f64,
             succeeded: counted.succeeded.saturating_sub(before.succeeded) as f64,
-            executor_connected: parts.link.is_up(),
+            executor_connected: parts.executor.is_up(),
         }
     }
 }
--- a/crates/hazelgrade-server/src/program/subscription.rs
+++ b/crates/hazelgrade-server/src/program/subscription.rs
@@ -6,7 +6,7 @@
 use hazelgrade::time::Time;
 use hazelgrade_config::operator::{StreamConfig, Trial};
 use hazelgrade_config::{Document, Kind};
-use hazelgrade_net::bell::Bell;
+use hazelgrade_net::notify::Notify;
 use hazelgrade_stream::backoff::Backoff;
 use hazelgrade_stream::client::{Host, SubscriberClient};
 use hazelgrade_stream::stored::StoredState;
@@ -68,7 +68,7 @@
         host: H,
         stream: &StreamConfig,
         tasks: &Rc<LocalExecutor<'static>>,
-        draining: Rc<Bell>,
+        draining: Rc<Notify>,
     ) {
         let StartedSubscription { subscriber, first_actions } = self;
         let follow = SubscriberClient {
--- a/crates/hazelgrade-server/src/program/tls.rs
+++ b/crates/hazelgrade-server/src/program/tls.rs
@@ -1,6 +1,6 @@
 //! The files of TLS: the node's certificate and key, the authorities of client certificates, and revocation lists.
 
-use crate::routing::job::Parts;
+use crate::routing::context::RequestContext;
 use crate::transport::tls::Tls;
 use hazelgrade_config::operator::TlsConfig;
 use hazelgrade_identity::certificate;
@@ -20,9 +20,9 @@
 ///
 /// # Errors
 /// The first file that is wrong, with its field; nothing is changed then.
-pub fn load(config: &TlsConfig, tls: &Tls, parts: &Parts) -> Result<(), String> {
+pub fn load(config: &TlsConfig, tls: &Tls, parts: &RequestContext) -> Result<(), String> {
     let LoadedTls { server, revoked_serials } = read(config)?;
-    parts.callers.revoke(revoked_serials);
+    parts.callers.set_revoked_certificates(revoked_serials);
     tls.replace(Arc::new(server));
     Ok(())
 }
--- a/crates/hazelgrade-stream/src/client/connection.rs
+++ b/crates/hazelgrade-stream/src/client/connection.rs
@@ -9,8 +9,8 @@
 use futures_lite::future::or;
 use futures_lite::io::BufReader;
 use hazelgrade_net::connect::connect;
-use hazelgrade_net::ending::ConnectionEnd;
-use hazelgrade_net::outbox::Outbox;
+use hazelgrade_net::connection_end::ConnectionEnd;
+use hazelgrade_net::write_queue::WriteQueue;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
@@ -48,8 +48,8 @@
     let end = match connect(address).await {
         Ok(stream) => {
             let stream = Rc::new(stream);
-            let write_queue = Rc::new(Outbox::new(WRITE_QUEUE_BYTES));
-            let writer = write_queue.clone().writer(&executor, stream.clone());
+            let write_queue = Rc::new(WriteQueue::new(WRITE_QUEUE_BYTES));
+            let writer = write_queue.clone().spawn_writer(&executor, stream.clone());
             if notifier.notify(ConnectionEvent::Opened(write_queue)).await.is_err() {
                 return;
             }
--- a/crates/hazelgrade-stream/src/client/mod.rs
+++ b/crates/hazelgrade-stream/src/client/mod.rs
@@ -16,8 +16,8 @@
 use futures_lite::future::or;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::Document;
-use hazelgrade_net::bell::Bell;
-use hazelgrade_net::outbox::Outbox;
+use hazelgrade_net::notify::Notify;
+use hazelgrade_net::write_queue::WriteQueue;
 use notification::{ConnectionCount, ConnectionEvent, Notification};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -36,14 +36,14 @@
     /// Runs the tasks of connections and writes.
     pub executor: Rc<LocalExecutor<'static>>,
     /// Notified when the node drains.
-    pub drain_started: Rc<Bell>,
+    pub drain_started: Rc<Notify>,
 }
 
 /// The connection that is open or being opened.
 struct Connection {
     count: ConnectionCount,
     /// None until it is open.
-    write_queue: Option<Rc<Outbox>>,
+    write_queue: Option<Rc<WriteQueue>>,
     /// Connects and reads; dropping it closes the connection.
     _task: Task<()>,
 }
@@ -146,13 +146,13 @@
         self.connection = Some(Connection { count, write_queue: None, _task: task });
     }
 
-    fn write_queue(&self) -> Option<&Rc<Outbox>> {
+    fn write_queue(&self) -> Option<&Rc<WriteQueue>> {
         self.connection.as_ref().and_then(|connection| connection.write_queue.as_ref())
     }
 
     fn send(&self, message: &SubscriberMessage) {
         if let Some(write_queue) = self.write_queue() {
-            write_queue.put(message.encode().as_bytes());
+            write_queue.push(message.encode().as_bytes());
         }
     }
 
@@ -160,7 +160,7 @@
     fn send_host_message(&self) -> bool {
         let Some(write_queue) = self.write_queue() else { return false };
         let Some(message) = self.client.host.next_message() else { return false };
-        write_queue.put(message.encode().as_bytes());
+        write_queue.push(message.encode().as_bytes());
         true
     }
 
@@ -199,7 +199,7 @@
             Some(Notification::Event(Event::TimerFired))
         };
         let drain_started = async {
-            self.client.drain_started.heard().await;
+            self.client.drain_started.notified().await;
             Some(Notification::Event(Event::DrainStarted))
         };
         let host_message = async {
--- a/crates/hazelgrade-stream/src/client/notification.rs
+++ b/crates/hazelgrade-stream/src/client/notification.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::PublisherMessage;
 use crate::subscriber::Event;
-use hazelgrade_net::outbox::Outbox;
+use hazelgrade_net::write_queue::WriteQueue;
 use std::rc::Rc;
 
 /// The count of a connection, from 1.
@@ -26,7 +26,7 @@
 /// What happened on a connection.
 pub(super) enum ConnectionEvent {
     /// It is open; what is put into the queue is written to it.
-    Opened(Rc<Outbox>),
+    Opened(Rc<WriteQueue>),
     /// A message came.
     Received(PublisherMessage),
     /// What came is no message, for this reason.
--- a/crates/hazelgrade-stream/src/control_service/connections.rs
+++ b/crates/hazelgrade-stream/src/control_service/connections.rs
@@ -9,8 +9,8 @@
 use futures_lite::future::or;
 use futures_lite::io::BufReader;
 use hazelgrade_config::Kind;
-use hazelgrade_net::ending::ConnectionEnd;
-use hazelgrade_net::outbox::Outbox;
+use hazelgrade_net::connection_end::ConnectionEnd;
+use hazelgrade_net::write_queue::WriteQueue;
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
@@ -48,8 +48,8 @@
         let connection = self.last_connection.get() + 1;
         self.last_connection.set(connection);
         let stream = Rc::new(stream);
-        let write_queue = Rc::new(Outbox::new(WRITE_QUEUE_BYTES));
-        let writer = write_queue.clone().writer(&self.executor, stream.clone());
+        let write_queue = Rc::new(WriteQueue::new(WRITE_QUEUE_BYTES));
+        let writer = write_queue.clone().spawn_writer(&self.executor, stream.clone());
         let service = self.clone();
         let reader = self.executor.spawn(async move {
             let end = service.read(connection, &stream).await;
@@ -72,7 +72,7 @@
                 Ok(message) => self.on_message(connection, message),
                 Err(error) => {
                     tracing::warn!(%error, "a subscriber sent what is no message");
-                    return ConnectionEnd::Unreadable;
+                    return ConnectionEnd::Malformed;
                 }
             }
         }
@@ -97,7 +97,7 @@
 
     pub(super) fn send_line(&self, connection: ConnectionId, line: &str) {
         if let Some(open) = self.connections.borrow().get(&connection) {
-            open.write_queue.put(line.as_bytes());
+            open.write_queue.push(line.as_bytes());
         }
     }
 
@@ -109,7 +109,7 @@
             let timed_out = async {
                 Timer::after(FLUSH_TIMEOUT).await;
             };
-            or(write_queue.emptied(), timed_out).await;
+            or(write_queue.flushed(), timed_out).await;
             drop((reader, writer));
         };
         self.executor.spawn(flush_and_close).detach();
--- a/crates/hazelgrade-stream/src/lessor_service/mod.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/mod.rs
@@ -24,8 +24,8 @@
 use hazelgrade_budget::parts::{self, Owner, TELL_EVERY_MS};
 use hazelgrade_budget::{DRIFT, Units, terms};
 use hazelgrade_config::Version;
-use hazelgrade_net::bell::Bell;
-use hazelgrade_net::outbox::Outbox;
+use hazelgrade_net::notify::Notify;
+use hazelgrade_net::write_queue::WriteQueue;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -58,9 +58,9 @@
     /// Whether it goes by the version before the current one, as nodes rolled back from that.
     is_rolled_back: Cell<bool>,
     /// What is to be written to the control service of each site that is connected.
-    site_connections: RefCell<BTreeMap<String, Rc<Outbox>>>,
+    site_connections: RefCell<BTreeMap<String, Rc<WriteQueue>>>,
     /// Notified when timers may have changed.
-    changed: Bell,
+    changed: Notify,
     /// The longest time for which units of a lease may be in use, with the drift of clocks.
     max_lease_and_use: Cell<Span>,
     metrics: Metrics,
@@ -94,7 +94,7 @@
             version: RefCell::default(),
             is_rolled_back: Cell::new(false),
             site_connections: RefCell::default(),
-            changed: Bell::default(),
+            changed: Notify::default(),
             max_lease_and_use: Cell::new(Span::ZERO),
             metrics,
         };
@@ -141,7 +141,7 @@
                 }
             }
         }
-        self.changed.ring();
+        self.changed.notify();
     }
 
     /// Performs the owner's actions, and has the lessor go by what the site owns then.
@@ -255,7 +255,7 @@
             let timer_fired = async {
                 Timer::after(Duration::from_secs_f64(wake_at.since(now).as_ms() / 1000.0)).await;
             };
-            or(self.changed.heard(), timer_fired).await;
+            or(self.changed.notified(), timer_fired).await;
         }
     }
 
--- a/crates/hazelgrade-stream/src/lessor_service/sites.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/sites.rs
@@ -12,8 +12,8 @@
 use hazelgrade_budget::message::Parts;
 use hazelgrade_budget::parts;
 use hazelgrade_net::connect::connect;
-use hazelgrade_net::ending::ConnectionEnd;
-use hazelgrade_net::outbox::Outbox;
+use hazelgrade_net::connection_end::ConnectionEnd;
+use hazelgrade_net::write_queue::WriteQueue;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
@@ -74,7 +74,7 @@
     pub(super) fn report_to_sites(&self) {
         for (site, write_queue) in &*self.site_connections.borrow() {
             if let Some(report) = self.report_for(site) {
-                write_queue.put(SubscriberMessage::SiteReport(report).encode().as_bytes());
+                write_queue.push(SubscriberMessage::SiteReport(report).encode().as_bytes());
             }
         }
     }
@@ -99,8 +99,8 @@
             let end = match connect(address).await {
                 Ok(stream) => {
                     let stream = Rc::new(stream);
-                    let write_queue = Rc::new(Outbox::new(WRITE_QUEUE_BYTES));
-                    let writer = write_queue.clone().writer(&executor, stream.clone());
+                    let write_queue = Rc::new(WriteQueue::new(WRITE_QUEUE_BYTES));
+                    let writer = write_queue.clone().spawn_writer(&executor, stream.clone());
                     self.site_connections.borrow_mut().insert(site.clone(), write_queue);
                     let end = or(self.read_site(&stream, &mut send), writer).await;
                     self.site_connections.borrow_mut().remove(&site);
@@ -123,7 +123,7 @@
         loop {
             let timed_out = async {
                 Timer::after(MESSAGE_TIMEOUT).await;
-                Err(ConnectionEnd::Slow)
+                Err(ConnectionEnd::TimedOut)
             };
             let read = read_bounded_line(&mut reader, &mut line, MAX_LINE_BYTES, MESSAGE_TIMEOUT);
             if let Err(end) = or(read, timed_out).await {
@@ -136,7 +136,7 @@
                 Ok(_) => {}
                 Err(error) => {
                     tracing::warn!(%error, "another site's lessor sent what is no message");
-                    return ConnectionEnd::Unreadable;
+                    return ConnectionEnd::Malformed;
                 }
             }
         }
--- a/crates/hazelgrade-stream/src/line_reader.rs
+++ b/crates/hazelgrade-stream/src/line_reader.rs
@@ -3,7 +3,7 @@
 use async_io::{Async, Timer};
 use futures_lite::future::or;
 use futures_lite::io::{AsyncBufReadExt, BufReader};
-use hazelgrade_net::ending::ConnectionEnd;
+use hazelgrade_net::connection_end::ConnectionEnd;
 use hazelgrade_net::lines::read_line;
 use std::net::TcpStream;
 use std::time::Duration;
@@ -20,12 +20,12 @@
     max_bytes: usize,
     timeout: Duration,
 ) -> Result<(), ConnectionEnd> {
-    if reader.fill_buf().await.map_err(|error| ConnectionEnd::of(&error))?.is_empty() {
+    if reader.fill_buf().await.map_err(|error| ConnectionEnd::from_io_error(&error))?.is_empty() {
         return Err(ConnectionEnd::Closed);
     }
     let timed_out = async {
         Timer::after(timeout).await;
-        Err(ConnectionEnd::Slow)
+        Err(ConnectionEnd::TimedOut)
     };
     or(read_line(reader, line, max_bytes), timed_out).await
 }
