--- a/crates/hazelgrade-budget/src/lib.rs
+++ b/crates/hazelgrade-budget/src/lib.rs
@@ -1,21 +1,31 @@
-//! Fleet-wide budgets: one whole, divided among the instances of a fleet and divided anew as they come and go. At no
-//! instant may what all of them can use pass the whole.
+//! Fleet-wide budgets: a total that is divided among the instances of a fleet, and divided anew as they come and
+//! go. At no instant may what all of them can use exceed the total.
 //!
-//! No input or output here. `divide.rs` says who gets how much; `keeper.rs` grants, takes back and recovers; `holder.rs` is
-//! a node's side; `bucket.rs` turns a part of a rate into single jobs; `parts.rs` moves what sites own between their
-//! keepers. `terms.rs` reads what a budget is from its document, `message.rs` has what keepers and holders say.
+//! All of it is without input and output; callers pass the time and what arrived in, and carry out what comes back.
+//!
+//! - [`terms`] reads what a budget is from its document.
+//! - [`lessor`] leases a site's units to nodes, takes them back, and recovers after a restart.
+//! - [`division`] says who gets how much.
+//! - [`lease_holder`] is a node's side of its leases.
+//! - [`token_bucket`] turns a node's share of a rate into single jobs.
+//! - [`ownership`] moves units between sites.
+//! - [`protocol`] has the messages, and [`stored`] the records that survive a restart.
+
+#![warn(missing_docs)]
 
-pub mod bucket;
-pub mod divide;
-pub mod holder;
-pub mod keeper;
-pub mod message;
-pub mod parts;
+pub mod division;
+pub mod lease_holder;
+pub mod lessor;
+pub mod ownership;
+pub mod protocol;
+pub mod stored;
 pub mod terms;
+pub mod token_bucket;
 
-/// What budgets are counted in: whole numbers, so that nothing is lost to rounding.
+/// What budgets are counted in: whole units, so that nothing is lost to rounding. A unit is a call in flight, a job
+/// a second, or a retry, by the budget's measure.
 pub type Units = u32;
 
-/// By how much two monotonic clocks may differ, as a part of the time between: five times what crystal clocks that are
-/// steered do at worst (200 parts in a million). The holder's lease is shorter by it, the keeper's is longer.
-pub const DRIFT: f64 = 0.001;
+/// By how much two monotonic clocks may differ, as a ratio of the time that passed: five times what steered clocks
+/// do at worst (200 parts in a million). A lease holder counts its lease shorter by it, the lessor longer.
+pub const MAX_CLOCK_DRIFT_RATIO: f64 = 0.001;
--- /dev/null
+++ b/crates/hazelgrade-budget/src/ownership/mod.rs
@@ -0,0 +1,214 @@
+//! What a site owns of each budget, as a state machine: reports of other sites, documents and operators' commands
+//! come in, what has to be stored goes out.
+//!
+//! Two totals stand for each pair of sites and budget: all units ever sent, stored by the sender, and all of them
+//! ever received, stored by the receiver. Both only grow, so a report may arrive twice, late or out of order. A
+//! site owns its share by the document, less what it sent, plus what it received: units in transit are owned by
+//! nobody.
+//!
+//! Free units go to sites with a shortfall. A site recalls what it lent out of its own share when it wants it: a
+//! site that owns more than its share takes the units back from its lease holders first, and sends them once none
+//! of them is in use.
+//!
+//! A share that a document raises takes effect only when every other site goes by that document and is within its
+//! own share.
+
+mod commands;
+mod reports;
+mod retirement;
+mod transfers;
+
+pub use commands::{CommandError, CommandOutcome, TakenOver};
+
+use crate::Units;
+use crate::stored::{RetiredSite, SiteLedger};
+use crate::terms::BudgetTerms;
+use hazelgrade::time::Time;
+use std::collections::BTreeMap;
+
+/// How often sites report to each other, in milliseconds.
+pub const REPORT_INTERVAL_MS: f64 = 250.0;
+
+/// What another site reported last.
+#[derive(Clone, Debug, Default)]
+struct Peer {
+    last_report: Option<Time>,
+    /// It reported since this start, with transfer totals that agree; or an operator answers for it.
+    confirmed: bool,
+    document_digest: String,
+    within_share: bool,
+    /// Units that it wants beyond what it owns, by budget.
+    shortfalls: BTreeMap<String, Units>,
+    /// Units that it ever received from this site, by budget.
+    received: BTreeMap<String, u64>,
+    /// Sites that were declared lost, as it reported them.
+    retired: BTreeMap<String, RetiredSite>,
+}
+
+/// When another site reported last.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct PeerStatus<'a> {
+    /// Name of the site.
+    pub site: &'a str,
+    /// Time of its last report, by this site's clock; none since the start if absent.
+    pub last_report: Option<Time>,
+}
+
+/// Other sites that have not reported since this site's start. What the store says may be an old copy until they do.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("not heard of since the start: {}", .sites.join(", "))]
+pub struct UnconfirmedSites {
+    /// Their names.
+    pub sites: Vec<String>,
+}
+
+/// What the caller is to do after a report, a document or a command, in this order.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Action {
+    /// Store the changed ledger before anything else is done.
+    Store(SiteLedger),
+    /// The named site knows a later state than this site's store, which is an old copy.
+    StaleStore(String),
+    /// Log this line.
+    Log(String),
+}
+
+/// A site's ledger, and what the site knows of the others.
+#[derive(Clone, Debug)]
+pub struct Ownership {
+    site: String,
+    generation: u64,
+    ledger: SiteLedger,
+    peers: BTreeMap<String, Peer>,
+    terms: BTreeMap<String, BudgetTerms>,
+    /// Recalled units by budget and site: no longer owned, and sent once they are not in use.
+    promised: BTreeMap<String, BTreeMap<String, Units>>,
+    /// Digest of the document in effect.
+    document_digest: String,
+}
+
+impl Ownership {
+    /// The ownership of `site` as its `ledger` was stored; `generation` is that of the site's lessor.
+    pub fn new(site: &str, generation: u64, ledger: SiteLedger) -> Ownership {
+        Ownership {
+            site: site.to_owned(),
+            generation,
+            ledger,
+            peers: BTreeMap::new(),
+            terms: BTreeMap::new(),
+            promised: BTreeMap::new(),
+            document_digest: String::new(),
+        }
+    }
+
+    /// Puts the document of this digest into effect.
+    pub fn set_terms(
+        &mut self,
+        document_digest: String,
+        terms: BTreeMap<String, BudgetTerms>,
+        actions: &mut Vec<Action>,
+    ) {
+        self.document_digest = document_digest;
+        self.terms = terms;
+        for site in self.terms.values().flat_map(|terms| terms.site_shares.keys()) {
+            if *site != self.site {
+                self.peers.entry(site.clone()).or_default();
+            }
+        }
+        self.update_shares(actions);
+    }
+
+    /// Takes shares over from the document: lowered ones at once, raised ones when all other sites go by the
+    /// document.
+    fn update_shares(&mut self, actions: &mut Vec<Action>) {
+        let agreed = self.ledger.surrendered == 0
+            && self
+                .peers
+                .iter()
+                .filter(|(site, _)| !self.ledger.is_retired(site))
+                .all(|(_, peer)| peer.document_digest == self.document_digest && peer.within_share);
+        let mut changed = false;
+        for (budget, terms) in &self.terms {
+            let documented = terms.site_share(&self.site);
+            // A site without a share yet was just founded, and gets the documented one.
+            let takes_effect = match self.ledger.shares.get(budget).copied() {
+                None => true,
+                Some(share) => documented < share || (documented > share && agreed),
+            };
+            if takes_effect {
+                self.ledger.shares.insert(budget.clone(), documented);
+                changed = true;
+            }
+        }
+        if changed {
+            actions.push(Action::Store(self.ledger.clone()));
+        }
+    }
+
+    /// Units owned before promises, negative after a share was lowered below what was lent out.
+    fn net_owned(&self, budget: &str) -> i64 {
+        let share = i64::from(self.ledger.share(budget));
+        let taken_over: i64 = self
+            .ledger
+            .retired
+            .values()
+            .filter_map(|retired| retired.taken_over.as_ref()?.get(budget))
+            .map(|units| i64::from(*units))
+            .sum();
+        let transferred: i64 = self
+            .ledger
+            .transfers
+            .values()
+            .filter_map(|transfers| transfers.get(budget))
+            .map(|totals| totals.net())
+            .sum();
+        let carried_over = self.ledger.carried_over.get(budget).copied().unwrap_or(0);
+        share + taken_over + transferred + carried_over
+    }
+
+    /// Units that this site owns of a budget.
+    pub fn owned(&self, budget: &str) -> Units {
+        let promised = self.promised.get(budget).into_iter().flat_map(|promises| promises.values());
+        let promised: i64 = promised.map(|units| i64::from(*units)).sum();
+        (self.net_owned(budget) - promised).clamp(0, i64::from(Units::MAX)) as Units
+    }
+
+    /// Units that this site owns, by budget of the document in effect.
+    pub fn owned_by_budget(&self) -> BTreeMap<String, Units> {
+        self.terms.keys().map(|budget| (budget.clone(), self.owned(budget))).collect()
+    }
+
+    /// The terms in effect, by budget.
+    pub fn terms(&self) -> &BTreeMap<String, BudgetTerms> {
+        &self.terms
+    }
+
+    /// Whether every other site that is not retired reported since this start, with transfer totals that agree.
+    ///
+    /// # Errors
+    /// The sites that did not.
+    pub fn confirmed(&self) -> Result<(), UnconfirmedSites> {
+        let sites: Vec<String> = self
+            .peers
+            .iter()
+            .filter(|(site, peer)| !peer.confirmed && !self.ledger.is_retired(site))
+            .map(|(site, _)| site.clone())
+            .collect();
+        if sites.is_empty() { Ok(()) } else { Err(UnconfirmedSites { sites }) }
+    }
+
+    /// Counts all other sites as confirmed, on an operator's command.
+    pub fn confirm_all(&mut self) {
+        self.peers.values_mut().for_each(|peer| peer.confirmed = true);
+    }
+
+    /// The other sites of all budgets, by name.
+    pub fn peers(&self) -> impl Iterator<Item = PeerStatus<'_>> {
+        self.peers.iter().map(|(site, peer)| PeerStatus { site, last_report: peer.last_report })
+    }
+
+    /// The ledger as it is to be stored.
+    pub fn ledger(&self) -> &SiteLedger {
+        &self.ledger
+    }
+}
--- a/crates/hazelgrade-budget/src/terms.rs
+++ b/crates/hazelgrade-budget/src/terms.rs
@@ -1,71 +1,129 @@
-//! What a budget is, as its document says.
+//! The terms of a budget, as its document states them.
 
 use crate::Units;
 use hazelgrade::time::Span;
-use hazelgrade_config::Document;
+use hazelgrade_config::{Document, Fields};
 use std::collections::BTreeMap;
+use std::fmt;
 
-/// What is counted.
+/// What a budget counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Measure {
-    /// Calls below that are in hand at once.
-    InHand,
-    /// A tenant's jobs a second, so many together after some quiet.
-    Rate { burst: Units },
-    /// Retries that may come together; each first try earns a thousandth part of one, times `per_mille`.
-    Tries { per_mille: Units },
+    /// Calls in flight to a dependency.
+    ConcurrentCalls,
+    /// A tenant's jobs a second.
+    Rate {
+        /// Jobs that may come together after some quiet; the budget's total where the document names none.
+        burst: Units,
+    },
+    /// Retries that may come together.
+    Retries {
+        /// Thousandths of a retry that each first attempt earns; 100 where the document names none.
+        per_mille: Units,
+    },
 }
 
+/// As operators are shown it.
+impl fmt::Display for Measure {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Measure::ConcurrentCalls => f.write_str("InHand"),
+            Measure::Rate { burst } => write!(f, "Rate {{ burst: {burst} }}"),
+            Measure::Retries { per_mille } => write!(f, "Tries {{ per_mille: {per_mille} }}"),
+        }
+    }
+}
+
+/// The terms of one budget.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct BudgetTerms {
+    /// What is counted.
     pub measure: Measure,
-    /// What all nodes of all sites may use together.
-    pub whole: Units,
-    /// What each site's keeper owns, before anything was moved.
-    pub sites: BTreeMap<String, Units>,
-    /// Never granted, by site: what nodes may use for themselves without any keeper is within it.
+    /// Units that all nodes of all sites may use together.
+    pub total: Units,
+    /// Units that each site owns before any were transferred, by site; they add up to the total.
+    pub site_shares: BTreeMap<String, Units>,
+    /// Units of each site that are never leased; what its nodes may use without a lease is within them. 0 by default.
     pub set_aside: Units,
-    /// What each member gets before anybody gets more, as far as it goes.
-    pub floor: Units,
+    /// Units that each node gets before any gets more, as far as they go. 1 by default.
+    pub min_share: Units,
+    /// Length of a lease: 200 to 10,000 ms, 2,000 by default.
     pub lease: Span,
-    /// How long what was begun under a lease may go on after it: the longest call, and its linger.
-    pub longest_use: Span,
-    /// Whose jobs are meant, for a rate.
+    /// How long work may go on that was begun under a lease, its linger included: 10 to 60,000 ms, 2,000 by default.
+    pub max_use_time: Span,
+    /// The tenant whose jobs a [`Measure::Rate`] counts.
     pub tenant: Option<String>,
 }
 
-/// A lease, where the document names none: a death costs it and the longest use; some ten asks a lease get through any
-/// but a lasting trouble.
-const LEASE_MS: f64 = 2000.0;
-/// A call that takes longer is given up in any case.
-const LONGEST_USE_MS: f64 = 2000.0;
+impl BudgetTerms {
+    /// Units that a site owns before any were transferred; 0 for a site that the document does not name.
+    pub fn site_share(&self, site: &str) -> Units {
+        self.site_shares.get(site).copied().unwrap_or(0)
+    }
+}
+
+/// Length of a lease, where the document names none. A node that dies costs a lease and the longest use; the ten or
+/// so requests of a lease get through all but a lasting fault.
+const DEFAULT_LEASE_MS: f64 = 2000.0;
+/// Longest use, where the document names none. A call that takes longer is given up in any case.
+const DEFAULT_MAX_USE_MS: f64 = 2000.0;
+/// Part of a retry that a first attempt earns, where the document names none.
+const DEFAULT_RETRY_RATIO: f64 = 0.1;
 
-/// The budgets of a document of this kind, by name.
-pub fn read(document: &Document) -> BTreeMap<String, Terms> {
+/// The terms of all budgets of a budget document, by name.
+pub fn read_all(document: &Document) -> BTreeMap<String, BudgetTerms> {
     let fields = document.fields();
-    let one = |name: &str| {
-        let at = |field: &str| format!("budget/{name}/{field}");
-        let number = |field: &str, absent: f64| fields.number(&at(field)).unwrap_or(absent);
-        let units = |field: &str, absent: Units| fields.number(&at(field)).map_or(absent, |of| of as Units);
-        let whole = units("whole", 0);
-        let site = at("site/");
-        let sites = fields.0.keys().filter_map(|path| path.strip_prefix(&site)).map(str::to_owned);
-        Terms {
-            measure: match fields.word(&at("measure")) {
-                Some("rate") => Measure::Rate { burst: units("burst", whole) },
-                Some("tries") => {
-                    Measure::Tries { per_mille: (number("part", 0.1) * 1000.0).round() as Units }
-                }
-                _ => Measure::InHand,
-            },
-            whole,
-            sites: sites.map(|name| (name.clone(), units(&format!("site/{name}"), 0))).collect(),
-            set_aside: units("set_aside", 0),
-            floor: units("floor", 1),
-            lease: Span::from_ms(number("lease_ms", LEASE_MS)),
-            longest_use: Span::from_ms(number("longest_use_ms", LONGEST_USE_MS)),
-            tenant: fields.word(&at("customer")).map(str::to_owned),
+    let names = fields.names("budget");
+    names.into_iter().map(|name| (name.to_owned(), Reader { fields, name }.terms())).collect()
+}
+
+/// Reads the fields of one budget.
+struct Reader<'a> {
+    fields: &'a Fields,
+    name: &'a str,
+}
+
+impl Reader<'_> {
+    fn path(&self, field: &str) -> String {
+        format!("budget/{}/{field}", self.name)
+    }
+
+    fn number(&self, field: &str, default: f64) -> f64 {
+        self.fields.number(&self.path(field)).unwrap_or(default)
+    }
+
+    fn units(&self, field: &str, default: Units) -> Units {
+        self.fields.number(&self.path(field)).map_or(default, |number| number as Units)
+    }
+
+    fn terms(&self) -> BudgetTerms {
+        let total = self.units("whole", 0);
+        BudgetTerms {
+            measure: self.measure(total),
+            total,
+            site_shares: self.site_shares(),
+            set_aside: self.units("set_aside", 0),
+            min_share: self.units("floor", 1),
+            lease: Span::from_ms(self.number("lease_ms", DEFAULT_LEASE_MS)),
+            max_use_time: Span::from_ms(self.number("longest_use_ms", DEFAULT_MAX_USE_MS)),
+            tenant: self.fields.word(&self.path("customer")).map(str::to_owned),
         }
-    };
-    fields.names("budget").into_iter().map(|name| (name.to_owned(), one(name))).collect()
+    }
+
+    fn measure(&self, total: Units) -> Measure {
+        match self.fields.word(&self.path("measure")) {
+            Some("rate") => Measure::Rate { burst: self.units("burst", total) },
+            Some("tries") => {
+                let ratio = self.number("part", DEFAULT_RETRY_RATIO);
+                Measure::Retries { per_mille: (ratio * 1000.0).round() as Units }
+            }
+            _ => Measure::ConcurrentCalls,
+        }
+    }
+
+    fn site_shares(&self) -> BTreeMap<String, Units> {
+        let prefix = self.path("site/");
+        let sites = self.fields.0.keys().filter_map(|path| path.strip_prefix(&prefix));
+        sites.map(|site| (site.to_owned(), self.units(&format!("site/{site}"), 0))).collect()
+    }
 }
--- a/crates/hazelgrade-budget/tests/histories.rs
+++ b/crates/hazelgrade-budget/tests/histories.rs
@@ -1,122 +1,124 @@
-//! Thousands of seeded histories of the real machines in simulated time, with all kinds of trouble, against a plain count of
-//! what is in use at each instant; and how the division follows what happens.
+//! Hundreds of seeded histories of the real state machines in simulated time, with all kinds of faults, against a
+//! plain count of what is in use at each instant.
 
 use hazelgrade::random::MultiplyWithCarry;
-use hazelgrade_fakes::fleet::{Fault, Fleet, Setting};
+use hazelgrade_fakes::fleet::{Fault, Fleet, FleetConfig, RestartStore};
 
-/// A history of trouble by seed; gives the fleet, its faults over, some leases later.
+/// A history of faults by seed; gives the fleet some leases after its faults are over.
 fn history(seed: u64, nodes: usize, sites: usize, faults: usize) -> Fleet {
-    let mut chance = MultiplyWithCarry::new(seed);
-    let mut pick = |of: usize| ((chance.next_f64() * of as f64) as usize).min(of - 1);
-    let whole = (sites * (2 + pick(12)) + pick(nodes * 2)) as u32;
-    let alone = pick(2) as u32;
-    let alone = if alone * nodes as u32 <= whole / sites as u32 { alone } else { 0 };
-    let setting = Setting {
+    let mut random = MultiplyWithCarry::new(seed);
+    let mut pick = |of: usize| ((random.next_f64() * of as f64) as usize).min(of - 1);
+    let total = (sites * (2 + pick(12)) + pick(nodes * 2)) as u32;
+    let unleased = pick(2) as u32;
+    let unleased = if unleased * nodes as u32 <= total / sites as u32 { unleased } else { 0 };
+    let config = FleetConfig {
         seed,
         nodes,
         sites,
-        whole,
-        set_aside: alone * nodes as u32,
-        alone,
+        total,
+        set_aside: unleased * nodes as u32,
+        unleased,
         lease_ms: 400.0,
-        longest_use_ms: [60.0, 300.0][pick(2)],
-        lost: [0.0, 0.1][pick(2)],
-        doubled: [0.0, 0.2][pick(2)],
-        way_ms: [1.0, 15.0][pick(2)],
-        ..Setting::default()
+        max_use_ms: [60.0, 300.0][pick(2)],
+        loss_ratio: [0.0, 0.1][pick(2)],
+        duplication_ratio: [0.0, 0.2][pick(2)],
+        latency_ms: [1.0, 15.0][pick(2)],
+        ..FleetConfig::default()
     };
-    // Each by itself could use far more than its part.
-    let most = f64::from(whole) * 4.0 / nodes as f64;
-    let mut fleet = Fleet::new(setting);
-    (0..nodes).for_each(|node| fleet.cause(Fault::Demand(node, [0.0, 1.0, most][pick(3)])));
-    let mut wholes = 0;
+    // Each by itself could use far more than its share.
+    let most = f64::from(total) * 4.0 / nodes as f64;
+    let mut fleet = Fleet::new(config);
+    (0..nodes).for_each(|node| fleet.inject(Fault::SetDemand(node, [0.0, 1.0, most][pick(3)])));
+    let mut totals = 0;
     for _ in 0..faults {
         fleet.run((1 + pick(500)) as f64);
         let (node, site) = (pick(nodes), pick(sites));
         let fault = match pick(22) {
             0 | 1 => Fault::KillNode(node),
             2..=4 => Fault::StartNode(node),
-            5 => Fault::StopNode(node),
-            6 | 7 => Fault::WakeNode(node),
-            8 => Fault::LeaveNode(node),
-            9 => Fault::CutNode(node, pick(2) == 0, pick(2) == 0),
+            5 => Fault::PauseNode(node),
+            6 | 7 => Fault::ResumeNode(node),
+            8 => Fault::DrainNode(node),
+            9 => Fault::CutNode { node, requests: pick(2) == 0, grants: pick(2) == 0 },
             10 => Fault::HealNode(node),
             11 => Fault::KillSite(site),
-            12 | 13 => Fault::StartSite(site, true),
-            14 => Fault::StopSite(site),
-            15 => Fault::WakeSite(site),
+            12 | 13 => Fault::StartSite(site, RestartStore::Own),
+            14 => Fault::PauseSite(site),
+            15 => Fault::ResumeSite(site),
             16 => Fault::CutSites,
             17 => Fault::HealSites,
-            18 if wholes < 4 => {
-                wholes += 1;
-                Fault::Whole([whole, whole / 2 + 1, whole + 3][pick(3)].max(setting.set_aside * sites as u32))
+            18 if totals < 4 => {
+                totals += 1;
+                let total = [total, total / 2 + 1, total + 3][pick(3)];
+                Fault::SetTotal(total.max(config.set_aside * sites as u32))
             }
-            19 => Fault::Lie(node, pick(1000) as u32),
-            _ => Fault::Demand(node, [0.0, 1.0, most][pick(3)]),
+            19 => Fault::OverstateDemand(node, pick(1000) as u32),
+            _ => Fault::SetDemand(node, [0.0, 1.0, most][pick(3)]),
         };
-        fleet.cause(fault);
+        fleet.inject(fault);
     }
-    fleet.calm();
-    fleet.cause(Fault::HealSites);
+    fleet.calm_network();
+    fleet.inject(Fault::HealSites);
     for site in 0..sites {
-        fleet.cause(Fault::WakeSite(site));
-        fleet.cause(Fault::StartSite(site, true));
+        fleet.inject(Fault::ResumeSite(site));
+        fleet.inject(Fault::StartSite(site, RestartStore::Own));
     }
-    // Those that were told to leave are gone by then.
+    // Those that drain are gone by then.
     fleet.run(1100.0);
     for node in 0..nodes {
-        fleet.cause(Fault::HealNode(node));
-        fleet.cause(Fault::WakeNode(node));
-        fleet.cause(Fault::StartNode(node));
-        fleet.cause(Fault::Lie(node, 0));
-        fleet.cause(Fault::Demand(node, most));
+        fleet.inject(Fault::HealNode(node));
+        fleet.inject(Fault::ResumeNode(node));
+        fleet.inject(Fault::StartNode(node));
+        fleet.inject(Fault::OverstateDemand(node, 0));
+        fleet.inject(Fault::SetDemand(node, most));
     }
     fleet.run(8000.0);
     fleet
 }
 
-fn holds(seeds: std::ops::Range<u64>, nodes: usize, sites: usize, faults: usize) {
+/// No history exceeds the total, and in the end all of it is leased again.
+fn assert_total_holds(seeds: std::ops::Range<u64>, nodes: usize, sites: usize, faults: usize) {
     for seed in seeds {
         let mut fleet = history(seed, nodes, sites, faults);
         // What moves from one to another is nobody's on the way: all is there at some moment.
         for _ in 0..200 {
-            let setting = fleet.setting();
-            let aside = sites as u32 * setting.set_aside - nodes as u32 * setting.alone;
-            if fleet.parts().iter().sum::<u32>() == fleet.limit() - aside || nodes > 9 {
+            let config = fleet.config();
+            let aside = sites as u32 * config.set_aside - nodes as u32 * config.unleased;
+            if fleet.shares().iter().sum::<u32>() == fleet.limit() - aside || nodes > 9 {
                 break;
             }
             fleet.run(20.0);
         }
-        let seen = &fleet.seen;
-        assert!(seen.passed.is_empty(), "seed {seed}: {:?} past {}", seen.passed.first(), fleet.limit());
+        let excesses = &fleet.observations.excesses;
+        assert!(excesses.is_empty(), "seed {seed}: {:?} past {}", excesses.first(), fleet.limit());
         // What is proven free is granted in the end, all of it, and nothing that was moved is lost.
-        let owned: u32 = fleet.owned_by().iter().sum();
-        assert_eq!(owned, fleet.limit(), "seed {seed}: owned {:?}", fleet.owned_by());
-        let parts: u32 = fleet.parts().iter().sum();
-        // What is set aside is used by what nodes have alone, and the rest by nobody.
-        let setting = fleet.setting();
-        let aside = sites as u32 * setting.set_aside - nodes as u32 * setting.alone;
-        // Where there is less than one for each, turns change all the time.
+        let owned: u32 = fleet.owned_by_site().iter().sum();
+        assert_eq!(owned, fleet.limit(), "seed {seed}: owned {:?}", fleet.owned_by_site());
+        let shares: u32 = fleet.shares().iter().sum();
+        // Of what is set aside nodes use their unleased units, and nobody the rest.
+        let config = fleet.config();
+        let aside = sites as u32 * config.set_aside - nodes as u32 * config.unleased;
+        // Where there is less than one for each, who has one changes all the time.
         let (least, most) = (if nodes > 9 { 0.8 } else { 1.0 }, fleet.limit() - aside);
         assert!(
-            parts <= most && f64::from(parts) >= f64::from(most) * least,
-            "{most}, seed {seed}: parts {:?}",
-            fleet.parts()
+            shares <= most && f64::from(shares) >= f64::from(most) * least,
+            "{most}, seed {seed}: shares {:?}",
+            fleet.shares()
         );
     }
 }
 
 #[test]
-fn three_nodes_of_one_site_never_pass_the_whole() {
-    holds(0..400, 3, 1, 40);
+fn three_nodes_of_one_site_never_exceed_the_total() {
+    assert_total_holds(0..400, 3, 1, 40);
 }
 
 #[test]
-fn five_nodes_of_two_sites_never_pass_the_whole() {
-    holds(0..300, 5, 2, 60);
+fn five_nodes_of_two_sites_never_exceed_the_total() {
+    assert_total_holds(0..300, 5, 2, 60);
 }
 
 #[test]
-fn three_hundred_nodes_of_four_sites_never_pass_the_whole() {
-    holds(0..2, 300, 4, 150);
+fn three_hundred_nodes_of_four_sites_never_exceed_the_total() {
+    assert_total_holds(0..2, 300, 4, 150);
 }
--- a/crates/hazelgrade-budget/tests/recorded_histories.rs
+++ b/crates/hazelgrade-budget/tests/recorded_histories.rs
@@ -1,73 +1,73 @@
-//! What some histories of a simulated fleet came to, as recorded: whoever changes a decision, the order of a sum or of the
-//! random draws changes these figures.
+//! What some histories of a simulated fleet came to, as recorded: whoever changes a decision, the order of a sum or
+//! of the random draws changes these figures.
 
-use hazelgrade_fakes::fleet::{Fault, Fleet, Setting};
+use hazelgrade_fakes::fleet::{Fault, Fleet, FleetConfig, RestartStore};
 
 /// Calls, rejected ones, messages of each kind, bytes, the peak, and the sums in full precision.
 fn recorded(fleet: &Fleet) -> String {
-    let seen = &fleet.seen;
+    let seen = &fleet.observations;
     format!(
         "{} {} {} {} {} {} {} {} {:?} {:?} {:?} {:?}",
         seen.calls,
-        seen.turned_away,
-        seen.asks,
+        seen.rejected,
+        seen.requests,
         seen.grants,
         seen.nudges,
-        seen.between,
+        seen.site_reports,
         seen.bytes,
-        seen.peak,
-        seen.used,
-        seen.could,
-        fleet.parts(),
-        fleet.owned_by(),
+        seen.max_in_flight,
+        seen.used_unit_ms,
+        seen.usable_unit_ms,
+        fleet.shares(),
+        fleet.owned_by_site(),
     )
 }
 
-fn setting(seed: u64) -> Setting {
-    Setting {
+fn config(seed: u64) -> FleetConfig {
+    FleetConfig {
         seed,
         nodes: 7,
         sites: 3,
-        whole: 31,
+        total: 31,
         set_aside: 3,
-        alone: 1,
+        unleased: 1,
         lease_ms: 400.0,
-        longest_use_ms: 300.0,
-        lost: 0.1,
-        doubled: 0.2,
-        way_ms: 15.0,
-        ..Setting::default()
+        max_use_ms: 300.0,
+        loss_ratio: 0.1,
+        duplication_ratio: 0.2,
+        latency_ms: 15.0,
+        ..FleetConfig::default()
     }
 }
 
 fn faults(fleet: &mut Fleet) {
     let all = [
-        Fault::Demand(0, 20.0),
-        Fault::Demand(1, 0.0),
-        Fault::CutNode(2, true, false),
+        Fault::SetDemand(0, 20.0),
+        Fault::SetDemand(1, 0.0),
+        Fault::CutNode { node: 2, requests: true, grants: false },
         Fault::KillNode(3),
-        Fault::StopNode(4),
-        Fault::Remember,
-        Fault::Whole(17),
+        Fault::PauseNode(4),
+        Fault::CopyStores,
+        Fault::SetTotal(17),
         Fault::KillSite(1),
-        Fault::WakeNode(4),
-        Fault::StartSite(1, true),
-        Fault::StopSite(2),
+        Fault::ResumeNode(4),
+        Fault::StartSite(1, RestartStore::Own),
+        Fault::PauseSite(2),
         Fault::HealNode(2),
         Fault::StartNode(3),
-        Fault::WakeSite(2),
+        Fault::ResumeSite(2),
         Fault::CutSites,
-        Fault::Lie(5, 100),
-        Fault::Whole(40),
-        Fault::LeaveNode(6),
+        Fault::OverstateDemand(5, 100),
+        Fault::SetTotal(40),
+        Fault::DrainNode(6),
         Fault::HealSites,
         Fault::KillSite(0),
-        Fault::StartSite(0, false),
+        Fault::StartSite(0, RestartStore::OldCopy),
         Fault::StartNode(6),
     ];
     for fault in all {
         fleet.run(333.0);
-        fleet.cause(fault);
+        fleet.inject(fault);
     }
     fleet.run(3000.0);
 }
@@ -131,19 +131,19 @@
 #[test]
 fn a_fleet_under_faults_decides_as_recorded() {
     for (seed, before) in (1..).zip(UNDER_FAULTS) {
-        let mut fleet = Fleet::new(setting(seed));
+        let mut fleet = Fleet::new(config(seed));
         faults(&mut fleet);
         assert_eq!(recorded(&fleet), before, "seed {seed}");
         for (site, before) in SITES_UNDER_FAULTS.iter().enumerate().filter(|_| seed == 1) {
-            assert_eq!(&fleet.figures(site), before, "site {site}");
+            assert_eq!(&fleet.site_report(site), before, "site {site}");
         }
     }
 }
 
 #[test]
 fn a_calm_fleet_decides_as_recorded() {
-    let mut fleet = Fleet::new(Setting { seed: 4, nodes: 12, ..Setting::default() });
-    (0..12).for_each(|node| fleet.cause(Fault::Demand(node, node as f64)));
+    let mut fleet = Fleet::new(FleetConfig { seed: 4, nodes: 12, ..FleetConfig::default() });
+    (0..12).for_each(|node| fleet.inject(Fault::SetDemand(node, node as f64)));
     fleet.run(20_000.0);
     assert_eq!(recorded(&fleet), CALM);
 }
--- a/crates/hazelgrade-budget/tests/states.rs
+++ b/crates/hazelgrade-budget/tests/states.rs
@@ -1,52 +1,65 @@
-//! All states, within bounds, of a keeper and two holders over a channel that loses, doubles and reorders messages, while
-//! the keeper is killed and comes back, holders die and come back, and calls go on past what they were begun under. Time
-//! goes on in steps, for each at the rate of its own clock.
+//! All states, within bounds, of a lessor and two lease holders over a channel that loses, doubles and reorders
+//! messages, while the lessor is killed and comes back, holders die and come back, and calls go on past the lease
+//! under which they were begun. Time goes on in steps, for each at the rate of its own clock.
 
 use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
-use hazelgrade_budget::holder::{Holder, Use};
-use hazelgrade_budget::keeper::{Action, Book, Event, Keeper};
-use hazelgrade_budget::message::{Ask, Grant};
-use hazelgrade_budget::terms::{Measure, Terms};
+use hazelgrade_budget::lease_holder::{LeaseHolder, Usage};
+use hazelgrade_budget::lessor::{Action, Event, Lessor};
+use hazelgrade_budget::protocol::{LeaseGrant, LeaseRequest};
+use hazelgrade_budget::stored::LessorRecord;
+use hazelgrade_budget::terms::{BudgetTerms, Measure};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
 const BUDGET: &str = "calls";
-const WHOLE: u32 = 2;
+const TOTAL: u32 = 2;
+/// Length of a lease, in steps.
 const LEASE: u64 = 4;
-const LONGEST_USE: u64 = 2;
-/// A step of time, in milliseconds: far above what asks are apart at least.
-const STEP: f64 = 100.0;
-const IN_FLIGHT: usize = 3;
+/// Longest use, in steps.
+const MAX_USE: u64 = 2;
+/// A step of time, in milliseconds: far above the least time between requests.
+const STEP_MS: f64 = 100.0;
+/// Most messages under way at once.
+const MAX_MESSAGES: usize = 3;
 
 #[derive(Clone, Debug, PartialEq)]
 enum Message {
-    Ask(usize, Ask),
-    Grant(usize, Grant),
+    Request(usize, LeaseRequest),
+    Grant(usize, LeaseGrant),
 }
 
+/// What may still happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Left {
     time: u64,
     losses: u8,
     doubles: u8,
-    starts: u8,
-    deaths: u8,
+    lessor_starts: u8,
+    holder_starts: u8,
+}
+
+/// A call in flight.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Call {
+    holder: usize,
+    incarnation: u64,
+    since: u64,
 }
 
 #[derive(Clone, Debug)]
 struct World {
-    t: u64,
-    keeper: Keeper,
-    /// When the keeper's clock began.
-    began: u64,
-    book: Book,
-    holders: Vec<Holder>,
-    runs: u64,
-    /// Calls below: of which holder, of which run, since when.
-    calls: Vec<(usize, u64, u64)>,
-    net: Vec<Message>,
+    /// Steps since the start.
+    time: u64,
+    lessor: Lessor,
+    /// When the lessor's clock began.
+    lessor_started_at: u64,
+    stored: LessorRecord,
+    holders: Vec<LeaseHolder>,
+    incarnations: u64,
+    calls: Vec<Call>,
+    messages: Vec<Message>,
     left: Left,
     key: String,
 }
@@ -68,73 +81,78 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Time,
-    Ask(usize),
+    Request(usize),
     Deliver(usize),
     Lose(usize),
     Double(usize),
     Begin(usize),
     End(usize),
-    KeeperStarts,
+    LessorStarts,
     HolderStarts(usize),
 }
 
-fn terms() -> BTreeMap<String, Terms> {
-    let terms = Terms {
-        measure: Measure::InHand,
-        whole: WHOLE,
-        sites: [("a".to_owned(), WHOLE)].into(),
+fn terms() -> BTreeMap<String, BudgetTerms> {
+    let terms = BudgetTerms {
+        measure: Measure::ConcurrentCalls,
+        total: TOTAL,
+        site_shares: [("a".to_owned(), TOTAL)].into(),
         set_aside: 0,
-        floor: 1,
-        lease: Span::from_ms(LEASE as f64 * STEP),
-        longest_use: Span::from_ms(LONGEST_USE as f64 * STEP),
+        min_share: 1,
+        lease: Span::from_ms(LEASE as f64 * STEP_MS),
+        max_use_time: Span::from_ms(MAX_USE as f64 * STEP_MS),
         tenant: None,
     };
     [(BUDGET.to_owned(), terms)].into()
 }
 
-fn holder(t: u64, place: usize, run: u64) -> Holder {
-    let mut holder =
-        Holder::new(slow(t), &format!("n{place}"), run, &BTreeMap::new(), MultiplyWithCarry::new(1));
-    holder.bind(slow(t), &[BUDGET.to_owned()]);
+fn holder(time: u64, place: usize, incarnation: u64) -> LeaseHolder {
+    let mut holder = LeaseHolder::new(
+        holder_time(time),
+        &format!("n{place}"),
+        incarnation,
+        &BTreeMap::new(),
+        MultiplyWithCarry::new(1),
+    );
+    holder.bind(holder_time(time), &[BUDGET.to_owned()]);
     holder
 }
 
-/// Holders' clocks are slow and the keeper's is fast: the worst for leases, 200 parts in a million each.
-fn slow(t: u64) -> Time {
-    Time::from_ms(t as f64 * STEP * 0.9998)
+/// Holders' clocks are slow and the lessor's is fast: the worst for leases, 200 parts in a million each.
+fn holder_time(time: u64) -> Time {
+    Time::from_ms(time as f64 * STEP_MS * 0.9998)
 }
 
 impl World {
     fn keyed(mut self) -> World {
         self.key = format!(
             "{:?}{:?}{:?}{:?}{:?}",
-            self.t,
-            self.keeper,
+            self.time,
+            self.lessor,
             self.holders,
             self.calls,
-            (&self.net, self.left, self.began)
+            (&self.messages, self.left, self.lessor_started_at)
         );
         self
     }
 
-    fn keeper_now(&self) -> Time {
-        Time::from_ms((self.t - self.began) as f64 * STEP * 1.0002)
+    fn lessor_time(&self) -> Time {
+        Time::from_ms((self.time - self.lessor_started_at) as f64 * STEP_MS * 1.0002)
     }
 
     fn tell(&mut self, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
-            let mut out = Vec::new();
-            let now = self.keeper_now();
-            self.keeper.take(now, event, &mut out);
-            for action in out {
+            let mut actions = Vec::new();
+            let now = self.lessor_time();
+            self.lessor.handle(now, event, &mut actions);
+            for action in actions {
                 match action {
-                    Action::Grant(to, grant) if self.net.len() < IN_FLIGHT => {
-                        self.net.push(Message::Grant(to as usize, grant));
+                    Action::Grant(to, grant) if self.messages.len() < MAX_MESSAGES => {
+                        self.messages.push(Message::Grant(to as usize, grant));
                     }
-                    Action::Keep(book) => {
-                        self.book = book;
-                        events.push(Event::Kept(Ok(())));
+                    Action::Store(record) => {
+                        self.stored = record;
+                        events.push(Event::Stored(Ok(())));
                     }
                     _ => {}
                 }
@@ -142,23 +160,26 @@
         }
     }
 
-    fn start_keeper(&mut self) {
-        let (keeper, first) = Keeper::new(Time::from_ms(0.0), self.book.clone());
-        (self.keeper, self.began) = (keeper, self.t);
-        if let Action::Keep(book) = first {
-            self.book = book;
+    fn start_lessor(&mut self) {
+        let (lessor, first) = Lessor::new(Time::from_ms(0.0), self.stored.clone());
+        self.lessor = lessor;
+        self.lessor_started_at = self.time;
+        if let Action::Store(record) = first {
+            self.stored = record;
         }
-        self.tell(Event::Kept(Ok(())));
-        self.tell(Event::Terms(terms(), [(BUDGET.to_owned(), WHOLE)].into()));
+        self.tell(Event::Stored(Ok(())));
+        let owned = [(BUDGET.to_owned(), TOTAL)].into();
+        self.tell(Event::TermsChanged { terms: terms(), owned });
     }
 
     fn used(&self, place: usize) -> u32 {
-        let run = self.holders[place].run();
-        self.calls.iter().filter(|(of, by, _)| *of == place && *by == run).count() as u32
+        let incarnation = self.holders[place].incarnation();
+        let is_own = |call: &&Call| call.holder == place && call.incarnation == incarnation;
+        self.calls.iter().filter(is_own).count() as u32
     }
 
     fn may_begin(&self, place: usize) -> bool {
-        self.used(place) < self.holders[place].allowed(slow(self.t), BUDGET).units
+        self.used(place) < self.holders[place].entitlement(holder_time(self.time), BUDGET).units
     }
 }
 
@@ -169,53 +190,55 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let book = Book { site: "a".into(), ..Book::default() };
-        let (keeper, _) = Keeper::new(Time::from_ms(0.0), book.clone());
+        let stored = LessorRecord { site: "a".into(), ..LessorRecord::default() };
+        let (lessor, _) = Lessor::new(Time::from_ms(0.0), stored.clone());
         let mut world = World {
-            t: 0,
-            keeper,
-            began: 0,
-            book,
+            time: 0,
+            lessor,
+            lessor_started_at: 0,
+            stored,
             holders: vec![holder(0, 0, 1), holder(0, 1, 2)],
-            runs: 2,
+            incarnations: 2,
             calls: Vec::new(),
-            net: Vec::new(),
+            messages: Vec::new(),
             left: self.0,
             key: String::new(),
         };
-        world.start_keeper();
+        world.start_lessor();
         vec![world.keyed()]
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Step>) {
         let left = world.left;
         // Calls end when their longest use is over; time does not go on past that.
-        if left.time > 0 && world.calls.iter().all(|(.., since)| world.t < since + LONGEST_USE) {
+        if left.time > 0 && world.calls.iter().all(|call| world.time < call.since + MAX_USE) {
             actions.push(Step::Time);
         }
         for place in 0..world.holders.len() {
-            if world.holders[place].next() <= slow(world.t) && world.net.len() < IN_FLIGHT {
-                actions.push(Step::Ask(place));
+            if world.holders[place].next_request_at() <= holder_time(world.time)
+                && world.messages.len() < MAX_MESSAGES
+            {
+                actions.push(Step::Request(place));
             }
             if world.may_begin(place) {
                 actions.push(Step::Begin(place));
             }
-            if left.deaths > 0 {
+            if left.holder_starts > 0 {
                 actions.push(Step::HolderStarts(place));
             }
         }
-        for place in 0..world.net.len() {
+        for place in 0..world.messages.len() {
             actions.push(Step::Deliver(place));
             if left.losses > 0 {
                 actions.push(Step::Lose(place));
             }
-            if left.doubles > 0 && world.net.len() < IN_FLIGHT {
+            if left.doubles > 0 && world.messages.len() < MAX_MESSAGES {
                 actions.push(Step::Double(place));
             }
         }
         actions.extend((0..world.calls.len()).map(Step::End));
-        if left.starts > 0 {
-            actions.push(Step::KeeperStarts);
+        if left.lessor_starts > 0 {
+            actions.push(Step::LessorStarts);
         }
     }
 
@@ -223,49 +246,50 @@
         let mut next = world.clone();
         match step {
             Step::Time => {
-                next.t += 1;
+                next.time += 1;
                 next.left.time -= 1;
-                next.tell(Event::Woke);
+                next.tell(Event::Timer);
             }
-            Step::Ask(place) => {
-                let (used, now) = (next.used(place), slow(next.t));
+            Step::Request(place) => {
+                let (used, now) = (next.used(place), holder_time(next.time));
                 // It always wants more: what it is granted it may use at any moment.
-                next.holders[place].uses(now, BUDGET, Use { used, wants: used.max(WHOLE) });
-                let ask = next.holders[place].ask(now)?;
-                next.net.push(Message::Ask(place, ask));
+                let usage = Usage { in_use: used, wanted: used.max(TOTAL) };
+                next.holders[place].record_usage(now, BUDGET, usage);
+                let request = next.holders[place].take_request(now)?;
+                next.messages.push(Message::Request(place, request));
             }
-            Step::Deliver(at) => match next.net.remove(at) {
-                Message::Ask(place, ask) => next.tell(Event::Asked(place as u64, ask)),
+            Step::Deliver(at) => match next.messages.remove(at) {
+                Message::Request(place, request) => next.tell(Event::Requested(place as u64, request)),
                 Message::Grant(place, grant) => {
-                    let now = slow(next.t);
-                    next.holders[place].granted(now, &grant);
+                    let now = holder_time(next.time);
+                    next.holders[place].on_grant(now, &grant);
                 }
             },
             Step::Lose(at) => {
-                next.net.remove(at);
+                next.messages.remove(at);
                 next.left.losses -= 1;
             }
             Step::Double(at) => {
-                let message = next.net[at].clone();
-                next.net.push(message);
+                let message = next.messages[at].clone();
+                next.messages.push(message);
                 next.left.doubles -= 1;
             }
             Step::Begin(place) => {
-                let run = next.holders[place].run();
-                next.calls.push((place, run, next.t));
+                let incarnation = next.holders[place].incarnation();
+                next.calls.push(Call { holder: place, incarnation, since: next.time });
                 next.calls.sort_unstable();
             }
             Step::End(at) => {
                 next.calls.remove(at);
             }
-            Step::KeeperStarts => {
-                next.left.starts -= 1;
-                next.start_keeper();
+            Step::LessorStarts => {
+                next.left.lessor_starts -= 1;
+                next.start_lessor();
             }
             Step::HolderStarts(place) => {
-                next.left.deaths -= 1;
-                next.runs += 1;
-                next.holders[place] = holder(next.t, place, next.runs);
+                next.left.holder_starts -= 1;
+                next.incarnations += 1;
+                next.holders[place] = holder(next.time, place, next.incarnations);
             }
         }
         Some(next.keyed())
@@ -273,13 +297,13 @@
 
     fn properties(&self) -> Vec<Property<Bounds>> {
         vec![
-            Property::always("never more than the whole", |_: &Bounds, world: &World| {
-                world.calls.len() <= WHOLE as usize
+            Property::always("never more than the total", |_: &Bounds, world: &World| {
+                world.calls.len() <= TOTAL as usize
             }),
-            Property::sometimes("the whole is used by one", |_, world: &World| {
-                (0..2).any(|place| world.used(place) == WHOLE)
+            Property::sometimes("the total is used by one", |_, world: &World| {
+                (0..2).any(|place| world.used(place) == TOTAL)
             }),
-            Property::sometimes("the whole is used by both", |_, world: &World| {
+            Property::sometimes("the total is used by both", |_, world: &World| {
                 (0..2).all(|place| world.used(place) == 1)
             }),
         ]
@@ -294,17 +318,17 @@
         .target_state_count(states)
         .spawn_bfs()
         .join();
-    let found = checker.discovery("never more than the whole");
+    let found = checker.discovery("never more than the total");
     assert!(found.is_none(), "{:?}", found.map(|path| path.into_actions()));
     println!("{} states, {} deep at most", checker.unique_state_count(), checker.max_depth());
 }
 
 #[test]
-fn with_messages_lost_doubled_and_out_of_order() {
-    explored(Left { time: 8, losses: 1, doubles: 1, starts: 0, deaths: 0 }, 22, 120_000);
+fn messages_lost_doubled_and_out_of_order_never_exceed_the_total() {
+    explored(Left { time: 8, losses: 1, doubles: 1, lessor_starts: 0, holder_starts: 0 }, 22, 120_000);
 }
 
 #[test]
-fn with_a_keeper_that_dies_and_holders_that_come_anew() {
-    explored(Left { time: 9, losses: 0, doubles: 1, starts: 1, deaths: 1 }, 22, 120_000);
+fn a_lessor_and_holders_that_die_and_restart_never_exceed_the_total() {
+    explored(Left { time: 9, losses: 0, doubles: 1, lessor_starts: 1, holder_starts: 1 }, 22, 120_000);
 }
