--- a/crates/hazelgrade-demo/src/measure/budgets.rs
+++ b/crates/hazelgrade-demo/src/measure/budgets.rs
@@ -5,7 +5,7 @@
 use crate::parts::{failed, program};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use hazelgrade_fakes::callers::Fate;
-use hazelgrade_fakes::fleet::{By, Fault, Fleet, Setting};
+use hazelgrade_fakes::fleet::{DivisionPolicy, Fault, Fleet, FleetConfig, RestartStore};
 use hazelgrade_fault_injection::group::Group;
 use hazelgrade_fault_injection::plan::{Disk, Fault as Trouble};
 use hazelgrade_fault_injection::shared::Setting as Shared;
@@ -48,33 +48,33 @@
     weights.iter().map(|weight| f64::from(whole) * weight / sum).collect()
 }
 
-fn used(by: By, seed: u64, skew: f64, hot: bool) -> f64 {
-    let setting = Setting { seed, nodes: 20, whole: 100, by, ..Setting::default() };
-    let mut fleet = Fleet::new(setting);
+fn used(policy: DivisionPolicy, seed: u64, skew: f64, hot: bool) -> f64 {
+    let config = FleetConfig { seed, nodes: 20, total: 100, policy, ..FleetConfig::default() };
+    let mut fleet = Fleet::new(config);
     let even = demands(20, 100, skew);
-    even.iter().enumerate().for_each(|(node, demand)| fleet.cause(Fault::Demand(node, *demand)));
+    even.iter().enumerate().for_each(|(node, demand)| fleet.inject(Fault::SetDemand(node, *demand)));
     fleet.run(5000.0);
-    let (before, could) = (fleet.seen.used, fleet.seen.could);
+    let (before, could) = (fleet.observations.used_unit_ms, fleet.observations.usable_unit_ms);
     for turn in 0..12 {
         if hot {
             // One node has half of the demand, another one each five seconds.
             for node in 0..20 {
                 let demand = if node == turn % 20 { 50.0 } else { 50.0 / 19.0 };
-                fleet.cause(Fault::Demand(node, demand));
+                fleet.inject(Fault::SetDemand(node, demand));
             }
         }
         fleet.run(5000.0);
     }
-    (fleet.seen.used - before) / (fleet.seen.could - could)
+    (fleet.observations.used_unit_ms - before) / (fleet.observations.usable_unit_ms - could)
 }
 
 /// Milliseconds until something is so, looked at each 5 ms.
 fn until(fleet: &mut Fleet, so: impl Fn(&Fleet) -> bool) -> f64 {
-    let from = fleet.now();
-    while !so(fleet) && fleet.now() - from < 60_000.0 {
+    let from = fleet.now_ms();
+    while !so(fleet) && fleet.now_ms() - from < 60_000.0 {
         fleet.run(5.0);
     }
-    fleet.now() - from
+    fleet.now_ms() - from
 }
 
 fn simulated() {
@@ -87,8 +87,13 @@
         ("one node with half of it, another each 5 s", 0.0, true),
     ];
     let rows = kinds.iter().map(|(name, skew, hot)| {
-        let of = |by| spread((1..=SEEDS).map(|seed| used(by, seed, *skew, *hot)).collect(), 3);
-        vec![(*name).to_owned(), of(By::Static), of(By::Keepers), of(By::Oracle)]
+        let of = |policy| spread((1..=SEEDS).map(|seed| used(policy, seed, *skew, *hot)).collect(), 3);
+        vec![
+            (*name).to_owned(),
+            of(DivisionPolicy::Static),
+            of(DivisionPolicy::Leases),
+            of(DivisionPolicy::Oracle),
+        ]
     });
     table(&["demand", "fixed parts", "divided anew", "oracle"], rows.collect());
 
@@ -96,8 +101,8 @@
         "Milliseconds until the new division (20 nodes, 100 units, leases of 2 s, longest use 1 s), {SEEDS} seeds:"
     );
     let fleet = |seed| {
-        let mut fleet = Fleet::new(Setting { seed, nodes: 20, whole: 100, ..Setting::default() });
-        (0..20).for_each(|node| fleet.cause(Fault::Demand(node, 20.0)));
+        let mut fleet = Fleet::new(FleetConfig { seed, nodes: 20, total: 100, ..FleetConfig::default() });
+        (0..20).for_each(|node| fleet.inject(Fault::SetDemand(node, 20.0)));
         fleet.run(5000.0);
         fleet
     };
@@ -108,44 +113,44 @@
         vec![
             "a node's demand falls to nothing, another's grows: it has ten more".into(),
             each(&|fleet| {
-                fleet.cause(Fault::Demand(0, 0.0));
-                (2..20).for_each(|node| fleet.cause(Fault::Demand(node, 2.0)));
-                let before = fleet.parts()[1];
-                fleet.cause(Fault::Demand(1, 60.0));
-                until(fleet, |fleet| fleet.parts()[1] >= before + 10)
+                fleet.inject(Fault::SetDemand(0, 0.0));
+                (2..20).for_each(|node| fleet.inject(Fault::SetDemand(node, 2.0)));
+                let before = fleet.shares()[1];
+                fleet.inject(Fault::SetDemand(1, 60.0));
+                until(fleet, |fleet| fleet.shares()[1] >= before + 10)
             }),
         ],
         vec![
             "a node joins: it has its share".into(),
             each(&|fleet| {
-                fleet.cause(Fault::KillNode(0));
+                fleet.inject(Fault::KillNode(0));
                 fleet.run(8000.0);
-                fleet.cause(Fault::StartNode(0));
-                fleet.cause(Fault::Demand(0, 20.0));
-                until(fleet, |fleet| fleet.parts()[0] >= 4)
+                fleet.inject(Fault::StartNode(0));
+                fleet.inject(Fault::SetDemand(0, 20.0));
+                until(fleet, |fleet| fleet.shares()[0] >= 4)
             }),
         ],
         vec![
             "a node leaves: the others have its part".into(),
             each(&|fleet| {
-                fleet.cause(Fault::LeaveNode(0));
-                until(fleet, |fleet| fleet.parts()[1..].iter().sum::<u32>() >= 99)
+                fleet.inject(Fault::DrainNode(0));
+                until(fleet, |fleet| fleet.shares()[1..].iter().sum::<u32>() >= 99)
             }),
         ],
         vec![
             "a node dies: the others have its part".into(),
             each(&|fleet| {
-                fleet.cause(Fault::KillNode(0));
-                until(fleet, |fleet| fleet.parts()[1..].iter().sum::<u32>() >= 99)
+                fleet.inject(Fault::KillNode(0));
+                until(fleet, |fleet| fleet.shares()[1..].iter().sum::<u32>() >= 99)
             }),
         ],
         vec![
             "the keeper is killed and started: a node that lost its lease has some again".into(),
             each(&|fleet| {
-                fleet.cause(Fault::KillSite(0));
+                fleet.inject(Fault::KillSite(0));
                 fleet.run(3000.0);
-                fleet.cause(Fault::StartSite(0, true));
-                until(fleet, |fleet| fleet.parts().iter().sum::<u32>() >= 99)
+                fleet.inject(Fault::StartSite(0, RestartStore::Own));
+                until(fleet, |fleet| fleet.shares().iter().sum::<u32>() >= 99)
             }),
         ],
     ];
@@ -156,16 +161,17 @@
     println!("What is said, a second, with steady demand (leases of 2 s, ten units a node, ten seconds):");
     let rows = [10, 100, 1000].map(|nodes| {
         let whole = nodes as u32 * 10;
-        let mut fleet = Fleet::new(Setting { nodes, whole, call_ms: 500.0, ..Setting::default() });
-        (0..nodes).for_each(|node| fleet.cause(Fault::Demand(node, 5.0)));
+        let mut fleet =
+            Fleet::new(FleetConfig { nodes, total: whole, call_ms: 500.0, ..FleetConfig::default() });
+        (0..nodes).for_each(|node| fleet.inject(Fault::SetDemand(node, 5.0)));
         fleet.run(3000.0);
-        let (asks, bytes, began) = (fleet.seen.asks, fleet.seen.bytes, Instant::now());
+        let (asks, bytes, began) = (fleet.observations.requests, fleet.observations.bytes, Instant::now());
         fleet.run(10_000.0);
         let took = began.elapsed().as_secs_f64();
         vec![
             nodes.to_string(),
-            format!("{:.0}", (fleet.seen.asks - asks) as f64 / 10.0),
-            format!("{:.1}", (fleet.seen.bytes - bytes) as f64 / 10_000.0),
+            format!("{:.0}", (fleet.observations.requests - asks) as f64 / 10.0),
+            format!("{:.1}", (fleet.observations.bytes - bytes) as f64 / 10_000.0),
             format!("{:.2}", took / 10.0),
         ]
     });
--- a/crates/hazelgrade-fakes/src/service.rs
+++ b/crates/hazelgrade-fakes/src/service.rs
@@ -2,7 +2,7 @@
 
 use crate::free_address;
 use crate::node::send;
-use hazelgrade_budget::message::Word;
+use hazelgrade_budget::protocol::OperatorCommand;
 use hazelgrade_config::Document;
 use hazelgrade_stream::service;
 use rustix::process::Signal;
@@ -83,10 +83,10 @@
 
     /// Who holds what of the budgets; nothing while it can't be asked.
     pub fn budgets(&self) -> Value {
-        service::word(self.address, Word::Show, Duration::from_secs(2)).unwrap_or_default()
+        service::word(self.address, OperatorCommand::Show, Duration::from_secs(2)).unwrap_or_default()
     }
 
-    pub fn word(&self, word: Word) -> Result<Value, String> {
+    pub fn word(&self, word: OperatorCommand) -> Result<Value, String> {
         service::word(self.address, word, Duration::from_secs(2))
     }
 
--- a/crates/hazelgrade-server/src/program/budgets.rs
+++ b/crates/hazelgrade-server/src/program/budgets.rs
@@ -8,9 +8,9 @@
 use futures_lite::future::{BoxedLocal, FutureExt};
 use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::Time;
-use hazelgrade_budget::holder::Holder;
-use hazelgrade_budget::keeper::Figures;
-use hazelgrade_budget::message::Word;
+use hazelgrade_budget::lease_holder::LeaseHolder;
+use hazelgrade_budget::lessor::BudgetReport;
+use hazelgrade_budget::protocol::OperatorCommand;
 use hazelgrade_budget::terms;
 use hazelgrade_config::operator::{Budgeted, Streamed};
 use hazelgrade_config::{Document, Kind, fault};
@@ -62,7 +62,7 @@
     // Two processes under one name are two holders, so it can't be made from the name or the seed.
     let run = RandomState::new().hash_one((SystemTime::now(), std::process::id()));
     let start = Time::from_ms(0.0);
-    let holder = Holder::new(start, &deployment.name, run, &budgeted.alone, MultiplyWithCarry::new(run));
+    let holder = LeaseHolder::new(start, &deployment.name, run, &budgeted.alone, MultiplyWithCarry::new(run));
     let linger = parts.site.borrow().linger;
     let seat = Rc::new(Seat::new(holder, budgeted.in_hand.clone(), linger, rate));
     seat.bind(&BTreeMap::new());
@@ -136,7 +136,7 @@
     }
 
     fn take_effect(&self, document: Option<&Document>, _back: bool) -> Result<(), String> {
-        self.seat.bind(&document.map(terms::read).unwrap_or_default());
+        self.seat.bind(&document.map(terms::read_all).unwrap_or_default());
         self.allow();
         Ok(())
     }
@@ -155,7 +155,7 @@
     fn say(&self) -> Option<Said> {
         let ask = self.seat.ask()?;
         // Whoever leaves has given up something by saying so.
-        if ask.leaving {
+        if ask.draining {
             self.allow();
         }
         Some(Said::Ask(ask))
@@ -180,7 +180,7 @@
                 if self.seat.granted(grant) {
                     self.allow();
                 } else {
-                    tracing::debug!(count = grant.count, "an answer about budgets that is not the latest");
+                    tracing::debug!(count = grant.sequence, "an answer about budgets that is not the latest");
                 }
             }
             Published::Nudge => self.seat.nudged(),
@@ -203,7 +203,7 @@
 /// What was asked for on the command line.
 pub enum Asked {
     Found { documents: PathBuf, site: String, listen: SocketAddr, lost: bool },
-    Word(SocketAddr, Word, String),
+    Word(SocketAddr, OperatorCommand, String),
 }
 
 impl Asked {
@@ -220,16 +220,16 @@
         let control = words.value_from_str("--control")?;
         let made_up = || format!("w{:016x}", RandomState::new().hash_one(SystemTime::now()));
         let word = match what.as_str() {
-            "show" | "metrics" => Word::Show,
-            "history" => Word::History,
-            "open" => Word::Open,
-            "move" => Word::Move {
+            "show" | "metrics" => OperatorCommand::Show,
+            "history" => OperatorCommand::History,
+            "open" => OperatorCommand::Open,
+            "move" => OperatorCommand::Move {
                 to: words.value_from_str("--to")?,
                 budget: words.value_from_str("--budget")?,
                 units: words.value_from_str("--units")?,
                 id: words.opt_value_from_str("--id")?.unwrap_or_else(made_up),
             },
-            "retire" => Word::Retire {
+            "retire" => OperatorCommand::Retire {
                 site: words.value_from_str("--site")?,
                 id: words.opt_value_from_str("--id")?.unwrap_or_else(made_up),
             },
@@ -338,22 +338,22 @@
     (recorder, handle)
 }
 
-fn set(budgets: &BTreeMap<String, Figures>) {
+fn set(budgets: &BTreeMap<String, BudgetReport>) {
     for (name, figures) in budgets {
         let gauge = |what: &'static str, units: u32| {
             metrics::gauge!(what, "budget" => name.clone()).set(f64::from(units));
         };
-        gauge("hazelgrade_budget_whole", figures.whole);
+        gauge("hazelgrade_budget_whole", figures.total);
         gauge("hazelgrade_budget_owned", figures.owned);
         gauge("hazelgrade_budget_granted", figures.granted);
-        gauge("hazelgrade_budget_used", figures.used);
+        gauge("hazelgrade_budget_used", figures.in_use);
         gauge("hazelgrade_budget_wanted", figures.wanted);
-        gauge("hazelgrade_budget_in_doubt", figures.in_doubt);
+        gauge("hazelgrade_budget_in_doubt", figures.unreturned);
         gauge("hazelgrade_budget_free", figures.free);
-        for holder in &figures.holders {
+        for holder in &figures.leases {
             let labels = [("budget", name.clone()), ("holder", holder.holder.clone())];
             metrics::gauge!("hazelgrade_budget_holder_granted", &labels).set(f64::from(holder.granted));
-            metrics::gauge!("hazelgrade_budget_holder_used", &labels).set(f64::from(holder.used));
+            metrics::gauge!("hazelgrade_budget_holder_used", &labels).set(f64::from(holder.in_use));
         }
     }
 }
@@ -362,7 +362,7 @@
 fn rendered(report: &Value) -> String {
     let (recorder, handle) = recorder();
     let budgets = report["budgets"].as_object().into_iter().flatten().filter_map(|(name, figures)| {
-        let figures: Figures = serde_json::from_value(figures.clone()).ok()?;
+        let figures: BudgetReport = serde_json::from_value(figures.clone()).ok()?;
         Some((name.clone(), figures))
     });
     let budgets = budgets.collect();
@@ -374,8 +374,8 @@
 pub fn watch() -> Metrics {
     let before: Cell<Option<(u32, u32)>> = Cell::new(None);
     Box::new(move |budgets| {
-        let sum = |of: fn(&Figures) -> u32| budgets.values().map(of).fold(0, u32::saturating_add);
-        let now = (sum(|figures| figures.granted), sum(|figures| figures.in_doubt));
+        let sum = |of: fn(&BudgetReport) -> u32| budgets.values().map(of).fold(0, u32::saturating_add);
+        let now = (sum(|figures| figures.granted), sum(|figures| figures.unreturned));
         if before.replace(Some(now)) != Some(now) {
             tracing::debug!(granted = now.0, in_doubt = now.1, "budgets");
         }
--- a/crates/hazelgrade-server/src/program/command.rs
+++ b/crates/hazelgrade-server/src/program/command.rs
@@ -274,19 +274,19 @@
         if let Some(path) = &self.budgets {
             let document = budgets::read_document(path)?;
             println!("{}: digest {}", path.display(), document.digest());
-            for (name, terms) in hazelgrade_budget::terms::read(&document) {
+            for (name, terms) in hazelgrade_budget::terms::read_all(&document) {
                 let sites: Vec<String> =
-                    terms.sites.iter().map(|(site, units)| format!("{units} at {site}")).collect();
+                    terms.site_shares.iter().map(|(site, units)| format!("{units} at {site}")).collect();
                 println!(
-                    "budget {name}: {:?}, whole {}, {}; {} set aside at each",
+                    "budget {name}: {}, whole {}, {}; {} set aside at each",
                     terms.measure,
-                    terms.whole,
+                    terms.total,
                     sites.join(", "),
                     terms.set_aside
                 );
                 println!(
                     "  a node that dies gives its part back in {:.0} ms",
-                    (terms.lease + terms.longest_use).as_ms()
+                    (terms.lease + terms.max_use_time).as_ms()
                 );
             }
         }
--- a/crates/hazelgrade-server/src/routing/budgets.rs
+++ b/crates/hazelgrade-server/src/routing/budgets.rs
@@ -7,10 +7,10 @@
 use hazelgrade::api::{CallDemand, CallLease, Job};
 use hazelgrade::statistics::DecayingSum;
 use hazelgrade::time::{Span, Time};
-use hazelgrade_budget::bucket::Bucket;
-use hazelgrade_budget::holder::{Holder, Use};
-use hazelgrade_budget::message::{Ask, Grant};
-use hazelgrade_budget::terms::{Measure, Terms};
+use hazelgrade_budget::lease_holder::{LeaseHolder, Usage};
+use hazelgrade_budget::protocol::{LeaseGrant, LeaseRequest};
+use hazelgrade_budget::terms::{BudgetTerms, Measure};
+use hazelgrade_budget::token_bucket::TokenBucket;
 use hazelgrade_net::bell::Bell;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -22,17 +22,17 @@
 const LEAST_WAY: Duration = Duration::from_millis(25);
 
 struct Door {
-    bucket: Bucket,
+    bucket: TokenBucket,
     /// Asked for, let in or not.
     asked: DecayingSum,
     /// Of retries: those.
-    terms: Terms,
+    terms: BudgetTerms,
 }
 
 impl Door {
-    fn new(now: Time, terms: &Terms) -> Door {
+    fn new(now: Time, terms: &BudgetTerms) -> Door {
         Door {
-            bucket: Bucket::new(now, terms.measure, terms.whole),
+            bucket: TokenBucket::new(now, terms.measure, terms.total),
             asked: DecayingSum::new(Span::from_ms(LEARNED_OVER_MS)),
             terms: terms.clone(),
         }
@@ -47,7 +47,7 @@
     began: Instant,
     /// How fast this process's clock runs, for tests.
     rate: f64,
-    holder: RefCell<Holder>,
+    holder: RefCell<LeaseHolder>,
     in_hand: RefCell<Option<String>>,
     /// By tenant: budget and door.
     rates: RefCell<BTreeMap<String, (String, Door)>>,
@@ -64,7 +64,7 @@
 
 impl Seat {
     /// `holder` is made with this seat's clock: from 0.
-    pub fn new(holder: Holder, in_hand: Option<String>, linger: Span, rate: f64) -> Seat {
+    pub fn new(holder: LeaseHolder, in_hand: Option<String>, linger: Span, rate: f64) -> Seat {
         Seat {
             began: Instant::now(),
             rate,
@@ -91,11 +91,11 @@
     }
 
     /// Bound by these budgets from now on.
-    pub fn bind(&self, budgets: &BTreeMap<String, Terms>) {
+    pub fn bind(&self, budgets: &BTreeMap<String, BudgetTerms>) {
         let now = self.now();
         let (mut rates, mut tries) = (self.rates.borrow_mut(), self.tries.borrow_mut());
         // A door that stands keeps what its bucket holds.
-        let door = |name: &String, terms: &Terms, before: Option<(String, Door)>| match before {
+        let door = |name: &String, terms: &BudgetTerms, before: Option<(String, Door)>| match before {
             Some((of, door)) if of == *name => (of, Door { terms: terms.clone(), ..door }),
             _ => (name.clone(), Door::new(now, terms)),
         };
@@ -103,7 +103,7 @@
         let mut tries_before = tries.take();
         for (name, terms) in budgets {
             match (terms.measure, &terms.tenant) {
-                (Measure::InHand, _) => {
+                (Measure::ConcurrentCalls, _) => {
                     self.in_hand.replace(Some(name.clone()));
                 }
                 (Measure::Rate { .. }, Some(tenant)) => {
@@ -111,7 +111,7 @@
                     rates.insert(tenant.clone(), made);
                 }
                 (Measure::Rate { .. }, None) => {}
-                (Measure::Tries { .. }, _) => *tries = Some(door(name, terms, tries_before.take())),
+                (Measure::Retries { .. }, _) => *tries = Some(door(name, terms, tries_before.take())),
             }
         }
         let mut names: Vec<String> = budgets.keys().cloned().collect();
@@ -123,14 +123,14 @@
     /// What the module is allowed below, on its own clock; nothing where no budget of calls is known.
     pub fn allowance(&self, module: Time) -> Option<CallLease> {
         let (now, in_hand) = (self.now(), self.in_hand.borrow());
-        let allowed = self.holder.borrow().allowed(now, in_hand.as_ref()?);
+        let allowed = self.holder.borrow().entitlement(now, in_hand.as_ref()?);
         let on_module = |at: Time| module + at.since(now) * (1.0 / self.rate);
         Some(CallLease {
             calls: f64::from(allowed.units),
-            expires: allowed.until.map_or(module, on_module),
-            calls_after_expiry: f64::from(allowed.alone),
-            max_call_time: allowed.longest_use,
-            retry_after: allowed.more_at.map_or(Span::ZERO, |at| at.since(now)),
+            expires: allowed.expires_at.map_or(module, on_module),
+            calls_after_expiry: f64::from(allowed.unleased),
+            max_call_time: allowed.max_use_time,
+            retry_after: allowed.retry_at.map_or(Span::ZERO, |at| at.since(now)),
         })
     }
 
@@ -141,9 +141,9 @@
         let Some(budget) = self.in_hand.borrow().clone() else { return };
         let now = self.now();
         let mut holder = self.holder.borrow_mut();
-        let before = holder.next();
-        holder.uses(now, &budget, Use { used, wants });
-        if holder.next() < before {
+        let before = holder.next_request_at();
+        holder.record_usage(now, &budget, Usage { in_use: used, wanted: wants });
+        if holder.next_request_at() < before {
             self.stirred.ring();
         }
     }
@@ -153,12 +153,12 @@
         let (now, in_hand) = (self.now(), self.in_hand.borrow());
         let by = Instant::now() + self.linger;
         let Some(budget) = &*in_hand else { return Some(by) };
-        let allowed = self.holder.borrow().allowed(now, budget);
+        let allowed = self.holder.borrow().entitlement(now, budget);
         let used = self.used.get();
-        if used <= allowed.alone {
+        if used <= allowed.unleased {
             return Some(by);
         }
-        match allowed.until {
+        match allowed.expires_at {
             Some(until) if used <= allowed.units => Some(by.min(self.instant(until))),
             _ => {
                 self.too_late.set(self.too_late.get() + 1);
@@ -176,20 +176,20 @@
         if let Some((budget, door)) = &mut of_rate {
             self.renew(now, budget, door);
             door.asked.add(now, 1.0);
-            if let Err(more) = door.bucket.take(now) {
+            if let Err(more) = door.bucket.try_take(now) {
                 return Some(Self::turned_away(more));
             }
         }
         if let Some((budget, door)) = &mut *tries {
             self.renew(now, budget, door);
             if !job.is_retry {
-                door.bucket.earn();
+                door.bucket.deposit();
                 return None;
             }
             door.asked.add(now, 1.0);
-            if let Err(more) = door.bucket.take(now) {
+            if let Err(more) = door.bucket.try_take(now) {
                 if let Some((_, door)) = &mut of_rate {
-                    door.bucket.put_back();
+                    door.bucket.refund();
                 }
                 return Some(Self::turned_away(more));
             }
@@ -202,15 +202,15 @@
     }
 
     fn renew(&self, now: Time, budget: &str, door: &mut Door) {
-        let part = self.holder.borrow().allowed(now, budget).units;
-        door.bucket.revise(now, door.terms.measure, door.terms.whole, part);
+        let part = self.holder.borrow().entitlement(now, budget).units;
+        door.bucket.resize(now, door.terms.measure, door.terms.total, part);
     }
 
     /// The ask that is due.
-    pub fn ask(&self) -> Option<Ask> {
+    pub fn ask(&self) -> Option<LeaseRequest> {
         let now = self.now();
         let mut holder = self.holder.borrow_mut();
-        if now < holder.next() {
+        if now < holder.next_request_at() {
             return None;
         }
         let mut wants = Vec::new();
@@ -221,32 +221,34 @@
             wants.push((budget.clone(), door.wants(now)));
         }
         // Of these nothing is in hand: a part that is gone is used from no more at once.
-        wants.into_iter().for_each(|(budget, wants)| holder.uses(now, &budget, Use { used: 0, wants }));
-        holder.ask(now)
+        wants.into_iter().for_each(|(budget, wants)| {
+            holder.record_usage(now, &budget, Usage { in_use: 0, wanted: wants })
+        });
+        holder.take_request(now)
     }
 
     /// When the next ask is due, on the module's clock.
     pub fn asks_at(&self, module: Time) -> Time {
-        let next = self.holder.borrow().next();
+        let next = self.holder.borrow().next_request_at();
         module + next.since(self.now()) * (1.0 / self.rate)
     }
 
     /// An answer of the keeper's; `false` if it changes nothing.
-    pub fn granted(&self, grant: &Grant) -> bool {
-        self.holder.borrow_mut().granted(self.now(), grant)
+    pub fn granted(&self, grant: &LeaseGrant) -> bool {
+        self.holder.borrow_mut().on_grant(self.now(), grant)
     }
 
     pub fn nudged(&self) {
-        self.holder.borrow_mut().nudged(self.now());
+        self.holder.borrow_mut().on_nudge(self.now());
     }
 
     pub fn connected(&self) {
-        self.holder.borrow_mut().connected(self.now());
+        self.holder.borrow_mut().on_connected(self.now());
     }
 
     /// The node leaves: from now on it gives back what it does not use.
     pub fn leave(&self) {
-        self.holder.borrow_mut().leave(self.now());
+        self.holder.borrow_mut().start_drain(self.now());
         self.stirred.ring();
     }
 
@@ -255,6 +257,6 @@
     }
 
     pub fn refused(&self) -> u64 {
-        self.holder.borrow().refused
+        self.holder.borrow().ignored_grants()
     }
 }
--- a/crates/hazelgrade-server/tests/budgets/main.rs
+++ b/crates/hazelgrade-server/tests/budgets/main.rs
@@ -1,7 +1,7 @@
 //! Nodes that share a budget of calls below, as processes, with faults between them: what is in hand at the dependency is
 //! counted there, and never more than the whole.
 
-use hazelgrade_budget::message::Word;
+use hazelgrade_budget::protocol::OperatorCommand;
 use hazelgrade_fakes::executor::{Executor, Work};
 use hazelgrade_fakes::{free_address, world};
 use hazelgrade_fault_injection::account::Account;
@@ -88,7 +88,7 @@
     group.shared.as_ref().map_or(0, |shared| shared.dependency.in_hand())
 }
 
-fn word(group: &Group, word: Word) -> Result<Value, String> {
+fn word(group: &Group, word: OperatorCommand) -> Result<Value, String> {
     group.service.word(word)
 }
 
@@ -157,10 +157,10 @@
     // A node that leaves gives back at once, without waiting for its lease.
     cause(&mut group, Fault::Term { node: 2 });
     let left = |group: &mut Group| {
-        let past = word(group, Word::History).unwrap_or_default().to_string();
+        let past = word(group, OperatorCommand::History).unwrap_or_default().to_string();
         past.contains("n2 has left and given all back")
     };
-    assert!(group.comes(SOON, left), "{:?}", word(&group, Word::History));
+    assert!(group.comes(SOON, left), "{:?}", word(&group, OperatorCommand::History));
     let over = now();
     let used = (call_seconds(&group) - before) * 1000.0 / over.since(began).as_ms();
     let account = group.finish();
@@ -218,7 +218,7 @@
         group.service.budgets()["held_up"].as_str().is_some_and(|why| why.contains("an old copy"))
     };
     assert!(group.comes(SOON, closed), "{}", group.service.budgets());
-    assert!(word(&group, Word::Open).is_ok());
+    assert!(word(&group, OperatorCommand::Open).is_ok());
     assert!(group.comes(SOON, |group| number(&calls(group), "granted") == 7), "{}", group.service.budgets());
 
     // A copy of the store grants nothing at another address, and nobody starts without a store.
@@ -292,14 +292,15 @@
     );
 
     // An operator's word is carried out once, and what is not free is not moved.
-    let too_much = Word::Move { id: "m0".into(), to: "b".into(), budget: "calls".into(), units: 100 };
+    let too_much =
+        OperatorCommand::Move { id: "m0".into(), to: "b".into(), budget: "calls".into(), units: 100 };
     assert!(word(&group, too_much).is_err_and(|why| why.contains("are not free")));
-    let nowhere = Word::Move { id: "m1".into(), to: "c".into(), budget: "calls".into(), units: 0 };
+    let nowhere = OperatorCommand::Move { id: "m1".into(), to: "c".into(), budget: "calls".into(), units: 0 };
     assert!(word(&group, nowhere).is_err_and(|why| why.contains("no other site")));
 
     // The other site is lost for good: refused before it is safe, then its part is owned here.
     cause(&mut group, Fault::KillOther);
-    let retire = |id: &str| Word::Retire { id: id.into(), site: "b".into() };
+    let retire = |id: &str| OperatorCommand::Retire { id: id.into(), site: "b".into() };
     assert!(word(&group, retire("r0")).is_err_and(|why| why.contains("ms more")));
     assert!(group.comes(SOON, |group| word(group, retire("r1")).is_ok()));
     assert!(word(&group, retire("r1")).is_ok_and(|told| told.to_string().contains("before")));
--- a/crates/hazelgrade-stream/src/keeping.rs
+++ b/crates/hazelgrade-stream/src/keeping.rs
@@ -12,10 +12,11 @@
 use futures_lite::future::or;
 use futures_lite::io::BufReader;
 use hazelgrade::time::{Span, Time};
-use hazelgrade_budget::keeper::{self, Book, Keeper};
-use hazelgrade_budget::message::{Ask, Parts, Word};
-use hazelgrade_budget::parts::{self, Ledger, Owner, TELL_EVERY_MS};
-use hazelgrade_budget::{DRIFT, Units, terms};
+use hazelgrade_budget::lessor::{self, Lessor, StoreFailed};
+use hazelgrade_budget::ownership::{self, Ownership, PeerStatus, REPORT_INTERVAL_MS};
+use hazelgrade_budget::protocol::{LeaseRequest, OperatorCommand, SiteReport};
+use hazelgrade_budget::stored::{LessorRecord, SiteLedger};
+use hazelgrade_budget::{MAX_CLOCK_DRIFT_RATIO, Units, terms};
 use hazelgrade_config::{Document, Version};
 use hazelgrade_net::bell::Bell;
 use hazelgrade_net::connect::connect;
@@ -53,12 +54,12 @@
 }
 
 /// What is told of the budgets now and then.
-pub type Metrics = Box<dyn Fn(&BTreeMap<String, keeper::Figures>)>;
+pub type Metrics = Box<dyn Fn(&BTreeMap<String, lessor::BudgetReport>)>;
 
 pub struct Keeping {
     began: Instant,
-    keeper: RefCell<Keeper>,
-    owner: RefCell<Owner>,
+    keeper: RefCell<Lessor>,
+    owner: RefCell<Ownership>,
     store: RefCell<Store>,
     /// What is owned as far as the disk knows; what is more than that is not granted, and nobody hears of what is less.
     durable: RefCell<BTreeMap<String, Units>>,
@@ -91,13 +92,13 @@
     // Greater than any number that counts starts, so that nobody takes it for an earlier one.
     let seconds = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs());
     let generation = if lost { seconds } else { 0 };
-    let book = Book {
+    let book = LessorRecord {
         site: site.into(),
         generation,
         granted: lost,
-        longest_ms: if lost { LONGEST_MS } else { 0.0 },
+        max_grant_ms: if lost { LONGEST_MS } else { 0.0 },
     };
-    let ledger = Ledger::default();
+    let ledger = SiteLedger::default();
     let (book, ledger) = (json!(book).to_string(), json!(ledger).to_string());
     let kept = store.keep(&[(BOOK, Some(book.as_bytes())), (LEDGER, Some(ledger.as_bytes()))]);
     kept.map_err(failed)?;
@@ -134,11 +135,11 @@
             Some(dies_at) => Store::open_dying(&at, &whose, dies_at),
         };
         let mut store = opened.map_err(|fault| format!("--keeper {}: {shown}: {fault}", setup.site))?;
-        let book: Book = read(&mut store, BOOK, &shown)?;
-        let ledger: Ledger = read(&mut store, LEDGER, &shown)?;
+        let book: LessorRecord = read(&mut store, BOOK, &shown)?;
+        let ledger: SiteLedger = read(&mut store, LEDGER, &shown)?;
         let began = Instant::now();
-        let (keeper, first) = Keeper::new(Time::from_ms(0.0), book);
-        let owner = Owner::new(&setup.site, keeper.generation(), ledger);
+        let (keeper, first) = Lessor::new(Time::from_ms(0.0), book);
+        let owner = Ownership::new(&setup.site, keeper.generation(), ledger);
         let keeping = Keeping {
             began,
             keeper: RefCell::new(keeper),
@@ -155,12 +156,16 @@
         };
         let mut todo = VecDeque::from([first]);
         while let Some(action) = todo.pop_front() {
-            if let keeper::Action::Keep(book) = action {
+            if let lessor::Action::Store(book) = action {
                 let done = keeping.keep(BOOK, &json!(book));
                 // Without a start that is counted this one can't be told from the one before.
                 done.clone().map_err(|fault| format!("--keeper {}: {shown}: {fault}", setup.site))?;
                 let mut out = Vec::new();
-                keeping.keeper.borrow_mut().take(keeping.now(), keeper::Event::Kept(done), &mut out);
+                keeping.keeper.borrow_mut().handle(
+                    keeping.now(),
+                    lessor::Event::Stored(done.map_err(StoreFailed)),
+                    &mut out,
+                );
                 todo.extend(out);
             }
         }
@@ -179,20 +184,22 @@
     }
 
     /// Tells the keeper, carries out what follows, and gives what is to be said to whom.
-    fn tell(&self, event: keeper::Event, say: &mut impl FnMut(Connection, &Published)) {
+    fn tell(&self, event: lessor::Event, say: &mut impl FnMut(Connection, &Published)) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let mut out = Vec::new();
-            self.keeper.borrow_mut().take(self.now(), event, &mut out);
+            self.keeper.borrow_mut().handle(self.now(), event, &mut out);
             for action in out {
                 match action {
-                    keeper::Action::Grant(to, grant) => say(to, &Published::Grant(grant)),
-                    keeper::Action::Nudge(to) => say(to, &Published::Nudge),
+                    lessor::Action::Grant(to, grant) => say(to, &Published::Grant(grant)),
+                    lessor::Action::Nudge(to) => say(to, &Published::Nudge),
                     // A few milliseconds, at a start and when terms change: asks that need it wait for it anyway.
-                    keeper::Action::Keep(book) => {
-                        events.push_back(keeper::Event::Kept(self.keep(BOOK, &json!(book))));
+                    lessor::Action::Store(book) => {
+                        events.push_back(lessor::Event::Stored(
+                            self.keep(BOOK, &json!(book)).map_err(StoreFailed),
+                        ));
                     }
-                    keeper::Action::Note(what) => tracing::info!("budgets: {what}"),
+                    lessor::Action::Log(what) => tracing::info!("budgets: {what}"),
                 }
             }
         }
@@ -200,23 +207,23 @@
     }
 
     /// Carries out what the owner wants, and has the keeper go by what is owned then.
-    fn owned(&self, out: Vec<parts::Action>, say: &mut impl FnMut(Connection, &Published)) {
+    fn owned(&self, out: Vec<ownership::Action>, say: &mut impl FnMut(Connection, &Published)) {
         for action in out {
             match action {
-                parts::Action::Keep(ledger) => {
+                ownership::Action::Store(ledger) => {
                     let kept = self.keep(LEDGER, &json!(ledger));
                     if let Err(why) = &kept {
                         tracing::error!(why, "what this site owns can't be kept: others don't hear of it");
                     }
                     self.unsaved.set(kept.is_err());
                 }
-                parts::Action::Older(who) => self.tell(keeper::Event::Older(who), say),
-                parts::Action::Note(what) => tracing::info!("budgets: {what}"),
+                ownership::Action::StaleStore(who) => self.tell(lessor::Event::StaleStore(who), say),
+                ownership::Action::Log(what) => tracing::info!("budgets: {what}"),
             }
         }
         let (terms, mut owned) = {
             let owner = self.owner.borrow();
-            (owner.all_terms().clone(), owner.owned_all())
+            (owner.terms().clone(), owner.owned_by_budget())
         };
         if self.unsaved.get() {
             let durable = self.durable.borrow();
@@ -226,9 +233,9 @@
         } else {
             self.durable.replace(owned.clone());
         }
-        self.tell(keeper::Event::Terms(terms, owned), say);
-        let agreed = self.owner.borrow().agreed();
-        self.tell(keeper::Event::Others(agreed), say);
+        self.tell(lessor::Event::TermsChanged { terms, owned }, say);
+        let agreed = self.owner.borrow().confirmed();
+        self.tell(lessor::Event::OtherSites(agreed), say);
     }
 
     /// Goes by this document: the latest, or the one before it if at least half of the nodes that tried it went back.
@@ -251,41 +258,51 @@
         if back {
             tracing::warn!(%version, "budgets: nodes went back from the latest document, and so does their keeper");
         }
-        let terms = terms::read(document);
-        let longest = terms.values().map(|terms| terms.lease + terms.longest_use).max().unwrap_or(Span::ZERO);
-        self.longest.set(longest * (1.0 + DRIFT) * (1.0 + DRIFT));
+        let terms = terms::read_all(document);
+        let longest =
+            terms.values().map(|terms| terms.lease + terms.max_use_time).max().unwrap_or(Span::ZERO);
+        self.longest.set(longest * (1.0 + MAX_CLOCK_DRIFT_RATIO) * (1.0 + MAX_CLOCK_DRIFT_RATIO));
         let mut out = Vec::new();
-        self.owner.borrow_mut().terms(version.digest.to_string(), terms, &mut out);
+        self.owner.borrow_mut().set_terms(version.digest.to_string(), terms, &mut out);
         self.owned(out, say);
     }
 
-    pub fn asked(&self, connection: Connection, ask: Ask, say: &mut impl FnMut(Connection, &Published)) {
-        self.tell(keeper::Event::Asked(connection, ask), say);
+    pub fn asked(
+        &self,
+        connection: Connection,
+        ask: LeaseRequest,
+        say: &mut impl FnMut(Connection, &Published),
+    ) {
+        self.tell(lessor::Event::Requested(connection, ask), say);
     }
 
     pub fn gone(&self, connection: Connection, say: &mut impl FnMut(Connection, &Published)) {
-        self.tell(keeper::Event::Gone(connection), say);
+        self.tell(lessor::Event::Disconnected(connection), say);
     }
 
     /// What another keeper told; gives what this one tells it.
-    pub fn heard(&self, parts: &Parts, say: &mut impl FnMut(Connection, &Published)) -> Option<Parts> {
+    pub fn heard(
+        &self,
+        parts: &SiteReport,
+        say: &mut impl FnMut(Connection, &Published),
+    ) -> Option<SiteReport> {
         let mut out = Vec::new();
-        self.owner.borrow_mut().heard(self.now(), parts, &mut out);
+        self.owner.borrow_mut().on_report(self.now(), parts, &mut out);
         self.owned(out, say);
         self.told(&parts.from)
     }
 
     /// How this site stands, for another; nothing while the disk does not have it.
-    fn told(&self, to: &str) -> Option<Parts> {
+    fn told(&self, to: &str) -> Option<SiteReport> {
         if self.unsaved.get() {
             return None;
         }
         let keeper = self.keeper.borrow();
         let owner = self.owner.borrow();
-        let budgets = owner.all_terms().keys();
-        let over = budgets.clone().any(|name| keeper.over(name) > 0);
-        let short = budgets.map(|name| (name.clone(), keeper.spare(name).1)).collect();
-        Some(owner.tell(to, over, &short))
+        let budgets = owner.terms().keys();
+        let over = budgets.clone().any(|name| keeper.overcommitted(name) > 0);
+        let short = budgets.map(|name| (name.clone(), keeper.balance(name).shortfall)).collect();
+        Some(owner.report_to(to, over, &short))
     }
 
     /// Sends what is free to those that are short, and tells all how this site stands.
@@ -294,17 +311,17 @@
         {
             let (keeper, now) = (self.keeper.borrow(), self.now());
             let mut owner = self.owner.borrow_mut();
-            let names: Vec<String> = owner.all_terms().keys().cloned().collect();
+            let names: Vec<String> = owner.terms().keys().cloned().collect();
             let free = names.into_iter().map(|name| {
-                let units = keeper.free(now, &name).min(keeper.spare(&name).0);
+                let units = keeper.free(now, &name).min(keeper.balance(&name).surplus);
                 (name, units)
             });
             let free = free.collect();
             let within: Vec<String> =
-                owner.all_terms().keys().filter(|name| keeper.over(name) == 0).cloned().collect();
-            owner.spare(&free, &within, &mut out);
+                owner.terms().keys().filter(|name| keeper.overcommitted(name) == 0).cloned().collect();
+            owner.send_units(&free, &within, &mut out);
             if self.unsaved.get() {
-                out.push(parts::Action::Keep(owner.ledger().clone()));
+                out.push(ownership::Action::Store(owner.ledger().clone()));
             }
         }
         if !out.is_empty() {
@@ -315,12 +332,12 @@
                 link.put(Said::Parts(parts).encode().as_bytes());
             }
         }
-        (self.metrics)(&self.keeper.borrow().figures(self.now()));
+        (self.metrics)(&self.keeper.borrow().report(self.now()));
     }
 
     /// Does what is due until it is dropped.
     pub async fn run(&self, mut say: impl FnMut(Connection, &Published)) {
-        let every = Span::from_ms(TELL_EVERY_MS.min(KEEP_AGAIN_MS));
+        let every = Span::from_ms(REPORT_INTERVAL_MS.min(KEEP_AGAIN_MS));
         let mut next = self.now();
         loop {
             let now = self.now();
@@ -330,7 +347,7 @@
             }
             let wakes = self.keeper.borrow().wakes_at(now);
             if wakes.is_some_and(|at| at <= now) {
-                self.tell(keeper::Event::Woke, &mut say);
+                self.tell(lessor::Event::Timer, &mut say);
                 // What is due can't be put off for less than the clock can tell.
                 Timer::after(Duration::from_millis(1)).await;
                 continue;
@@ -400,27 +417,39 @@
     }
 
     /// Carries out an operator's word.
-    pub fn word(&self, word: &Word, say: &mut impl FnMut(Connection, &Published)) -> Result<Value, String> {
+    pub fn word(
+        &self,
+        word: &OperatorCommand,
+        say: &mut impl FnMut(Connection, &Published),
+    ) -> Result<Value, String> {
         let now = self.now();
         let mut out = Vec::new();
         let told = match word {
-            Word::Show => return Ok(self.report()),
-            Word::History => {
+            OperatorCommand::Show => return Ok(self.report()),
+            OperatorCommand::History => {
                 let keeper = self.keeper.borrow();
-                let past = keeper.history().map(|(at, what)| json!([now.since(*at).as_ms(), what]));
+                let past = keeper.history().map(|entry| json!([now.since(entry.at).as_ms(), entry.text]));
                 return Ok(Value::Array(past.collect()));
             }
-            Word::Move { id, to, budget, units } => {
+            OperatorCommand::Move { id, to, budget, units } => {
                 let free = self.keeper.borrow().free(now, budget);
-                self.owner.borrow_mut().moves(id, (to, budget, *units), free, &mut out)
+                self.owner
+                    .borrow_mut()
+                    .move_units(id, to, budget, *units, free, &mut out)
+                    .map(|outcome| outcome.to_string())
+                    .map_err(|error| error.to_string())
             }
-            Word::Retire { id, site } => {
+            OperatorCommand::Retire { id, site } => {
                 let safe_from = self.safe_from(site);
-                self.owner.borrow_mut().retire(id, now, site, safe_from, &mut out)
+                self.owner
+                    .borrow_mut()
+                    .retire(id, now, site, safe_from, &mut out)
+                    .map(|outcome| outcome.to_string())
+                    .map_err(|error| error.to_string())
             }
-            Word::Open => {
-                self.keeper.borrow_mut().open(now);
-                self.owner.borrow_mut().vouch();
+            OperatorCommand::Open => {
+                self.keeper.borrow_mut().reopen(now);
+                self.owner.borrow_mut().confirm_all();
                 Ok("new grants begin when every lease is over that may have been given".to_owned())
             }
         };
@@ -434,26 +463,26 @@
     /// By when nothing that the keeper of a site granted can be in use, if it is gone: counted from when it was last heard,
     /// or from this keeper's start.
     fn safe_from(&self, site: &str) -> Time {
-        let heard = self.owner.borrow().safe_from(site, self.longest.get());
+        let heard = self.owner.borrow().safe_to_retire_at(site, self.longest.get());
         heard.unwrap_or(Time::from_ms(0.0) + self.longest.get())
     }
 
     /// Who holds what, and since when.
     pub fn report(&self) -> Value {
         let (keeper, owner, now) = (self.keeper.borrow(), self.owner.borrow(), self.now());
-        let peers = owner.peers().map(|(site, heard)| {
+        let peers = owner.peers().map(|PeerStatus { site, last_report }| {
             json!({
                 "site": site,
-                "heard_ms_ago": heard.map(|at| now.since(at).as_ms()),
+                "heard_ms_ago": last_report.map(|at| now.since(at).as_ms()),
                 "safe_in_ms": self.safe_from(site).since(now).as_ms(),
-                "lost": owner.ledger().retired.get(site).is_some_and(|retired| !retired.back),
+                "lost": owner.ledger().retired.get(site).is_some_and(|retired| !retired.readmitted),
             })
         });
         json!({
             "site": keeper.site(),
             "generation": keeper.generation(),
-            "held_up": keeper.held_up(now),
-            "budgets": keeper.figures(now),
+            "held_up": keeper.grants_blocked(now),
+            "budgets": keeper.report(now),
             "sites": peers.collect::<Vec<Value>>(),
         })
     }
--- a/crates/hazelgrade-stream/src/protocol.rs
+++ b/crates/hazelgrade-stream/src/protocol.rs
@@ -4,7 +4,7 @@
 //! answer to that nonce either acknowledges the version or turns it down with a reason; the node goes on with what it had.
 
 use hazelgrade::time::Span;
-use hazelgrade_budget::message::{Ask, Grant, Parts, Word};
+use hazelgrade_budget::protocol::{LeaseGrant, LeaseRequest, OperatorCommand, SiteReport};
 use hazelgrade_config::{Difference, Kind, Version};
 use serde_json::{Map, Value, json};
 
@@ -34,11 +34,11 @@
     /// Come back after this long; the connection is closed then.
     Retry(Span),
     /// The answer to an ask for parts of budgets.
-    Grant(Grant),
+    Grant(LeaseGrant),
     /// Ask for them now.
     Nudge,
     /// How another site's keeper stands.
-    Parts(Parts),
+    Parts(SiteReport),
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -155,13 +155,13 @@
         call: u64,
     },
     /// Asks for parts of budgets, and says what is held.
-    Ask(Ask),
+    Ask(LeaseRequest),
     /// How a keeper of another site stands.
-    Parts(Parts),
+    Parts(SiteReport),
     /// An operator's word on budgets.
     Word {
         call: u64,
-        word: Word,
+        word: OperatorCommand,
     },
 }
 
--- a/crates/hazelgrade-stream/src/service.rs
+++ b/crates/hazelgrade-stream/src/service.rs
@@ -10,7 +10,7 @@
 use futures_lite::future::or;
 use futures_lite::io::BufReader;
 use hazelgrade::time::Time;
-use hazelgrade_budget::message::Word;
+use hazelgrade_budget::protocol::OperatorCommand;
 use hazelgrade_config::{Document, Kind, Version, fault};
 use hazelgrade_net::ending::ConnectionEnd;
 use hazelgrade_net::outbox::Outbox;
@@ -441,7 +441,7 @@
 }
 
 /// Says an operator's word on budgets to the keeper at a control service.
-pub fn word(control: SocketAddr, word: Word, within: Duration) -> Result<Value, String> {
+pub fn word(control: SocketAddr, word: OperatorCommand, within: Duration) -> Result<Value, String> {
     call(control, &Said::Word { call: 1, word }, within)
 }
 
