--- a/crates/hazelgrade-server/src/program/budgets.rs
+++ b/crates/hazelgrade-server/src/program/budgets.rs
@@ -11,7 +11,7 @@
 use futures_lite::future::{BoxedLocal, FutureExt};
 use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::Time;
-use hazelgrade_budget::holder::Holder;
+use hazelgrade_budget::lease_holder::LeaseHolder;
 use hazelgrade_budget::terms;
 use hazelgrade_config::operator::{BudgetConfig, StreamConfig};
 use hazelgrade_config::{Document, Kind};
@@ -67,7 +67,7 @@
 ) -> BudgetShare {
     // Two processes of one name are two holders, so the incarnation can't come from the name or the seed.
     let incarnation = RandomState::new().hash_one((SystemTime::now(), std::process::id()));
-    let holder = Holder::new(
+    let holder = LeaseHolder::new(
         Time::from_ms(0.0),
         &deployment.name,
         incarnation,
@@ -113,7 +113,7 @@
     }
 
     fn apply(&self, document: Option<&Document>, _is_rollback: bool) -> Result<(), String> {
-        self.seat.set_budgets(&document.map(terms::read).unwrap_or_default());
+        self.seat.set_budgets(&document.map(terms::read_all).unwrap_or_default());
         self.update_allowance();
         Ok(())
     }
@@ -135,7 +135,7 @@
     fn next_message(&self) -> Option<SubscriberMessage> {
         let request = self.seat.due_request()?;
         // A node that drains has given units back by saying so.
-        if request.leaving {
+        if request.draining {
             self.update_allowance();
         }
         Some(SubscriberMessage::LeaseRequest(request))
@@ -160,7 +160,7 @@
                 if self.seat.apply_grant(grant) {
                     self.update_allowance();
                 } else {
-                    tracing::debug!(count = grant.count, "a grant that is not the latest");
+                    tracing::debug!(count = grant.sequence, "a grant that is not the latest");
                 }
             }
             PublisherMessage::RequestLeases => self.seat.nudged(),
--- a/crates/hazelgrade-server/src/program/command/budget.rs
+++ b/crates/hazelgrade-server/src/program/command/budget.rs
@@ -2,7 +2,7 @@
 
 mod report;
 
-use hazelgrade_budget::message::Word;
+use hazelgrade_budget::protocol::OperatorCommand;
 use hazelgrade_stream::{control_service, lessor_service};
 use pico_args::Arguments;
 use serde_json::Value;
@@ -34,7 +34,7 @@
     },
     Request {
         control_service: SocketAddr,
-        request: Word,
+        request: OperatorCommand,
         output: Output,
     },
 }
@@ -60,10 +60,10 @@
         }
         let control_service = arguments.value_from_str("--control")?;
         let (request, output) = match name.as_str() {
-            "show" => (Word::Show, Output::Tables),
-            "metrics" => (Word::Show, Output::Metrics),
-            "history" => (Word::History, Output::History),
-            "open" => (Word::Open, Output::Line),
+            "show" => (OperatorCommand::Show, Output::Tables),
+            "metrics" => (OperatorCommand::Show, Output::Metrics),
+            "history" => (OperatorCommand::History, Output::History),
+            "open" => (OperatorCommand::Open, Output::Line),
             "move" => (parse_move(arguments)?, Output::Line),
             "retire" => (parse_retire(arguments)?, Output::Line),
             _ => {
@@ -92,8 +92,8 @@
     }
 }
 
-fn parse_move(arguments: &mut Arguments) -> Result<Word, pico_args::Error> {
-    Ok(Word::Move {
+fn parse_move(arguments: &mut Arguments) -> Result<OperatorCommand, pico_args::Error> {
+    Ok(OperatorCommand::Move {
         to: arguments.value_from_str("--to")?,
         budget: arguments.value_from_str("--budget")?,
         units: arguments.value_from_str("--units")?,
@@ -101,8 +101,8 @@
     })
 }
 
-fn parse_retire(arguments: &mut Arguments) -> Result<Word, pico_args::Error> {
-    Ok(Word::Retire { site: arguments.value_from_str("--site")?, id: parse_id(arguments)? })
+fn parse_retire(arguments: &mut Arguments) -> Result<OperatorCommand, pico_args::Error> {
+    Ok(OperatorCommand::Retire { site: arguments.value_from_str("--site")?, id: parse_id(arguments)? })
 }
 
 /// Names a change, so that a retry of it does nothing; a random name if none is given.
--- a/crates/hazelgrade-server/src/program/command/budget/report.rs
+++ b/crates/hazelgrade-server/src/program/command/budget/report.rs
@@ -1,7 +1,7 @@
 //! The report of a lessor, as tables, as a history and as metrics.
 
 use crate::program::command::table;
-use hazelgrade_budget::keeper::Figures;
+use hazelgrade_budget::lessor::BudgetReport;
 use metrics_exporter_prometheus::PrometheusBuilder;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -102,7 +102,7 @@
     let recorder = PrometheusBuilder::new().build_recorder();
     let handle = recorder.handle();
     let budgets = report["budgets"].as_object().into_iter().flatten().filter_map(|(name, figures)| {
-        let figures: Figures = serde_json::from_value(figures.clone()).ok()?;
+        let figures: BudgetReport = serde_json::from_value(figures.clone()).ok()?;
         Some((name.clone(), figures))
     });
     let budgets = budgets.collect();
@@ -110,22 +110,22 @@
     handle.render()
 }
 
-fn set_gauges(budgets: &BTreeMap<String, Figures>) {
+fn set_gauges(budgets: &BTreeMap<String, BudgetReport>) {
     for (name, figures) in budgets {
         let gauge = |metric: &'static str, units: u32| {
             metrics::gauge!(metric, "budget" => name.clone()).set(f64::from(units));
         };
-        gauge("hazelgrade_budget_whole", figures.whole);
+        gauge("hazelgrade_budget_whole", figures.total);
         gauge("hazelgrade_budget_owned", figures.owned);
         gauge("hazelgrade_budget_granted", figures.granted);
-        gauge("hazelgrade_budget_used", figures.used);
+        gauge("hazelgrade_budget_used", figures.in_use);
         gauge("hazelgrade_budget_wanted", figures.wanted);
-        gauge("hazelgrade_budget_in_doubt", figures.in_doubt);
+        gauge("hazelgrade_budget_in_doubt", figures.unreturned);
         gauge("hazelgrade_budget_free", figures.free);
-        for holder in &figures.holders {
+        for holder in &figures.leases {
             let labels = [("budget", name.clone()), ("holder", holder.holder.clone())];
             metrics::gauge!("hazelgrade_budget_holder_granted", &labels).set(f64::from(holder.granted));
-            metrics::gauge!("hazelgrade_budget_holder_used", &labels).set(f64::from(holder.used));
+            metrics::gauge!("hazelgrade_budget_holder_used", &labels).set(f64::from(holder.in_use));
         }
     }
 }
--- a/crates/hazelgrade-server/src/program/command/control.rs
+++ b/crates/hazelgrade-server/src/program/command/control.rs
@@ -6,7 +6,7 @@
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 use futures_lite::future::or;
-use hazelgrade_budget::keeper::Figures;
+use hazelgrade_budget::lessor::BudgetReport;
 use hazelgrade_stream::control_service::{self, AdmissionRate, ControlServiceConfig};
 use hazelgrade_stream::lessor_service::{self, Metrics};
 use pico_args::Arguments;
@@ -87,10 +87,10 @@
 fn log_granted_units() -> Metrics {
     let before = Cell::new(None);
     Box::new(move |budgets| {
-        let sum = |units: fn(&Figures) -> u32| budgets.values().map(units).fold(0, u32::saturating_add);
+        let sum = |units: fn(&BudgetReport) -> u32| budgets.values().map(units).fold(0, u32::saturating_add);
         let now = GrantedUnits {
             granted: sum(|figures| figures.granted),
-            in_doubt: sum(|figures| figures.in_doubt),
+            in_doubt: sum(|figures| figures.unreturned),
         };
         if before.replace(Some(now)) != Some(now) {
             tracing::debug!(granted = now.granted, in_doubt = now.in_doubt, "budgets");
--- a/crates/hazelgrade-server/src/routing/budget_share.rs
+++ b/crates/hazelgrade-server/src/routing/budget_share.rs
@@ -8,10 +8,10 @@
 use hazelgrade::api::{CallDemand, CallLease, Job};
 use hazelgrade::statistics::DecayingSum;
 use hazelgrade::time::{Span, Time};
-use hazelgrade_budget::bucket::Bucket;
-use hazelgrade_budget::holder::{Holder, Use};
-use hazelgrade_budget::message::{Ask, Grant};
-use hazelgrade_budget::terms::{Measure, Terms};
+use hazelgrade_budget::lease_holder::{LeaseHolder, Usage};
+use hazelgrade_budget::protocol::{LeaseGrant, LeaseRequest};
+use hazelgrade_budget::terms::{BudgetTerms, Measure};
+use hazelgrade_budget::token_bucket::TokenBucket;
 use hazelgrade_net::notify::Notify;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -26,24 +26,24 @@
 /// A token bucket that is refilled by this node's share of a budget.
 struct RateLimit {
     budget: String,
-    bucket: Bucket,
+    bucket: TokenBucket,
     /// Jobs that asked for a token, whether they got one or not.
     demand: DecayingSum,
-    terms: Terms,
+    terms: BudgetTerms,
 }
 
 impl RateLimit {
-    fn new(now: Time, budget: &str, terms: &Terms) -> RateLimit {
+    fn new(now: Time, budget: &str, terms: &BudgetTerms) -> RateLimit {
         RateLimit {
             budget: budget.into(),
-            bucket: Bucket::new(now, terms.measure, terms.whole),
+            bucket: TokenBucket::new(now, terms.measure, terms.total),
             demand: DecayingSum::new(Span::from_ms(DEMAND_TIME_CONSTANT_MS)),
             terms: terms.clone(),
         }
     }
 
     /// The limit under new terms; the tokens of one that was there under this budget are kept.
-    fn replace(now: Time, budget: &str, terms: &Terms, before: Option<RateLimit>) -> RateLimit {
+    fn replace(now: Time, budget: &str, terms: &BudgetTerms, before: Option<RateLimit>) -> RateLimit {
         match before {
             Some(limit) if limit.budget == budget => RateLimit { terms: terms.clone(), ..limit },
             _ => RateLimit::new(now, budget, terms),
@@ -58,7 +58,7 @@
     /// Takes a token; without one, gives when there may be one.
     fn take(&mut self, now: Time) -> Result<(), Span> {
         self.demand.add(now, 1.0);
-        let taken = self.bucket.take(now);
+        let taken = self.bucket.try_take(now);
         taken.map_err(|retry_after| retry_after.unwrap_or(Span::from_ms(DEMAND_TIME_CONSTANT_MS)))
     }
 }
@@ -69,7 +69,7 @@
     started: Instant,
     /// How fast this process's clock runs; other than 1 in tests only.
     clock_rate: f64,
-    holder: RefCell<Holder>,
+    holder: RefCell<LeaseHolder>,
     /// The budget of calls in flight, if one is known.
     call_budget: RefCell<Option<String>>,
     /// The limits on jobs a second, by tenant.
@@ -89,7 +89,12 @@
 impl BudgetShare {
     /// `holder` must be made with the clock of this share, which starts at 0. Until budgets are set, `call_budget` is
     /// that of the calls; a call may stay at the dependency for `linger`.
-    pub fn new(holder: Holder, call_budget: Option<String>, linger: Span, clock_rate: f64) -> BudgetShare {
+    pub fn new(
+        holder: LeaseHolder,
+        call_budget: Option<String>,
+        linger: Span,
+        clock_rate: f64,
+    ) -> BudgetShare {
         BudgetShare {
             started: Instant::now(),
             clock_rate,
@@ -116,7 +121,7 @@
     }
 
     /// Replaces the budgets that this node is bound by.
-    pub fn set_budgets(&self, budgets: &BTreeMap<String, Terms>) {
+    pub fn set_budgets(&self, budgets: &BTreeMap<String, BudgetTerms>) {
         let now = self.now();
         let mut tenant_limits = self.tenant_limits.borrow_mut();
         let mut retry_limit = self.retry_limit.borrow_mut();
@@ -124,7 +129,7 @@
         let mut retry_limit_before = retry_limit.take();
         for (name, terms) in budgets {
             match (terms.measure, &terms.tenant) {
-                (Measure::InHand, _) => {
+                (Measure::ConcurrentCalls, _) => {
                     self.call_budget.replace(Some(name.clone()));
                 }
                 (Measure::Rate { .. }, Some(tenant)) => {
@@ -132,7 +137,7 @@
                     tenant_limits.insert(tenant.clone(), limit);
                 }
                 (Measure::Rate { .. }, None) => {}
-                (Measure::Tries { .. }, _) => {
+                (Measure::Retries { .. }, _) => {
                     *retry_limit = Some(RateLimit::replace(now, name, terms, retry_limit_before.take()));
                 }
             }
@@ -147,14 +152,14 @@
     pub fn call_lease(&self, controller_now: Time) -> Option<CallLease> {
         let now = self.now();
         let call_budget = self.call_budget.borrow();
-        let allowed = self.holder.borrow().allowed(now, call_budget.as_ref()?);
+        let allowed = self.holder.borrow().entitlement(now, call_budget.as_ref()?);
         let on_controller_clock = |at: Time| controller_now + at.since(now) * (1.0 / self.clock_rate);
         Some(CallLease {
             calls: f64::from(allowed.units),
-            expires: allowed.until.map_or(controller_now, on_controller_clock),
-            calls_after_expiry: f64::from(allowed.alone),
-            max_call_time: allowed.longest_use,
-            retry_after: allowed.more_at.map_or(Span::ZERO, |at| at.since(now)),
+            expires: allowed.expires_at.map_or(controller_now, on_controller_clock),
+            calls_after_expiry: f64::from(allowed.unleased),
+            max_call_time: allowed.max_use_time,
+            retry_after: allowed.retry_at.map_or(Span::ZERO, |at| at.since(now)),
         })
     }
 
@@ -166,9 +171,9 @@
         let Some(budget) = self.call_budget.borrow().clone() else { return };
         let now = self.now();
         let mut holder = self.holder.borrow_mut();
-        let request_before = holder.next();
-        holder.uses(now, &budget, Use { used, wants });
-        if holder.next() < request_before {
+        let request_before = holder.next_request_at();
+        holder.record_usage(now, &budget, Usage { in_use: used, wanted: wants });
+        if holder.next_request_at() < request_before {
             self.changed.notify();
         }
     }
@@ -180,12 +185,12 @@
         let call_budget = self.call_budget.borrow();
         let expires_at = Instant::now() + self.max_send_time;
         let Some(budget) = &*call_budget else { return Some(expires_at) };
-        let allowed = self.holder.borrow().allowed(now, budget);
+        let allowed = self.holder.borrow().entitlement(now, budget);
         let used = self.calls_in_flight.get();
-        if used <= allowed.alone {
+        if used <= allowed.unleased {
             return Some(expires_at);
         }
-        match allowed.until {
+        match allowed.expires_at {
             Some(until) if used <= allowed.units => Some(expires_at.min(self.instant(until))),
             _ => {
                 self.calls_expired.set(self.calls_expired.get() + 1);
@@ -210,26 +215,26 @@
         let limit = retry_limit.as_mut()?;
         self.refill(now, limit);
         if !job.is_retry {
-            limit.bucket.earn();
+            limit.bucket.deposit();
             return None;
         }
         let retry_after = limit.take(now).err()?;
         if let Some(limit) = &mut tenant_limit {
-            limit.bucket.put_back();
+            limit.bucket.refund();
         }
         Some(retry_after)
     }
 
     fn refill(&self, now: Time, limit: &mut RateLimit) {
-        let units = self.holder.borrow().allowed(now, &limit.budget).units;
-        limit.bucket.revise(now, limit.terms.measure, limit.terms.whole, units);
+        let units = self.holder.borrow().entitlement(now, &limit.budget).units;
+        limit.bucket.resize(now, limit.terms.measure, limit.terms.total, units);
     }
 
     /// The request for leases that is due.
-    pub fn due_request(&self) -> Option<Ask> {
+    pub fn due_request(&self) -> Option<LeaseRequest> {
         let now = self.now();
         let mut holder = self.holder.borrow_mut();
-        if now < holder.next() {
+        if now < holder.next_request_at() {
             return None;
         }
         let mut demands = Vec::new();
@@ -240,34 +245,36 @@
             demands.push((limit.budget.clone(), limit.wanted(now)));
         }
         // Nothing of a rate is in flight: a share that is taken away is not used from that moment on.
-        demands.into_iter().for_each(|(budget, wants)| holder.uses(now, &budget, Use { used: 0, wants }));
-        holder.ask(now)
+        demands.into_iter().for_each(|(budget, wants)| {
+            holder.record_usage(now, &budget, Usage { in_use: 0, wanted: wants })
+        });
+        holder.take_request(now)
     }
 
     /// When the next request is due, on the controller's clock.
     pub fn next_request_at(&self, controller_now: Time) -> Time {
-        let next = self.holder.borrow().next();
+        let next = self.holder.borrow().next_request_at();
         controller_now + next.since(self.now()) * (1.0 / self.clock_rate)
     }
 
     /// Takes a grant of the lessor; `false` if it changes nothing.
-    pub fn apply_grant(&self, grant: &Grant) -> bool {
-        self.holder.borrow_mut().granted(self.now(), grant)
+    pub fn apply_grant(&self, grant: &LeaseGrant) -> bool {
+        self.holder.borrow_mut().on_grant(self.now(), grant)
     }
 
     /// The lessor asks for a request at once.
     pub fn nudged(&self) {
-        self.holder.borrow_mut().nudged(self.now());
+        self.holder.borrow_mut().on_nudge(self.now());
     }
 
     /// A connection to the lessor was established.
     pub fn connected(&self) {
-        self.holder.borrow_mut().connected(self.now());
+        self.holder.borrow_mut().on_connected(self.now());
     }
 
     /// The node drains: from now on it gives back what it does not use.
     pub fn start_drain(&self) {
-        self.holder.borrow_mut().leave(self.now());
+        self.holder.borrow_mut().start_drain(self.now());
         self.changed.notify();
     }
 
@@ -278,6 +285,6 @@
 
     /// Grants that were not applied, since the start.
     pub fn ignored_grants(&self) -> u64 {
-        self.holder.borrow().refused
+        self.holder.borrow().ignored_grants()
     }
 }
--- a/crates/hazelgrade-stream/src/control_service/dispatch.rs
+++ b/crates/hazelgrade-stream/src/control_service/dispatch.rs
@@ -5,7 +5,7 @@
 use super::status;
 use crate::protocol::{PublisherMessage, SubscriberMessage};
 use crate::publisher::{Action, ConnectionId, Event};
-use hazelgrade_budget::message::Word;
+use hazelgrade_budget::protocol::OperatorCommand;
 use hazelgrade_config::Kind;
 use serde_json::{Value, json};
 use std::collections::VecDeque;
@@ -39,7 +39,7 @@
         }
     }
 
-    fn on_budget_command(&self, connection: ConnectionId, request_id: u64, command: &Word) {
+    fn on_budget_command(&self, connection: ConnectionId, request_id: u64, command: &OperatorCommand) {
         let result = match &self.lessor {
             Some(lessor) => {
                 let result = lessor.on_command(command, &mut |to, message| self.send(to, message));
--- a/crates/hazelgrade-stream/src/control_service/operator_client.rs
+++ b/crates/hazelgrade-stream/src/control_service/operator_client.rs
@@ -1,7 +1,7 @@
 //! An operator's requests to a control service, over a connection of their own.
 
 use crate::protocol::SubscriberMessage;
-use hazelgrade_budget::message::Word;
+use hazelgrade_budget::protocol::OperatorCommand;
 use serde_json::Value;
 use std::io::{self, BufRead, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -65,7 +65,7 @@
 /// Why it is not known to be carried out.
 pub fn send_budget_command(
     control_service: SocketAddr,
-    command: Word,
+    command: OperatorCommand,
     timeout: Duration,
 ) -> Result<Value, RequestError> {
     let message = SubscriberMessage::BudgetCommand { request_id: REQUEST_ID, command };
--- a/crates/hazelgrade-stream/src/lessor_service/commands.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/commands.rs
@@ -4,32 +4,36 @@
 use super::error::BudgetCommandError;
 use crate::protocol::PublisherMessage;
 use crate::publisher::ConnectionId;
-use hazelgrade_budget::message::Word;
+use hazelgrade_budget::ownership::PeerStatus;
+use hazelgrade_budget::protocol::OperatorCommand;
 use serde_json::{Value, json};
 
 impl LessorService {
     /// Carries out a command; gives what to tell the operator.
     pub(crate) fn on_command(
         &self,
-        command: &Word,
+        command: &OperatorCommand,
         send: &mut impl FnMut(ConnectionId, &PublisherMessage),
     ) -> Result<Value, BudgetCommandError> {
         let now = self.now();
         let mut actions = Vec::new();
         let result = match command {
-            Word::Show => return Ok(self.status()),
-            Word::History => return Ok(self.history()),
-            Word::Move { id, to, budget, units } => {
+            OperatorCommand::Show => return Ok(self.status()),
+            OperatorCommand::History => return Ok(self.history()),
+            OperatorCommand::Move { id, to, budget, units } => {
                 let free = self.lessor.borrow().free(now, budget);
-                self.owner.borrow_mut().moves(id, (to, budget, *units), free, &mut actions)
+                let mut owner = self.owner.borrow_mut();
+                let moved = owner.move_units(id, to, budget, *units, free, &mut actions);
+                moved.map(|outcome| outcome.to_string()).map_err(|error| error.to_string())
             }
-            Word::Retire { id, site } => {
+            OperatorCommand::Retire { id, site } => {
                 let safe_from = self.safe_from(site);
-                self.owner.borrow_mut().retire(id, now, site, safe_from, &mut actions)
+                let retired = self.owner.borrow_mut().retire(id, now, site, safe_from, &mut actions);
+                retired.map(|outcome| outcome.to_string()).map_err(|error| error.to_string())
             }
-            Word::Open => {
-                self.lessor.borrow_mut().open(now);
-                self.owner.borrow_mut().vouch();
+            OperatorCommand::Open => {
+                self.lessor.borrow_mut().reopen(now);
+                self.owner.borrow_mut().confirm_all();
                 Ok("new grants begin when every lease is over that may have been given".to_owned())
             }
         };
@@ -37,33 +41,33 @@
         if self.is_ledger_unsaved.get() {
             return Err(BudgetCommandError::NotStored);
         }
-        result.map(Value::String).map_err(|reason| BudgetCommandError::Rejected(reason.to_string()))
+        result.map(Value::String).map_err(BudgetCommandError::Rejected)
     }
 
     /// What happened, each with the milliseconds since.
     fn history(&self) -> Value {
         let now = self.now();
         let lessor = self.lessor.borrow();
-        let entries = lessor.history().map(|(at, text)| json!([now.since(*at).as_ms(), text]));
+        let entries = lessor.history().map(|entry| json!([now.since(entry.at).as_ms(), entry.text]));
         Value::Array(entries.collect())
     }
 
     /// Which lease holder has how much of each budget, and how the other sites are.
     fn status(&self) -> Value {
         let (lessor, owner, now) = (self.lessor.borrow(), self.owner.borrow(), self.now());
-        let sites = owner.peers().map(|(site, last_report)| {
+        let sites = owner.peers().map(|PeerStatus { site, last_report }| {
             json!({
                 "site": site,
                 "heard_ms_ago": last_report.map(|at| now.since(at).as_ms()),
                 "safe_in_ms": self.safe_from(site).since(now).as_ms(),
-                "lost": owner.ledger().retired.get(site).is_some_and(|retired| !retired.back),
+                "lost": owner.ledger().retired.get(site).is_some_and(|retired| !retired.readmitted),
             })
         });
         json!({
             "site": lessor.site(),
             "generation": lessor.generation(),
-            "held_up": lessor.held_up(now),
-            "budgets": lessor.figures(now),
+            "held_up": lessor.grants_blocked(now),
+            "budgets": lessor.report(now),
             "sites": sites.collect::<Vec<Value>>(),
         })
     }
--- a/crates/hazelgrade-stream/src/lessor_service/mod.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/mod.rs
@@ -19,10 +19,10 @@
 use async_io::Timer;
 use futures_lite::future::or;
 use hazelgrade::time::{Span, Time};
-use hazelgrade_budget::keeper::{self, Keeper};
-use hazelgrade_budget::message::Ask;
-use hazelgrade_budget::parts::{self, Owner, TELL_EVERY_MS};
-use hazelgrade_budget::{DRIFT, Units, terms};
+use hazelgrade_budget::lessor::{self, Lessor};
+use hazelgrade_budget::ownership::{self, Ownership, REPORT_INTERVAL_MS};
+use hazelgrade_budget::protocol::LeaseRequest;
+use hazelgrade_budget::{MAX_CLOCK_DRIFT_RATIO, Units, terms};
 use hazelgrade_config::Version;
 use hazelgrade_net::notify::Notify;
 use hazelgrade_net::write_queue::WriteQueue;
@@ -40,13 +40,13 @@
 const MIN_TIMER_DELAY: Duration = Duration::from_millis(1);
 
 /// Called with the figures of the budgets, by name, several times a second.
-pub type Metrics = Box<dyn Fn(&BTreeMap<String, keeper::Figures>)>;
+pub type Metrics = Box<dyn Fn(&BTreeMap<String, lessor::BudgetReport>)>;
 
 /// The lessor of a site's budgets.
 pub struct LessorService {
     started_at: Instant,
-    lessor: RefCell<Keeper>,
-    owner: RefCell<Owner>,
+    lessor: RefCell<Lessor>,
+    owner: RefCell<Ownership>,
     store: RefCell<LessorStore>,
     /// What the site owns of each budget by the ledger on the disk. Units beyond it are not leased out, and other
     /// sites don't hear of units given up.
@@ -82,8 +82,8 @@
         let book = store.read_book()?;
         let ledger = store.read_ledger()?;
         let started_at = Instant::now();
-        let (lessor, first_action) = Keeper::new(Time::from_ms(0.0), book);
-        let owner = Owner::new(&config.site, lessor.generation(), ledger);
+        let (lessor, first_action) = Lessor::new(Time::from_ms(0.0), book);
+        let owner = Ownership::new(&config.site, lessor.generation(), ledger);
         let service = LessorService {
             started_at,
             lessor: RefCell::new(lessor),
@@ -103,14 +103,14 @@
     }
 
     /// Stores the count of this start: without it this one can't be told from the one before.
-    fn store_start(&self, first_action: keeper::Action) -> Result<(), LessorError> {
+    fn store_start(&self, first_action: lessor::Action) -> Result<(), LessorError> {
         let mut actions = VecDeque::from([first_action]);
         while let Some(action) = actions.pop_front() {
-            if let keeper::Action::Keep(book) = action {
+            if let lessor::Action::Store(book) = action {
                 self.store.borrow_mut().write_first_book(&book)?;
                 let mut next_actions = Vec::new();
-                let event = keeper::Event::Kept(Ok(()));
-                self.lessor.borrow_mut().take(self.now(), event, &mut next_actions);
+                let event = lessor::Event::Stored(Ok(()));
+                self.lessor.borrow_mut().handle(self.now(), event, &mut next_actions);
                 actions.extend(next_actions);
             }
         }
@@ -123,21 +123,21 @@
     }
 
     /// Tells the lessor an event and performs its actions.
-    fn notify_lessor(&self, event: keeper::Event, send: &mut impl FnMut(ConnectionId, &PublisherMessage)) {
+    fn notify_lessor(&self, event: lessor::Event, send: &mut impl FnMut(ConnectionId, &PublisherMessage)) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let mut actions = Vec::new();
-            self.lessor.borrow_mut().take(self.now(), event, &mut actions);
+            self.lessor.borrow_mut().handle(self.now(), event, &mut actions);
             for action in actions {
                 match action {
-                    keeper::Action::Grant(to, grant) => send(to, &PublisherMessage::LeaseGrant(grant)),
-                    keeper::Action::Nudge(to) => send(to, &PublisherMessage::RequestLeases),
+                    lessor::Action::Grant(to, grant) => send(to, &PublisherMessage::LeaseGrant(grant)),
+                    lessor::Action::Nudge(to) => send(to, &PublisherMessage::RequestLeases),
                     // A few milliseconds, at a start and when terms change: requests that need it wait for it anyway.
-                    keeper::Action::Keep(book) => {
+                    lessor::Action::Store(book) => {
                         let result = self.store.borrow_mut().write_book(&book);
-                        events.push_back(keeper::Event::Kept(result));
+                        events.push_back(lessor::Event::Stored(result));
                     }
-                    keeper::Action::Note(text) => tracing::info!("budgets: {text}"),
+                    lessor::Action::Log(text) => tracing::info!("budgets: {text}"),
                 }
             }
         }
@@ -147,30 +147,30 @@
     /// Performs the owner's actions, and has the lessor go by what the site owns then.
     fn perform_owner_actions(
         &self,
-        actions: Vec<parts::Action>,
+        actions: Vec<ownership::Action>,
         send: &mut impl FnMut(ConnectionId, &PublisherMessage),
     ) {
         for action in actions {
             match action {
-                parts::Action::Keep(ledger) => {
+                ownership::Action::Store(ledger) => {
                     let result = self.store.borrow_mut().write_ledger(&ledger);
                     if let Err(reason) = &result {
                         tracing::error!(reason, "the ledger can't be stored: other sites don't hear of it");
                     }
                     self.is_ledger_unsaved.set(result.is_err());
                 }
-                parts::Action::Older(by) => self.notify_lessor(keeper::Event::Older(by), send),
-                parts::Action::Note(text) => tracing::info!("budgets: {text}"),
+                ownership::Action::StaleStore(by) => self.notify_lessor(lessor::Event::StaleStore(by), send),
+                ownership::Action::Log(text) => tracing::info!("budgets: {text}"),
             }
         }
         let (terms, owned) = {
             let owner = self.owner.borrow();
-            (owner.all_terms().clone(), owner.owned_all())
+            (owner.terms().clone(), owner.owned_by_budget())
         };
         let owned = self.limit_to_stored(owned);
-        self.notify_lessor(keeper::Event::Terms(terms, owned), send);
-        let agreed = self.owner.borrow().agreed();
-        self.notify_lessor(keeper::Event::Others(agreed), send);
+        self.notify_lessor(lessor::Event::TermsChanged { terms, owned }, send);
+        let agreed = self.owner.borrow().confirmed();
+        self.notify_lessor(lessor::Event::OtherSites(agreed), send);
     }
 
     /// The units of each budget that the lessor may go by: never more than the disk knows of.
@@ -207,12 +207,12 @@
         if is_rolled_back {
             tracing::warn!(%version, "budgets: nodes rolled back from the current version, and so does the lessor");
         }
-        let terms = terms::read(chosen.document);
-        let longest = terms.values().map(|terms| terms.lease + terms.longest_use).max();
+        let terms = terms::read_all(chosen.document);
+        let longest = terms.values().map(|terms| terms.lease + terms.max_use_time).max();
         let longest = longest.unwrap_or(Span::ZERO);
-        self.max_lease_and_use.set(longest * (1.0 + DRIFT) * (1.0 + DRIFT));
+        self.max_lease_and_use.set(longest * (1.0 + MAX_CLOCK_DRIFT_RATIO) * (1.0 + MAX_CLOCK_DRIFT_RATIO));
         let mut actions = Vec::new();
-        self.owner.borrow_mut().terms(version.digest.to_string(), terms, &mut actions);
+        self.owner.borrow_mut().set_terms(version.digest.to_string(), terms, &mut actions);
         self.perform_owner_actions(actions, send);
     }
 
@@ -220,10 +220,10 @@
     pub(crate) fn on_lease_request(
         &self,
         connection: ConnectionId,
-        request: Ask,
+        request: LeaseRequest,
         send: &mut impl FnMut(ConnectionId, &PublisherMessage),
     ) {
-        self.notify_lessor(keeper::Event::Asked(connection, request), send);
+        self.notify_lessor(lessor::Event::Requested(connection, request), send);
     }
 
     /// The connection of a lease holder ended.
@@ -232,12 +232,12 @@
         connection: ConnectionId,
         send: &mut impl FnMut(ConnectionId, &PublisherMessage),
     ) {
-        self.notify_lessor(keeper::Event::Gone(connection), send);
+        self.notify_lessor(lessor::Event::Disconnected(connection), send);
     }
 
     /// Does what is due until it is dropped.
     pub(crate) async fn run(&self, mut send: impl FnMut(ConnectionId, &PublisherMessage)) {
-        let interval = Span::from_ms(TELL_EVERY_MS.min(STORE_RETRY_INTERVAL_MS));
+        let interval = Span::from_ms(REPORT_INTERVAL_MS.min(STORE_RETRY_INTERVAL_MS));
         let mut next_round = self.now();
         loop {
             let now = self.now();
@@ -247,7 +247,7 @@
             }
             let next_timer = self.lessor.borrow().wakes_at(now);
             if next_timer.is_some_and(|at| at <= now) {
-                self.notify_lessor(keeper::Event::Woke, &mut send);
+                self.notify_lessor(lessor::Event::Timer, &mut send);
                 Timer::after(MIN_TIMER_DELAY).await;
                 continue;
             }
@@ -266,6 +266,6 @@
             self.perform_owner_actions(actions, send);
         }
         self.report_to_sites();
-        (self.metrics)(&self.lessor.borrow().figures(self.now()));
+        (self.metrics)(&self.lessor.borrow().report(self.now()));
     }
 }
--- a/crates/hazelgrade-stream/src/lessor_service/sites.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/sites.rs
@@ -9,8 +9,8 @@
 use futures_lite::future::or;
 use futures_lite::io::BufReader;
 use hazelgrade::time::Time;
-use hazelgrade_budget::message::Parts;
-use hazelgrade_budget::parts;
+use hazelgrade_budget::ownership;
+use hazelgrade_budget::protocol::SiteReport;
 use hazelgrade_net::connect::connect;
 use hazelgrade_net::connection_end::ConnectionEnd;
 use hazelgrade_net::write_queue::WriteQueue;
@@ -29,44 +29,45 @@
     /// Another site's lessor reported; gives the report to answer with.
     pub(crate) fn on_site_report(
         &self,
-        report: &Parts,
+        report: &SiteReport,
         send: &mut impl FnMut(ConnectionId, &PublisherMessage),
-    ) -> Option<Parts> {
+    ) -> Option<SiteReport> {
         let mut actions = Vec::new();
-        self.owner.borrow_mut().heard(self.now(), report, &mut actions);
+        self.owner.borrow_mut().on_report(self.now(), report, &mut actions);
         self.perform_owner_actions(actions, send);
         self.report_for(&report.from)
     }
 
     /// This site's report to another; none while the disk doesn't have it.
-    fn report_for(&self, site: &str) -> Option<Parts> {
+    fn report_for(&self, site: &str) -> Option<SiteReport> {
         if self.is_ledger_unsaved.get() {
             return None;
         }
         let lessor = self.lessor.borrow();
         let owner = self.owner.borrow();
-        let budgets = owner.all_terms().keys();
-        let is_over = budgets.clone().any(|name| lessor.over(name) > 0);
-        let short = budgets.map(|name| (name.clone(), lessor.spare(name).1)).collect();
-        Some(owner.tell(site, is_over, &short))
+        let budgets = owner.terms().keys();
+        let is_over = budgets.clone().any(|name| lessor.overcommitted(name) > 0);
+        let short = budgets.map(|name| (name.clone(), lessor.balance(name).shortfall)).collect();
+        Some(owner.report_to(site, is_over, &short))
     }
 
     /// Gives free units to sites that are short; the owner's actions are still to be performed.
-    pub(super) fn give_to_sites(&self) -> Vec<parts::Action> {
+    pub(super) fn give_to_sites(&self) -> Vec<ownership::Action> {
         let lessor = self.lessor.borrow();
         let now = self.now();
         let mut owner = self.owner.borrow_mut();
-        let names: Vec<String> = owner.all_terms().keys().cloned().collect();
+        let names: Vec<String> = owner.terms().keys().cloned().collect();
         let free = names.iter().map(|name| {
-            let units = lessor.free(now, name).min(lessor.spare(name).0);
+            let units = lessor.free(now, name).min(lessor.balance(name).surplus);
             (name.clone(), units)
         });
         let free = free.collect();
-        let within: Vec<String> = names.iter().filter(|name| lessor.over(name) == 0).cloned().collect();
+        let within: Vec<String> =
+            names.iter().filter(|name| lessor.overcommitted(name) == 0).cloned().collect();
         let mut actions = Vec::new();
-        owner.spare(&free, &within, &mut actions);
+        owner.send_units(&free, &within, &mut actions);
         if self.is_ledger_unsaved.get() {
-            actions.push(parts::Action::Keep(owner.ledger().clone()));
+            actions.push(ownership::Action::Store(owner.ledger().clone()));
         }
         actions
     }
@@ -83,7 +84,7 @@
     /// report, or from the start of this lessor.
     pub(super) fn safe_from(&self, site: &str) -> Time {
         let longest = self.max_lease_and_use.get();
-        let since_report = self.owner.borrow().safe_from(site, longest);
+        let since_report = self.owner.borrow().safe_to_retire_at(site, longest);
         since_report.unwrap_or(Time::from_ms(0.0) + longest)
     }
 
--- a/crates/hazelgrade-stream/src/lessor_service/store.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/store.rs
@@ -2,8 +2,8 @@
 
 use super::config::LessorConfig;
 use super::error::LessorError;
-use hazelgrade_budget::keeper::Book;
-use hazelgrade_budget::parts::Ledger;
+use hazelgrade_budget::lessor::StoreFailed;
+use hazelgrade_budget::stored::{LessorRecord, SiteLedger};
 use hazelgrade_store::{Store, StoreError};
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
@@ -42,7 +42,7 @@
     let failed = |reason: StoreError| LessorError::NotCreated { path: path.clone(), reason };
     let mut store = Store::open(&path, &store_owner(site, listen)).map_err(failed)?;
     let book = first_book(site, is_replacement);
-    let (book, ledger) = (json!(book).to_string(), json!(Ledger::default()).to_string());
+    let (book, ledger) = (json!(book).to_string(), json!(SiteLedger::default()).to_string());
     let values = [(BOOK_KEY, Some(book.as_bytes())), (LEDGER_KEY, Some(ledger.as_bytes()))];
     store.commit(&values).map_err(failed)?;
     let waits = if is_replacement {
@@ -54,13 +54,13 @@
 }
 
 /// The book that the first start goes on from.
-fn first_book(site: &str, is_replacement: bool) -> Book {
+fn first_book(site: &str, is_replacement: bool) -> LessorRecord {
     if !is_replacement {
-        return Book { site: site.into(), generation: 0, granted: false, longest_ms: 0.0 };
+        return LessorRecord { site: site.into(), generation: 0, granted: false, max_grant_ms: 0.0 };
     }
     // Greater than any count of starts, so that nobody takes it for an earlier one.
     let generation = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs());
-    Book { site: site.into(), generation, granted: true, longest_ms: MAX_LEASE_AND_USE_MS }
+    LessorRecord { site: site.into(), generation, granted: true, max_grant_ms: MAX_LEASE_AND_USE_MS }
 }
 
 /// The store of a lessor that runs.
@@ -92,11 +92,11 @@
         }
     }
 
-    pub fn read_book(&mut self) -> Result<Book, LessorError> {
+    pub fn read_book(&mut self) -> Result<LessorRecord, LessorError> {
         self.read(BOOK_KEY)
     }
 
-    pub fn read_ledger(&mut self) -> Result<Ledger, LessorError> {
+    pub fn read_ledger(&mut self) -> Result<SiteLedger, LessorError> {
         self.read(LEDGER_KEY)
     }
 
@@ -108,7 +108,7 @@
     }
 
     /// Writes the book of a start, without which it can't go on.
-    pub fn write_first_book(&mut self, book: &Book) -> Result<(), LessorError> {
+    pub fn write_first_book(&mut self, book: &LessorRecord) -> Result<(), LessorError> {
         self.write(BOOK_KEY, &json!(book)).map_err(|reason| LessorError::Unusable {
             site: self.site.clone(),
             path: self.path.clone(),
@@ -117,12 +117,12 @@
     }
 
     /// Writes the book; done once it is on the disk, else the reason why it is not.
-    pub fn write_book(&mut self, book: &Book) -> Result<(), String> {
-        self.write(BOOK_KEY, &json!(book)).map_err(|reason| reason.to_string())
+    pub fn write_book(&mut self, book: &LessorRecord) -> Result<(), StoreFailed> {
+        self.write(BOOK_KEY, &json!(book)).map_err(|reason| StoreFailed(reason.to_string()))
     }
 
     /// Writes the ledger; done once it is on the disk, else the reason why it is not.
-    pub fn write_ledger(&mut self, ledger: &Ledger) -> Result<(), String> {
+    pub fn write_ledger(&mut self, ledger: &SiteLedger) -> Result<(), String> {
         self.write(LEDGER_KEY, &json!(ledger)).map_err(|reason| reason.to_string())
     }
 
--- a/crates/hazelgrade-stream/src/protocol/message.rs
+++ b/crates/hazelgrade-stream/src/protocol/message.rs
@@ -2,7 +2,7 @@
 
 use super::rejection::Rejection;
 use hazelgrade::time::Span;
-use hazelgrade_budget::message::{Ask, Grant, Parts, Word};
+use hazelgrade_budget::protocol::{LeaseGrant, LeaseRequest, OperatorCommand, SiteReport};
 use hazelgrade_config::{Difference, Kind, Version};
 
 /// What an offer carries.
@@ -42,11 +42,11 @@
     /// Asks the subscriber to connect again after this time; the control service closes the connection.
     RetryAfter(Span),
     /// Answers a request for leases of budgets.
-    LeaseGrant(Grant),
+    LeaseGrant(LeaseGrant),
     /// Asks the lease holder to request leases now.
     RequestLeases,
     /// Reports the state of another site's lessor.
-    SiteReport(Parts),
+    SiteReport(SiteReport),
 }
 
 /// A message from a subscriber, from the lessor of another site, or from an operator.
@@ -104,14 +104,14 @@
         request_id: u64,
     },
     /// A lease holder requests leases of budgets, and reports what it holds.
-    LeaseRequest(Ask),
+    LeaseRequest(LeaseRequest),
     /// Reports the state of another site's lessor.
-    SiteReport(Parts),
+    SiteReport(SiteReport),
     /// An operator's command on budgets.
     BudgetCommand {
         /// The id of the JSON-RPC request.
         request_id: u64,
         /// The command.
-        command: Word,
+        command: OperatorCommand,
     },
 }
--- a/crates/hazelgrade-stream/tests/recorded_messages.rs
+++ b/crates/hazelgrade-stream/tests/recorded_messages.rs
@@ -7,7 +7,7 @@
 use common::document;
 use futures_lite::future::{block_on, poll_once};
 use hazelgrade::time::Span;
-use hazelgrade_budget::message::{Ask, Grant, Parts, Word};
+use hazelgrade_budget::protocol::{LeaseGrant, LeaseRequest, OperatorCommand, SiteReport};
 use hazelgrade_config::{Digest, Kind, Version};
 use hazelgrade_stream::control_service::{self, AdmissionRate, ControlServiceConfig};
 use hazelgrade_stream::protocol::{Content, Offer, PublisherMessage, Rejection, SubscriberMessage};
@@ -80,12 +80,12 @@
         r#"{"jsonrpc":"2.0","method":"retry","params":{"after_ms":1234.5}}"#,
     );
     from_publisher(
-        &PublisherMessage::LeaseGrant(read::<Grant>(GRANT)),
+        &PublisherMessage::LeaseGrant(read::<LeaseGrant>(GRANT)),
         &format!(r#"{{"jsonrpc":"2.0","method":"grant","params":{GRANT}}}"#),
     );
     from_publisher(&PublisherMessage::RequestLeases, r#"{"jsonrpc":"2.0","method":"nudge"}"#);
     from_publisher(
-        &PublisherMessage::SiteReport(read::<Parts>(PARTS)),
+        &PublisherMessage::SiteReport(read::<SiteReport>(PARTS)),
         &format!(r#"{{"jsonrpc":"2.0","method":"parts","params":{PARTS}}}"#),
     );
 }
@@ -132,11 +132,11 @@
         r#"{"id":3,"jsonrpc":"2.0","method":"status"}"#,
     );
     from_subscriber(
-        &SubscriberMessage::LeaseRequest(read::<Ask>(ASK)),
+        &SubscriberMessage::LeaseRequest(read::<LeaseRequest>(ASK)),
         &format!(r#"{{"jsonrpc":"2.0","method":"ask","params":{ASK}}}"#),
     );
     from_subscriber(
-        &SubscriberMessage::SiteReport(read::<Parts>(PARTS)),
+        &SubscriberMessage::SiteReport(read::<SiteReport>(PARTS)),
         &format!(r#"{{"jsonrpc":"2.0","method":"parts","params":{PARTS}}}"#),
     );
     for word in [
@@ -147,7 +147,7 @@
         r#""open""#,
     ] {
         from_subscriber(
-            &SubscriberMessage::BudgetCommand { request_id: 4, command: read::<Word>(word) },
+            &SubscriberMessage::BudgetCommand { request_id: 4, command: read::<OperatorCommand>(word) },
             &format!(r#"{{"id":4,"jsonrpc":"2.0","method":"budget","params":{word}}}"#),
         );
     }
