--- a/crates/hazelgrade-budget/src/lease_holder/mod.rs
+++ b/crates/hazelgrade-budget/src/lease_holder/mod.rs
@@ -123,7 +123,7 @@
         self.next_request_at = self.next_request_at.min(earliest.max(now));
     }
 
-    /// The lessor asked for a request.
+    /// The lessor wants a request at once.
     pub fn on_nudge(&mut self, now: Time) {
         self.request_soon(now);
     }
--- a/crates/hazelgrade-budget/src/lessor/events.rs
+++ b/crates/hazelgrade-budget/src/lessor/events.rs
@@ -12,7 +12,7 @@
 /// A connection of a lease holder, by the number that the caller gave it.
 pub type Connection = u64;
 
-/// What a lessor is told.
+/// What comes into a lessor.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A lease holder's request arrived on a connection.
--- a/crates/hazelgrade-budget/src/lessor/mod.rs
+++ b/crates/hazelgrade-budget/src/lessor/mod.rs
@@ -27,7 +27,7 @@
 use hazelgrade::time::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Lease holders known at once. A further one gets no answer, and asks again.
+/// Lease holders known at once. A further one gets no answer until one is gone.
 pub const MAX_HOLDERS: usize = 8192;
 /// Requests that a holder sends during one lease.
 const REQUESTS_PER_LEASE: f64 = 5.0;
--- a/crates/hazelgrade-budget/src/protocol.rs
+++ b/crates/hazelgrade-budget/src/protocol.rs
@@ -154,7 +154,7 @@
     pub to: String,
     /// Generation of the reporting site's lessor.
     pub generation: u64,
-    /// The latest generation of the other site's lessor that the reporting site heard of.
+    /// The latest generation of the other site's lessor that reached the reporting site.
     #[serde(rename = "known")]
     pub known_generation: u64,
     /// Digest of the budget document in effect.
--- a/crates/hazelgrade-budget/src/stored.rs
+++ b/crates/hazelgrade-budget/src/stored.rs
@@ -50,7 +50,7 @@
     /// taken over from them at earlier retirements.
     #[serde(rename = "beside")]
     pub carried_over: BTreeMap<String, i64>,
-    /// The latest generation heard of, by other site.
+    /// The latest generation that was reported, by other site.
     #[serde(rename = "starts")]
     pub peer_generations: BTreeMap<String, u64>,
     /// Sites that were declared lost, by name.
