--- a/crates/hazelgrade-server/src/program/command/check.rs
+++ b/crates/hazelgrade-server/src/program/command/check.rs
@@ -123,8 +123,9 @@
 
 fn check_configuration(path: &Path) -> Result<(), String> {
     let deployment = configuration::read(path).map_err(|error| error.to_string())?;
-    let (_, host_settings) = hazelgrade_settings::decode(&deployment.settings, deployment.seed)
+    let settings = hazelgrade_settings::decode(&deployment.settings, deployment.seed)
         .map_err(|error| format!("settings: {error}"))?;
+    let host_settings = settings.host;
     println!("{} would listen on {}", deployment.name, deployment.listen);
     let addresses = deployment.addresses;
     println!("executor {}, registry {}", addresses.executor, addresses.registry);
--- a/crates/hazelgrade-server/src/program/serve.rs
+++ b/crates/hazelgrade-server/src/program/serve.rs
@@ -61,7 +61,7 @@
 pub fn serve(options: ServeOptions) -> Result<bool, String> {
     let ServeOptions { mut deployment, configuration_path, operator, log_level, mut signals } = options;
     let initial = open_initial_configuration(&operator, &mut deployment)?;
-    let (controller, host_settings) = hazelgrade_settings::decode(&deployment.settings, deployment.seed)
+    let settings = hazelgrade_settings::decode(&deployment.settings, deployment.seed)
         .map_err(|error| format!("settings: {error}"))?;
     let (listener, reload_requested) = match bind::bind(deployment.listen, &mut signals)? {
         Bound::Listening { listener, reload_requested } => (listener, reload_requested),
@@ -70,8 +70,8 @@
             return Ok(true);
         }
     };
-    let default_limits = host_settings.limits.clone();
-    let services = Services::new(&deployment, controller, host_settings, operator.test_faults)?;
+    let default_limits = settings.host.limits.clone();
+    let services = Services::new(&deployment, settings, operator.test_faults)?;
     let notices = services.notices();
     if let Some(config) = &operator.tls {
         tls::load(config, &services.front.tls, &services.parts)?;
--- a/crates/hazelgrade-server/src/program/serve/services.rs
+++ b/crates/hazelgrade-server/src/program/serve/services.rs
@@ -15,9 +15,8 @@
 use crate::transport::registry::Registry;
 use crate::transport::tls::Tls;
 use async_executor::LocalExecutor;
-use hazelgrade::controller::Controller;
 use hazelgrade_config::operator::TestFaults;
-use hazelgrade_settings::HostSettings;
+use hazelgrade_settings::DecodedSettings;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::rc::Rc;
@@ -43,10 +42,10 @@
     /// The address of the registry, if no socket can be opened for it.
     pub fn new(
         deployment: &Deployment,
-        controller: Controller,
-        host_settings: HostSettings,
+        settings: DecodedSettings,
         test_faults: Option<TestFaults>,
     ) -> Result<Services, String> {
+        let DecodedSettings { controller, host: host_settings } = settings;
         let addresses = deployment.addresses;
         let registry = Registry::new(addresses.registry)
             .map_err(|error| format!("field registry: {}: {error}", addresses.registry))?;
--- a/crates/hazelgrade-settings/src/decode.rs
+++ b/crates/hazelgrade-settings/src/decode.rs
@@ -15,11 +15,19 @@
 /// How long a load signal holds where the settings do not say, in milliseconds.
 const SIGNAL_LIFETIME_MS: f64 = 1000.0;
 
+/// A new instance, as the settings describe it.
+pub struct DecodedSettings {
+    /// The controller.
+    pub controller: Controller,
+    /// What its host goes by.
+    pub host: HostSettings,
+}
+
 /// Decodes the settings into a new controller, whose random numbers come from `seed`, and what its host goes by.
 ///
 /// # Errors
 /// The first field that is of another type or out of range.
-pub fn decode(settings: &Value, seed: u64) -> Result<(Controller, HostSettings), SettingsError> {
+pub fn decode(settings: &Value, seed: u64) -> Result<DecodedSettings, SettingsError> {
     if !settings.is_object() {
         return Err(SettingsError::new("settings", "a JSON object"));
     }
@@ -55,7 +63,7 @@
         callers,
         MultiplyWithCarry::new(seed),
     );
-    Ok((controller, host))
+    Ok(DecodedSettings { controller, host })
 }
 
 fn span(section: Section, key: &str, default_ms: f64) -> Result<Span, SettingsError> {
--- a/crates/hazelgrade-settings/src/lib.rs
+++ b/crates/hazelgrade-settings/src/lib.rs
@@ -10,6 +10,6 @@
 mod host;
 mod section;
 
-pub use decode::decode;
+pub use decode::{DecodedSettings, decode};
 pub use error::SettingsError;
 pub use host::{HostSettings, JobClassEntry};
--- a/crates/hazelgrade-settings/tests/recorded_messages.rs
+++ b/crates/hazelgrade-settings/tests/recorded_messages.rs
@@ -77,7 +77,7 @@
             "below": "db", "ownStats": ["cpu", 1, "memory"], "readiness": true, "shareFor": 6, "linger": 8
         }
     });
-    let (_, host) = decode(&settings, 1).expect("they are right");
+    let host = decode(&settings, 1).expect("they are right").host;
     let classes: Vec<_> = host
         .job_classes
         .iter()
