--- a/crates/hazelgrade-server/tests/instance/input.rs
+++ b/crates/hazelgrade-server/tests/instance/input.rs
@@ -307,7 +307,7 @@
 #[test]
 fn lines_of_any_kind_are_decoded_or_refused_without_a_panic() {
     fn property(place: usize, byte: u8, cut: usize) -> bool {
-        let (_, site) = hazelgrade_settings::decode(&settings(), 1).expect("settings");
+        let site = hazelgrade_settings::decode(&settings(), 1).expect("settings").host;
         let mut line = job(1, "read", "a1").to_string().into_bytes();
         let place = place % line.len();
         line[place] = byte;
--- a/crates/hazelgrade-simulator-adapter/src/events.rs
+++ b/crates/hazelgrade-simulator-adapter/src/events.rs
@@ -5,6 +5,7 @@
 use hazelgrade::api::Job;
 use hazelgrade::controller::{Controller, EventSink};
 use hazelgrade::time::{Span, Time};
+use hazelgrade_settings::DecodedSettings;
 use serde_json::Value;
 
 /// Bit of a job's options: its cost is told.
@@ -63,7 +64,7 @@
     let Ok(settings) = serde_json::from_str::<Value>(text) else {
         return LineError::field("settings", "a JSON object");
     };
-    let (controller, host) = hazelgrade_settings::decode(&settings, seed)?;
+    let DecodedSettings { controller, host } = hazelgrade_settings::decode(&settings, seed)?;
     let counts = Counts { job_classes: host.job_classes.len(), tenants: host.tenants.len() };
     Ok(Instance { controller, counts })
 }
