--- a/crates/hazelgrade-server/src/program/command/check.rs
+++ b/crates/hazelgrade-server/src/program/command/check.rs
@@ -100,7 +100,7 @@
         let sites: Vec<String> =
             terms.site_shares.iter().map(|(site, units)| format!("{units} at {site}")).collect();
         println!(
-            "budget {name}: {:?}, whole {}, {}; {} set aside at each",
+            "budget {name}: {}, whole {}, {}; {} set aside at each",
             terms.measure,
             terms.total,
             sites.join(", "),
@@ -135,7 +135,7 @@
     }
     println!("client connections: {} at most", deployment.max_client_connections());
     for class in &host_settings.job_classes {
-        println!("use case {}: {:?}", class.name, class.idempotency);
+        println!("use case {}: {}", class.name, class.idempotency);
     }
     println!("customers: {}", tenant_names(&host_settings));
     println!(
--- a/crates/hazelgrade-server/tests/recorded_messages.rs
+++ b/crates/hazelgrade-server/tests/recorded_messages.rs
@@ -19,10 +19,10 @@
         "customers": [{"name": "acme", "quotaPerS": 1000}],
         "fleetSize": 1
     });
-    let (_, site) = hazelgrade_settings::decode(&settings, 1).expect("settings");
-    assert_eq!(site.job_classes[0].idempotency, Idempotency::Idempotent);
-    assert_ne!(site.job_classes[1].idempotency, Idempotency::Idempotent);
-    HostSettings { authenticates_callers: callers_known, ..site }
+    let host = hazelgrade_settings::decode(&settings, 1).expect("settings").host;
+    assert_eq!(host.job_classes[0].idempotency, Idempotency::Idempotent);
+    assert_ne!(host.job_classes[1].idempotency, Idempotency::Idempotent);
+    HostSettings { authenticates_callers: callers_known, ..host }
 }
 
 #[test]
--- a/crates/hazelgrade/src/api/settings.rs
+++ b/crates/hazelgrade/src/api/settings.rs
@@ -2,6 +2,7 @@
 //! its callers.
 
 use crate::time::Span;
+use std::fmt::{self, Display, Formatter};
 
 /// Whether a job of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -14,6 +15,16 @@
     AtMostOnce,
 }
 
+impl Display for Idempotency {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Idempotency::Idempotent => "idempotent",
+            Idempotency::Keyed => "keyed",
+            Idempotency::AtMostOnce => "at most once",
+        })
+    }
+}
+
 /// What jobs of one kind are worth, when they are due and what they may do.
 #[derive(Clone, Debug)]
 pub struct JobClass {
