--- a/crates/hazelgrade-server/tests/recorded/main.rs
+++ b/crates/hazelgrade-server/tests/recorded/main.rs
@@ -9,7 +9,7 @@
 
 mod recordings;
 
-use hazelgrade_budget::message::Word;
+use hazelgrade_budget::protocol::OperatorCommand;
 use hazelgrade_config::{Document, Kind, Version};
 use hazelgrade_fakes::control::Control;
 use hazelgrade_fakes::documents::{BOOK, READ, document};
@@ -20,7 +20,7 @@
 use hazelgrade_fakes::{comes_true, unix_ms};
 use hazelgrade_identity::issue::Signer;
 use hazelgrade_identity::token::Claims;
-use hazelgrade_stream::protocol::{Content, Refusal, Said};
+use hazelgrade_stream::protocol::{Content, Rejection, SubscriberMessage};
 use recordings::{recording, restore, text};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -145,13 +145,13 @@
     // On a connection for each kind it tells what it has.
     let mut told = BTreeMap::new();
     while told.len() < 3 {
-        let Said::Subscribe { node, kind, lineage, have, trial, known, .. } =
+        let SubscriberMessage::Subscribe { node, kind, lineage, in_effect, on_trial, latest_known, .. } =
             control.subscriber().expect("a subscriber in time").subscribed
         else {
             panic!("it said something else first")
         };
-        assert_eq!((node.as_str(), lineage.as_deref(), trial), ("n1", Some(LINEAGE), false));
-        told.insert(kind, (have, known));
+        assert_eq!((node.as_str(), lineage.as_deref(), on_trial), ("n1", Some(LINEAGE), false));
+        told.insert(kind, (in_effect, latest_known));
     }
     for (kind, name) in [(Kind::Serving, "configuration"), (Kind::Identity, "configuration.identity")] {
         let stored = stored(&recorded, name);
@@ -187,15 +187,15 @@
     assert!(node.becomes(true));
     let mut serving = loop {
         let subscriber = control.subscriber().expect("a subscriber in time");
-        if matches!(subscriber.subscribed, Said::Subscribe { kind: Kind::Serving, .. }) {
+        if matches!(subscriber.subscribed, SubscriberMessage::Subscribe { kind: Kind::Serving, .. }) {
             break subscriber;
         }
     };
     let offered = Version { number: 2, digest: second.digest() };
-    serving.offer_of(LINEAGE, offered, Content::Whole(second.to_toml()));
+    serving.offer_of(LINEAGE, offered, Content::Full(second.to_toml()));
     let said = serving.hear();
     assert!(
-        matches!(&said, Some(Said::TurnedDown { version, refusal: Refusal::Suspect, .. }) if *version == offered),
+        matches!(&said, Some(SubscriberMessage::Rejected { version, rejection: Rejection::CrashedOnTrial, .. }) if *version == offered),
         "{said:?}"
     );
 }
@@ -233,7 +233,7 @@
     assert!(owned(&recorded_b)["words"].to_string().contains("m1"), "{recorded_b}");
     let both = || calls(&a)["owned"].as_u64().unwrap_or(0) + calls(&b)["owned"].as_u64().unwrap_or(0);
     assert!(comes_true(SOON, || both() == 12), "{} {}", a.budgets(), b.budgets());
-    let again = Word::Move { id: "m1".into(), to: "a".into(), budget: "calls".into(), units: 1 };
+    let again = OperatorCommand::Move { id: "m1".into(), to: "a".into(), budget: "calls".into(), units: 1 };
     let said = b.word(again);
     assert!(said.as_ref().is_ok_and(|said| said.to_string().contains("m1 was done before")), "{said:?}");
     // What a holder of before the start may still use is over before anything new is granted, and then all of it is.
