--- a/crates/hazelgrade-server/src/protocol/jsonrpc/request.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc/request.rs
@@ -47,7 +47,7 @@
 pub struct JobRequest {
     /// The id of the call on its connection.
     pub call_id: u64,
-    /// What the controller is told of it.
+    /// What the controller is notified of.
     pub job: Job,
     /// What the run is passed.
     pub body: Body,
--- a/crates/hazelgrade-server/src/routing/context.rs
+++ b/crates/hazelgrade-server/src/routing/context.rs
@@ -57,7 +57,7 @@
         responder.connection.close_call(responder.call_id);
     }
 
-    /// Records that the caller of a job no longer waits. The controller is notified first: were the job's task told
+    /// Records that the caller of a job no longer waits. The controller is notified first: were the job's task notified
     /// alone, the controller could still decide to run a job whose task has ended.
     pub fn caller_disconnected(&self, id: &JobId) {
         if let Some(responder) = self.in_flight.take_responder(id) {
--- a/crates/hazelgrade-server/src/routing/controller_driver.rs
+++ b/crates/hazelgrade-server/src/routing/controller_driver.rs
@@ -62,7 +62,7 @@
     TimerFired {
         /// As the controller gave it.
         token: u64,
-        /// The part of the cores in use, where the executor told it in time.
+        /// The part of the cores in use, where the executor reported it in time.
         core_use: Option<f64>,
     },
     /// This node has another lease of the calls that all nodes share.
--- a/crates/hazelgrade-server/src/routing/outcome.rs
+++ b/crates/hazelgrade-server/src/routing/outcome.rs
@@ -10,7 +10,7 @@
 pub enum CallEnd {
     /// The database replied.
     Replied {
-        /// What it said.
+        /// What the database replied.
         reply: Reply,
         /// The body of the reply; empty where there is none.
         body: Vec<u8>,
