--- a/crates/hazelgrade-server/src/program/budgets.rs
+++ b/crates/hazelgrade-server/src/program/budgets.rs
@@ -38,13 +38,13 @@
     stream: &StreamConfig,
     initial: &InitialConfiguration,
     deployment: &Deployment,
-    parts: &Rc<RequestContext>,
+    context: &Rc<RequestContext>,
     clock_rate: f64,
 ) -> Result<BudgetSubscription, String> {
     let document = config.document.as_deref().map(|path| documents::read(Kind::Budgets, path)).transpose()?;
-    let seat = Rc::new(node_part(config, deployment, parts, clock_rate));
-    seat.set_budgets(&BTreeMap::new());
-    parts.driver.set_budget_share(seat.clone());
+    let budget_share = Rc::new(node_part(config, deployment, context, clock_rate));
+    budget_share.set_budgets(&BTreeMap::new());
+    context.driver.set_budget_share(budget_share.clone());
     let store = initial.store.clone();
     let subscription = Subscription {
         kind: Kind::Budgets,
@@ -54,15 +54,15 @@
         stored: store.stored_state(Kind::Budgets),
         initial: document,
     };
-    let started = subscription.start(parts.driver.clock.now());
-    let host = BudgetHost { parts: parts.clone(), seat, store, counted: Cell::default() };
+    let started = subscription.start(context.driver.clock.now());
+    let host = BudgetHost { context: context.clone(), budget_share, store, counted: Cell::default() };
     Ok(BudgetSubscription { started, host })
 }
 
 fn node_part(
     config: &BudgetConfig,
     deployment: &Deployment,
-    parts: &RequestContext,
+    context: &RequestContext,
     clock_rate: f64,
 ) -> BudgetShare {
     // Two processes of one name are two holders, so the incarnation can't come from the name or the seed.
@@ -74,14 +74,14 @@
         &config.standalone,
         MultiplyWithCarry::new(incarnation),
     );
-    let linger = parts.site.borrow().linger;
+    let linger = context.site.borrow().linger;
     BudgetShare::new(holder, config.call_budget.clone(), linger, clock_rate)
 }
 
 /// What a document of budgets, and leases, change of a node.
 pub struct BudgetHost {
-    parts: Rc<RequestContext>,
-    seat: Rc<BudgetShare>,
+    context: Rc<RequestContext>,
+    budget_share: Rc<BudgetShare>,
     store: SharedStore,
     counted: Cell<CountedJobs>,
 }
@@ -96,8 +96,8 @@
 impl BudgetHost {
     /// Tells the controller what this node may use now.
     fn update_allowance(&self) {
-        let rounds = &self.parts.driver;
-        if let Some(allowance) = self.seat.call_lease(rounds.clock.now()) {
+        let rounds = &self.context.driver;
+        if let Some(allowance) = self.budget_share.call_lease(rounds.clock.now()) {
             rounds.notify(ControllerEvent::LeaseUpdated(allowance));
         }
     }
@@ -105,7 +105,7 @@
 
 impl Host for BudgetHost {
     fn now(&self) -> Time {
-        self.parts.driver.clock.now()
+        self.context.driver.clock.now()
     }
 
     fn store(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
@@ -113,27 +113,27 @@
     }
 
     fn apply(&self, document: Option<&Document>, _is_rollback: bool) -> Result<(), String> {
-        self.seat.set_budgets(&document.map(terms::read_all).unwrap_or_default());
+        self.budget_share.set_budgets(&document.map(terms::read_all).unwrap_or_default());
         self.update_allowance();
         Ok(())
     }
 
     fn sample(&self) -> Sample {
-        let tally = *self.parts.counters.borrow();
+        let counters = *self.context.counters.borrow();
         let counted = CountedJobs {
-            answered: tally.succeeded + tally.rejected + tally.failed,
-            succeeded: tally.succeeded,
+            answered: counters.succeeded + counters.rejected + counters.failed,
+            succeeded: counters.succeeded,
         };
         let before = self.counted.replace(counted);
         Sample {
             answered: counted.answered.saturating_sub(before.answered) as f64,
             succeeded: counted.succeeded.saturating_sub(before.succeeded) as f64,
-            executor_connected: self.parts.executor.is_up(),
+            executor_connected: self.context.executor.is_up(),
         }
     }
 
     fn next_message(&self) -> Option<SubscriberMessage> {
-        let request = self.seat.due_request()?;
+        let request = self.budget_share.due_request()?;
         // A node that drains has given units back by saying so.
         if request.draining {
             self.update_allowance();
@@ -142,28 +142,28 @@
     }
 
     fn next_message_at(&self) -> Option<Time> {
-        Some(self.seat.next_request_at(self.parts.driver.clock.now()))
+        Some(self.budget_share.next_request_at(self.context.driver.clock.now()))
     }
 
     fn message_ready(&self) -> BoxedLocal<()> {
-        let seat = self.seat.clone();
-        async move { seat.changed().await }.boxed_local()
+        let budget_share = self.budget_share.clone();
+        async move { budget_share.changed().await }.boxed_local()
     }
 
     fn on_connected(&self) {
-        self.seat.connected();
+        self.budget_share.connected();
     }
 
     fn on_message(&self, published: &PublisherMessage) {
         match published {
             PublisherMessage::LeaseGrant(grant) => {
-                if self.seat.apply_grant(grant) {
+                if self.budget_share.apply_grant(grant) {
                     self.update_allowance();
                 } else {
                     tracing::debug!(count = grant.sequence, "a grant that is not the latest");
                 }
             }
-            PublisherMessage::RequestLeases => self.seat.nudged(),
+            PublisherMessage::RequestLeases => self.budget_share.nudged(),
             _ => {}
         }
     }
--- a/crates/hazelgrade-server/src/program/drain.rs
+++ b/crates/hazelgrade-server/src/program/drain.rs
@@ -66,8 +66,8 @@
 fn announce(services: &Services, notices: &DrainNotices) {
     services.is_draining.set(true);
     notices.notify();
-    if let Some(seat) = services.rounds.budget_share() {
-        seat.start_drain();
+    if let Some(budget_share) = services.rounds.budget_share() {
+        budget_share.start_drain();
     }
     services.rounds.request_heartbeat();
 }
@@ -96,16 +96,16 @@
     }
 
     fn tell_controller_and_clients(&self, requested_at: Time) {
-        let parts = &self.front.context;
+        let context = &self.front.context;
         let stop_at = requested_at + Span::from_ms(self.stop.as_secs_f64() * 1000.0);
         tracing::info!(
-            in_flight = parts.in_flight.count(),
-            unanswered = parts.in_flight.unanswered(),
+            in_flight = context.in_flight.count(),
+            unanswered = context.in_flight.unanswered(),
             stop_ms = self.stop.as_millis(),
             "draining"
         );
-        parts.driver.start_rounds();
-        parts.driver.notify(ControllerEvent::DrainStarted(stop_at));
+        context.driver.start_rounds();
+        context.driver.notify(ControllerEvent::DrainStarted(stop_at));
         self.front.connections.broadcast(jsonrpc::DRAINING);
     }
 
@@ -149,10 +149,10 @@
     }
 
     fn log_end(&self) {
-        let parts = &self.front.context;
+        let context = &self.front.context;
         tracing::info!(
-            tally = ?*parts.counters.borrow(),
-            unanswered = parts.in_flight.unanswered(),
+            counters = ?*context.counters.borrow(),
+            unanswered = context.in_flight.unanswered(),
             connections = self.front.connections.count(),
             after_ms = self.elapsed().as_millis(),
             "drained"
--- a/crates/hazelgrade-server/src/program/identity.rs
+++ b/crates/hazelgrade-server/src/program/identity.rs
@@ -25,15 +25,15 @@
 
 /// Makes the node go by an identity document. `is_rollback`: after a version that failed; what that one revoked stays
 /// revoked.
-fn apply(document: &Document, parts: &RequestContext, is_rollback: bool) -> Result<(), String> {
+fn apply(document: &Document, context: &RequestContext, is_rollback: bool) -> Result<(), String> {
     let identity = Identity::of(document)?;
-    let now = parts.driver.clock.now();
-    parts.callers.replace(identity, &parts.site.borrow(), now, is_rollback).map_err(str::to_owned)
+    let now = context.driver.clock.now();
+    context.callers.replace(identity, &context.site.borrow(), now, is_rollback).map_err(str::to_owned)
 }
 
 /// Reads the identity document again, on SIGHUP; one that is wrong changes nothing.
-pub fn reload(path: &Path, parts: &RequestContext) {
-    let applied = documents::read(Kind::Identity, path).and_then(|document| apply(&document, parts, false));
+pub fn reload(path: &Path, context: &RequestContext) {
+    let applied = documents::read(Kind::Identity, path).and_then(|document| apply(&document, context, false));
     match applied {
         Ok(()) => tracing::info!(path = %path.display(), "identities reloaded"),
         Err(error) => tracing::error!(error, "the new identities are wrong and change nothing"),
@@ -41,10 +41,10 @@
 }
 
 /// Logs denied requests until it is dropped.
-pub async fn log_denied_requests(parts: &RequestContext) {
+pub async fn log_denied_requests(context: &RequestContext) {
     loop {
         Timer::after(AUDIT_INTERVAL).await;
-        parts.callers.audit(parts.driver.clock.now());
+        context.callers.audit(context.driver.clock.now());
     }
 }
 
@@ -60,17 +60,17 @@
     stream: Option<&StreamConfig>,
     initial: Option<&InitialConfiguration>,
     deployment: &Deployment,
-    parts: &Rc<RequestContext>,
+    context: &Rc<RequestContext>,
 ) -> Result<Option<IdentitySubscription>, String> {
-    parts.callers.enable();
-    let mut host_settings = (**parts.site.borrow()).clone();
+    context.callers.enable();
+    let mut host_settings = (**context.site.borrow()).clone();
     host_settings.authenticates_callers = true;
-    parts.site.replace(Rc::new(host_settings));
+    context.site.replace(Rc::new(host_settings));
     let document =
         config.document.as_deref().map(|path| documents::read(Kind::Identity, path)).transpose()?;
     let Some((stream, initial)) = stream.zip(initial).filter(|_| config.streamed) else {
         if let Some(document) = &document {
-            apply(document, parts, false).map_err(|error| format!("field identity.document: {error}"))?;
+            apply(document, context, false).map_err(|error| format!("field identity.document: {error}"))?;
         }
         return Ok(None);
     };
@@ -83,14 +83,14 @@
         stored: store.stored_state(Kind::Identity),
         initial: document,
     };
-    let started = subscription.start(parts.driver.clock.now());
-    let host = IdentityHost { parts: parts.clone(), store, counted: Cell::default() };
+    let started = subscription.start(context.driver.clock.now());
+    let host = IdentityHost { context: context.clone(), store, counted: Cell::default() };
     Ok(Some(IdentitySubscription { started, host }))
 }
 
 /// What an identity document changes of a node.
 pub struct IdentityHost {
-    parts: Rc<RequestContext>,
+    context: Rc<RequestContext>,
     store: SharedStore,
     counted: Cell<CountedJobs>,
 }
@@ -104,7 +104,7 @@
 
 impl Host for IdentityHost {
     fn now(&self) -> Time {
-        self.parts.driver.clock.now()
+        self.context.driver.clock.now()
     }
 
     fn store(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
@@ -113,9 +113,9 @@
 
     fn apply(&self, document: Option<&Document>, is_rollback: bool) -> Result<(), String> {
         match document {
-            Some(document) => apply(document, &self.parts, is_rollback),
+            Some(document) => apply(document, &self.context, is_rollback),
             None => {
-                self.parts.callers.clear();
+                self.context.callers.clear();
                 Ok(())
             }
         }
@@ -124,10 +124,10 @@
     /// Requests that signing keys deny count as failures, those that rights and revocations deny do not: else a
     /// revocation would be rolled back for doing what it is for.
     fn sample(&self) -> Sample {
-        let tally = *self.parts.counters.borrow();
+        let counters = *self.context.counters.borrow();
         let counted = CountedJobs {
-            authenticated: tally.succeeded + tally.rejected + tally.failed,
-            unverified: tally.unverified,
+            authenticated: counters.succeeded + counters.rejected + counters.failed,
+            unverified: counters.unverified,
         };
         let before = self.counted.replace(counted);
         let authenticated = counted.authenticated.saturating_sub(before.authenticated) as f64;
--- a/crates/hazelgrade-server/src/program/serve/reports.rs
+++ b/crates/hazelgrade-server/src/program/serve/reports.rs
@@ -44,32 +44,32 @@
     let mut arrived_before = 0;
     loop {
         Timer::after(SUMMARY_INTERVAL).await;
-        let parts = &front.context;
-        let tally = *parts.counters.borrow();
-        if tally.arrived == arrived_before {
+        let context = &front.context;
+        let counters = *context.counters.borrow();
+        if counters.arrived == arrived_before {
             continue;
         }
-        arrived_before = tally.arrived;
+        arrived_before = counters.arrived;
         tracing::info!(
-            ?tally,
-            in_flight = parts.in_flight.count(),
+            ?counters,
+            in_flight = context.in_flight.count(),
             connections = front.connections.count(),
-            rounds = parts.driver.round_count.get(),
-            longest_round_us = parts.driver.longest_round.take().as_micros(),
-            dependency_connections = parts.dependency_calls.connections(),
-            calls_lost = parts.dependency_calls.lost.get(),
-            unknown_call_replies = parts.dependency_calls.unknown_replies.get(),
-            unknown_jobs = parts.in_flight.unknown_jobs.get(),
+            rounds = context.driver.round_count.get(),
+            longest_round_us = context.driver.longest_round.take().as_micros(),
+            dependency_connections = context.dependency_calls.connections(),
+            calls_lost = context.dependency_calls.lost.get(),
+            unknown_call_replies = context.dependency_calls.unknown_replies.get(),
+            unknown_jobs = context.in_flight.unknown_jobs.get(),
             malformed_lines = front.invalid_messages.get(),
             clients_evicted = front.connections.closed_for_violation.get(),
             handshakes_failed = front.tls.failed_handshakes(),
             "summary"
         );
-        if let Some(seat) = parts.driver.budget_share() {
+        if let Some(budget_share) = context.driver.budget_share() {
             tracing::info!(
-                short = seat.jobs_rejected.get(),
-                calls_too_late = seat.calls_expired.get(),
-                grants_rejected = seat.ignored_grants(),
+                jobs_rejected = budget_share.jobs_rejected.get(),
+                calls_too_late = budget_share.calls_expired.get(),
+                grants_rejected = budget_share.ignored_grants(),
                 "summary of budgets"
             );
         }
--- a/crates/hazelgrade-server/src/program/serving_document/host.rs
+++ b/crates/hazelgrade-server/src/program/serving_document/host.rs
@@ -210,10 +210,14 @@
 
     fn sample(&self) -> Sample {
         let parts = &self.context.parts;
-        let tally = *parts.counters.borrow();
+        let counters = *parts.counters.borrow();
         let counted = CountedJobs {
-            answered: tally.succeeded + tally.rejected + tally.failed + tally.not_served + tally.unverified,
-            succeeded: tally.succeeded,
+            answered: counters.succeeded
+                + counters.rejected
+                + counters.failed
+                + counters.not_served
+                + counters.unverified,
+            succeeded: counters.succeeded,
         };
         let before = self.counted.replace(counted);
         Sample {
--- a/crates/hazelgrade-server/src/program/tls.rs
+++ b/crates/hazelgrade-server/src/program/tls.rs
@@ -20,9 +20,9 @@
 ///
 /// # Errors
 /// The first file that is wrong, with its field; nothing is changed then.
-pub fn load(config: &TlsConfig, tls: &Tls, parts: &RequestContext) -> Result<(), String> {
+pub fn load(config: &TlsConfig, tls: &Tls, context: &RequestContext) -> Result<(), String> {
     let LoadedTls { server, revoked_serials } = read(config)?;
-    parts.callers.set_revoked_certificates(revoked_serials);
+    context.callers.set_revoked_certificates(revoked_serials);
     tls.replace(Arc::new(server));
     Ok(())
 }
