--- a/crates/hazelgrade-identity/src/audit.rs
+++ b/crates/hazelgrade-identity/src/audit.rs
@@ -1,44 +1,58 @@
-//! Refusals, counted: one line for each reason, caller and second; never anything of a token.
+//! Denials, counted for the log: one record for each reason and caller in a second, never anything of a token.
 
-use crate::token::Refused;
+use crate::deny_reason::DenyReason;
 use hazelgrade::time::{Span, Time};
 use std::collections::BTreeMap;
 
-/// Rows in a second; what is past that is counted together.
-const ROWS: usize = 256;
+/// Records in an interval; denials past that are counted together by reason, without a caller.
+const MAX_RECORDS: usize = 256;
 
-/// One line.
+/// How long denials are counted together, in milliseconds.
+const INTERVAL_MS: f64 = 1000.0;
+
+/// How often one caller was denied for one reason within an interval.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Line {
-    /// The caller's name; none where it is not known, or for what did not fit.
+pub struct AuditRecord {
+    /// The caller's name; none where it is not known, or where the interval had too many records.
     pub caller: Option<String>,
-    pub refused: Refused,
+    /// Why it was denied.
+    pub reason: DenyReason,
+    /// Denials in the interval.
     pub count: u64,
 }
 
+/// Counts denials until they are due for the log. Holds 256 records at most, and one more for each reason.
 #[derive(Default)]
-pub struct Audit {
-    since: Option<Time>,
-    rows: BTreeMap<(Option<String>, Refused), u64>,
-    pub total: u64,
+pub struct AuditLog {
+    interval_began: Option<Time>,
+    counts: BTreeMap<(Option<String>, DenyReason), u64>,
+    total: u64,
 }
 
-impl Audit {
-    pub fn refused(&mut self, now: Time, caller: Option<&str>, refused: Refused) {
+impl AuditLog {
+    /// Counts a denial.
+    pub fn record(&mut self, now: Time, caller: Option<&str>, reason: DenyReason) {
         self.total += 1;
-        self.since.get_or_insert(now);
-        let own = (caller.map(str::to_owned), refused);
-        let row = if self.rows.len() < ROWS || self.rows.contains_key(&own) { own } else { (None, refused) };
-        *self.rows.entry(row).or_default() += 1;
+        self.interval_began.get_or_insert(now);
+        let own = (caller.map(str::to_owned), reason);
+        let has_room = self.counts.len() < MAX_RECORDS || self.counts.contains_key(&own);
+        let key = if has_room { own } else { (None, reason) };
+        *self.counts.entry(key).or_default() += 1;
     }
 
-    /// The lines of a second that is over; nothing before.
-    pub fn due(&mut self, now: Time) -> Vec<Line> {
-        if self.since.is_none_or(|since| now.since(since) < Span::from_ms(1000.0)) {
+    /// Takes the records of an interval that is over, by caller and reason; empty before that.
+    pub fn take_due(&mut self, now: Time) -> Vec<AuditRecord> {
+        let is_due = |began: Time| now.since(began) >= Span::from_ms(INTERVAL_MS);
+        if !self.interval_began.is_some_and(is_due) {
             return Vec::new();
         }
-        self.since = None;
-        let rows = std::mem::take(&mut self.rows).into_iter();
-        rows.map(|((caller, refused), count)| Line { caller, refused, count }).collect()
+        self.interval_began = None;
+        let counts = std::mem::take(&mut self.counts).into_iter();
+        counts.map(|((caller, reason), count)| AuditRecord { caller, reason, count }).collect()
+    }
+
+    /// Denials since the start.
+    pub fn total(&self) -> u64 {
+        self.total
     }
 }
--- /dev/null
+++ b/crates/hazelgrade-identity/src/authenticator.rs
@@ -0,0 +1,215 @@
+//! Authenticates connections and authorizes each job. The policy can be replaced at any time: tokens that were verified
+//! before are checked under the new one with the next job.
+
+use crate::audit::{AuditLog, AuditRecord};
+use crate::caller_rates::CallerRates;
+use crate::caller_rights::CallerId;
+use crate::certificate::ClientCertificate;
+use crate::deny_reason::DenyReason;
+use crate::policy::{AccessPolicy, NoValidKey};
+use crate::source_penalty::SourcePenalty;
+use crate::token::{VerifiedToken, valid_caller, verify};
+use crate::token_cache::{TokenCache, token_digest};
+use hazelgrade::time::Time;
+use std::collections::BTreeMap;
+use std::net::IpAddr;
+use std::rc::Rc;
+
+/// Verified tokens that are cached, at some 200 bytes each.
+pub const MAX_CACHED_TOKENS: usize = 16 * 1024;
+
+/// Callers whose rate is tracked.
+const MAX_TRACKED_CALLERS: usize = MAX_CACHED_TOKENS;
+
+/// What names the caller of a connection or a job. A token takes precedence over a certificate.
+#[derive(Clone, Debug, Default)]
+pub struct Credentials {
+    /// The token, if one was shown and verified.
+    pub token: Option<Rc<VerifiedToken>>,
+    /// The client certificate, if one was shown and its chain verified.
+    pub certificate: Option<Rc<ClientCertificate>>,
+}
+
+/// A job that its caller may request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Authorization {
+    /// The index of the tenant that the job is for.
+    pub tenant: usize,
+    /// Whether the caller is over its limit of jobs a second: a hint for the decision module, the job may run.
+    pub over_limit: bool,
+}
+
+/// Authenticates callers and authorizes their jobs under the policy in effect.
+pub struct Authenticator {
+    policy: AccessPolicy,
+    cache: TokenCache,
+    penalty: SourcePenalty,
+    audit: AuditLog,
+    rates: CallerRates,
+    signatures_checked: u64,
+}
+
+impl Authenticator {
+    /// An authenticator that goes by this policy.
+    ///
+    /// # Errors
+    /// No key of the policy is valid now.
+    pub fn new(policy: AccessPolicy, now: Time) -> Result<Authenticator, NoValidKey> {
+        if !policy.has_valid_key(now) {
+            return Err(NoValidKey);
+        }
+        Ok(Authenticator {
+            policy,
+            cache: TokenCache::new(MAX_CACHED_TOKENS),
+            penalty: SourcePenalty::default(),
+            audit: AuditLog::default(),
+            rates: CallerRates::new(MAX_TRACKED_CALLERS),
+            signatures_checked: 0,
+        })
+    }
+
+    /// Goes by another policy from now on.
+    ///
+    /// # Errors
+    /// No key of the policy is valid now; the one before stays in effect.
+    pub fn replace_policy(&mut self, policy: AccessPolicy, now: Time) -> Result<(), NoValidKey> {
+        if !policy.has_valid_key(now) {
+            return Err(NoValidKey);
+        }
+        self.policy = policy;
+        Ok(())
+    }
+
+    /// Goes back to the policy before one that failed its trial; what the failed one revoked stays revoked.
+    ///
+    /// # Errors
+    /// No key of the policy is valid now; the failed one stays in effect.
+    pub fn roll_back_policy(&mut self, mut policy: AccessPolicy, now: Time) -> Result<(), NoValidKey> {
+        policy.add_revocations_of(&self.policy);
+        self.replace_policy(policy, now)
+    }
+
+    /// Resolves the policy's names of job classes and tenants to the node's indexes anew.
+    pub fn compile(&mut self, job_classes: &BTreeMap<&str, usize>, tenants: &BTreeMap<&str, usize>) {
+        self.policy.compile(job_classes, tenants);
+    }
+
+    /// Verifies a token that came from this address, from the cache if it was verified before.
+    ///
+    /// # Errors
+    /// Why the token is denied. The source is penalized if it sends too many bad ones.
+    pub fn verify_token(
+        &mut self,
+        now: Time,
+        token: &str,
+        source: IpAddr,
+    ) -> Result<Rc<VerifiedToken>, DenyReason> {
+        let digest = token_digest(token);
+        if let Some(cached) = self.cache.get(&digest) {
+            return Ok(cached);
+        }
+        if self.penalty.is_penalized(now, source) {
+            return Err(DenyReason::SourcePenalized);
+        }
+        self.signatures_checked += 1;
+        match verify(&self.policy, token, now) {
+            Ok(verified) => {
+                let verified = Rc::new(verified);
+                self.cache.insert(digest, verified.clone());
+                Ok(verified)
+            }
+            Err(reason) => {
+                self.penalty.record_bad_token(now, source);
+                Err(reason)
+            }
+        }
+    }
+
+    /// The caller that the credentials name, if they are valid now.
+    fn authenticate(&self, now: Time, credentials: &Credentials) -> Result<CallerId, DenyReason> {
+        if let Some(token) = &credentials.token {
+            return valid_caller(&self.policy, token, now);
+        }
+        let certificate = credentials.certificate.as_ref().ok_or(DenyReason::NoCredentials)?;
+        if self.policy.is_certificate_revoked(&certificate.serial) {
+            return Err(DenyReason::Revoked);
+        }
+        if certificate.expires_at.is_some_and(|expires_at| expires_at <= now) {
+            return Err(DenyReason::Expired);
+        }
+        let names = certificate.names.iter().map(String::as_str);
+        self.policy.caller_by_certificate(names).ok_or(DenyReason::UnknownCaller)
+    }
+
+    /// The tenant of a job that the holder of the credentials requests from this address; the job is not counted against
+    /// its caller's limit.
+    ///
+    /// # Errors
+    /// Why the caller may not request it.
+    pub fn authorize(
+        &self,
+        now: Time,
+        credentials: &Credentials,
+        job_class: usize,
+        tenant: Option<usize>,
+        address: IpAddr,
+    ) -> Result<usize, DenyReason> {
+        let caller = self.authenticate(now, credentials)?;
+        self.policy.authorize(caller, job_class, tenant, address)
+    }
+
+    /// Authorizes a job that is requested now and counts it against its caller's limit.
+    ///
+    /// # Errors
+    /// Why the caller may not request it; then it is not counted.
+    pub fn authorize_and_count(
+        &mut self,
+        now: Time,
+        credentials: &Credentials,
+        job_class: usize,
+        tenant: Option<usize>,
+        address: IpAddr,
+    ) -> Result<Authorization, DenyReason> {
+        let caller = self.authenticate(now, credentials)?;
+        let tenant = self.policy.authorize(caller, job_class, tenant, address)?;
+        let over_limit = match self.policy.jobs_per_s(caller) {
+            Some(limit_per_s) => self.rates.count(now, self.policy.caller_name(caller), limit_per_s),
+            None => false,
+        };
+        Ok(Authorization { tenant, over_limit })
+    }
+
+    /// Counts a denial for the audit log, under the caller's name if the policy knows it: any other name is whatever
+    /// somebody wrote.
+    pub fn record_denial(&mut self, now: Time, credentials: &Credentials, reason: DenyReason) {
+        let caller = match (&credentials.token, &credentials.certificate) {
+            (Some(token), _) => self.policy.caller_by_name(&token.caller),
+            (None, Some(certificate)) => {
+                self.policy.caller_by_certificate(certificate.names.iter().map(String::as_str))
+            }
+            (None, None) => None,
+        };
+        let name = caller.map(|caller| self.policy.caller_name(caller));
+        self.audit.record(now, name, reason);
+    }
+
+    /// Takes the audit records that are due for the log.
+    pub fn take_due_audit_records(&mut self, now: Time) -> Vec<AuditRecord> {
+        self.audit.take_due(now)
+    }
+
+    /// Denials that were recorded since the start.
+    pub fn denials(&self) -> u64 {
+        self.audit.total()
+    }
+
+    /// Tokens in the cache.
+    pub fn cached_tokens(&self) -> usize {
+        self.cache.len()
+    }
+
+    /// Tokens that were not in the cache and were verified, since the start.
+    pub fn signatures_checked(&self) -> u64 {
+        self.signatures_checked
+    }
+}
--- /dev/null
+++ b/crates/hazelgrade-identity/src/handshake_limiter.rs
@@ -0,0 +1,72 @@
+//! Bounds the TLS handshakes in progress: past the bound the oldest one is evicted, so that a flood of half handshakes
+//! costs a fixed amount and keeps nobody out who completes a handshake at an ordinary pace.
+
+use hazelgrade::time::{Span, Time};
+use std::collections::BTreeMap;
+
+/// Handshakes in progress at once, at some 50 KB each: as many as a fleet's callers that reconnect at once need.
+pub const MAX_HANDSHAKES: usize = 128;
+
+/// Identifies a handshake within its limiter.
+pub type HandshakeId = u64;
+
+/// A handshake that begins.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct StartedHandshake {
+    /// Its id, for [`HandshakeLimiter::finish`].
+    pub id: HandshakeId,
+    /// When it must be complete.
+    pub deadline: Time,
+    /// The handshake that is to be ended to make room for this one, if any.
+    pub evicted: Option<HandshakeId>,
+}
+
+/// The handshakes in progress.
+#[derive(Debug)]
+pub struct HandshakeLimiter {
+    max_handshakes: usize,
+    timeout: Span,
+    last_id: HandshakeId,
+    in_progress: BTreeMap<HandshakeId, Time>,
+    ended_early: u64,
+}
+
+impl HandshakeLimiter {
+    /// A limiter of so many handshakes at once, at least one, each of which may take up to `timeout`.
+    pub fn new(max_handshakes: usize, timeout: Span) -> HandshakeLimiter {
+        HandshakeLimiter {
+            max_handshakes: max_handshakes.max(1),
+            timeout,
+            last_id: 0,
+            in_progress: BTreeMap::new(),
+            ended_early: 0,
+        }
+    }
+
+    /// Begins a handshake, and evicts the oldest one if there is no room.
+    pub fn begin(&mut self, now: Time) -> StartedHandshake {
+        let is_full = self.in_progress.len() >= self.max_handshakes;
+        let evicted = if is_full { self.in_progress.pop_first().map(|(id, _)| id) } else { None };
+        self.ended_early += u64::from(evicted.is_some());
+        self.last_id += 1;
+        self.in_progress.insert(self.last_id, now);
+        StartedHandshake { id: self.last_id, deadline: now + self.timeout, evicted }
+    }
+
+    /// Ends a handshake, complete or not; `false` if it was evicted before.
+    pub fn finish(&mut self, id: HandshakeId, is_complete: bool) -> bool {
+        let was_in_progress = self.in_progress.remove(&id).is_some();
+        self.ended_early += u64::from(was_in_progress && !is_complete);
+        was_in_progress
+    }
+
+    /// Handshakes in progress.
+    pub fn in_progress(&self) -> usize {
+        self.in_progress.len()
+    }
+
+    /// Handshakes since the start that failed, took too long or were evicted.
+    pub fn ended_early(&self) -> u64 {
+        self.ended_early
+    }
+}
--- a/crates/hazelgrade-identity/src/lib.rs
+++ b/crates/hazelgrade-identity/src/lib.rs
@@ -1,19 +1,31 @@
-//! Who a caller is and what it may ask for. No input or output: time, tokens, addresses and documents come in.
+//! Who a caller is and which jobs it may request.
 //!
-//! `set.rs` makes of an identity document the keys, callers and rights that are looked up; `token.rs` verifies; `book.rs`
-//! remembers what was verified, within a bound; `desk.rs` puts them together and answers for each job; `doubt.rs` bounds
-//! what bad signatures may cost; `audit.rs` counts refusals. `issue.rs` makes keys and tokens, for the operators' tool.
+//! The crate does no input or output: time, tokens, addresses and documents come in as parameters.
+//!
+//! [`AccessPolicy`] is an identity document made ready for lookups: keys, callers, rights and revocations. [`token`]
+//! verifies a signed token under a policy. [`Authenticator`] puts both together for a serving node: it verifies each token
+//! once, caches the result and authorizes every job under the policy in effect. [`signer`] makes keys and tokens, for the
+//! operators' tool and for tests.
+
+#![warn(missing_docs)]
 
 pub mod audit;
-pub mod book;
+pub mod authenticator;
+mod caller_rates;
+mod caller_rights;
 pub mod certificate;
-pub mod desk;
-pub mod doubt;
-pub mod handshakes;
-pub mod issue;
-pub mod set;
+mod deny_reason;
+pub mod handshake_limiter;
+mod key;
+pub mod policy;
+mod policy_error;
+pub mod signer;
+mod source_penalty;
 pub mod token;
+mod token_cache;
 
-pub use desk::Desk;
-pub use set::{CallerId, Identity};
-pub use token::Refused;
+pub use authenticator::{Authenticator, Authorization, Credentials};
+pub use caller_rights::CallerId;
+pub use certificate::ClientCertificate;
+pub use deny_reason::DenyReason;
+pub use policy::AccessPolicy;
--- /dev/null
+++ b/crates/hazelgrade-identity/src/policy.rs
@@ -0,0 +1,167 @@
+//! An identity document made ready for lookups: keys, callers, rights and revocations. Authorizing a job takes no
+//! allocation.
+
+use crate::caller_rights::{CallerId, CallerRights};
+use crate::deny_reason::DenyReason;
+use crate::key::{KeyState, VerificationKey};
+pub use crate::policy_error::{NoValidKey, PolicyError};
+use hazelgrade::time::{Span, Time};
+use hazelgrade_config::document::LONGEST_TOKEN_S;
+use hazelgrade_config::{Document, Fields};
+use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use std::net::IpAddr;
+
+/// How far the clocks of signers and nodes may differ where a document does not say, in seconds.
+const DEFAULT_CLOCK_SKEW_S: f64 = 90.0;
+
+/// Who may request what, and which keys and revocations count.
+#[derive(Debug)]
+pub struct AccessPolicy {
+    /// What a token's `aud` must be.
+    pub(crate) audience: String,
+    /// How far the clocks of signers and nodes may differ.
+    pub(crate) clock_skew: Span,
+    /// The longest lifetime of a token.
+    pub(crate) max_token_lifetime: Span,
+    keys: HashMap<String, VerificationKey>,
+    callers: Callers,
+    revoked_tokens: HashSet<String>,
+    revoked_certificates: BTreeSet<String>,
+}
+
+/// All callers, by index and by what names them.
+#[derive(Debug, Default)]
+struct Callers {
+    rights: Vec<CallerRights>,
+    by_name: HashMap<String, CallerId>,
+    by_certificate: HashMap<String, CallerId>,
+}
+
+impl Callers {
+    fn from_fields(fields: &Fields) -> Result<Callers, PolicyError> {
+        let mut callers = Callers::default();
+        for name in fields.names("caller") {
+            let id = CallerId(callers.rights.len());
+            for certificate in fields.words(&format!("caller/{name}/certificates")) {
+                if callers.by_certificate.insert(certificate.clone(), id).is_some() {
+                    let (caller, certificate) = (name.to_owned(), certificate.clone());
+                    return Err(PolicyError::AmbiguousCertificate { caller, certificate });
+                }
+            }
+            callers.by_name.insert(name.to_owned(), id);
+            callers.rights.push(CallerRights::from_fields(fields, name));
+        }
+        Ok(callers)
+    }
+
+    fn get(&self, id: CallerId) -> Option<&CallerRights> {
+        self.rights.get(id.0)
+    }
+}
+
+impl AccessPolicy {
+    /// The policy of an identity document.
+    ///
+    /// # Errors
+    /// What is wrong beyond the document's own checks, with its field: a public key, or a certificate that names two callers.
+    pub fn from_document(document: &Document) -> Result<AccessPolicy, PolicyError> {
+        let fields = document.fields();
+        let max_token_lifetime_s = fields.number("longest_token_s").unwrap_or(LONGEST_TOKEN_S);
+        let clock_skew_s = fields.number("skew_s").unwrap_or(DEFAULT_CLOCK_SKEW_S);
+        let mut keys = HashMap::new();
+        for key_id in fields.names("key") {
+            let key = VerificationKey::from_fields(fields, key_id, max_token_lifetime_s)?;
+            keys.insert(key_id.to_owned(), key);
+        }
+        let revoked_certificates = fields.words("revoked/certificates").iter();
+        Ok(AccessPolicy {
+            audience: fields.word("audience").unwrap_or_default().to_owned(),
+            clock_skew: Span::from_ms(clock_skew_s * 1000.0),
+            max_token_lifetime: Span::from_ms(max_token_lifetime_s * 1000.0),
+            keys,
+            callers: Callers::from_fields(fields)?,
+            revoked_tokens: fields.words("revoked/tokens").iter().cloned().collect(),
+            revoked_certificates: revoked_certificates.map(|serial| serial.to_lowercase()).collect(),
+        })
+    }
+
+    /// Whether some key verifies tokens now; without one nobody could be let in.
+    pub fn has_valid_key(&self, now: Time) -> bool {
+        self.keys.values().any(|key| matches!(key.state(now), KeyState::Active | KeyState::Retiring))
+    }
+
+    /// Adds the revocations of another policy to this one.
+    pub(crate) fn add_revocations_of(&mut self, other: &AccessPolicy) {
+        for (key_id, key) in &mut self.keys {
+            key.revoked |= other.keys.get(key_id).is_some_and(|key| key.revoked);
+        }
+        for caller in &mut self.callers.rights {
+            let same_caller = other.caller_by_name(&caller.name).and_then(|id| other.callers.get(id));
+            caller.revoked |= same_caller.is_some_and(|other| other.revoked);
+        }
+        self.revoked_tokens.extend(other.revoked_tokens.iter().cloned());
+        self.revoked_certificates.extend(other.revoked_certificates.iter().cloned());
+    }
+
+    /// Resolves the names of job classes and tenants that are in use to the node's indexes. Until then nobody may request
+    /// anything.
+    pub fn compile(&mut self, job_classes: &BTreeMap<&str, usize>, tenants: &BTreeMap<&str, usize>) {
+        for caller in &mut self.callers.rights {
+            caller.compile(job_classes, tenants);
+        }
+    }
+
+    /// The caller of this name, if there is one.
+    pub fn caller_by_name(&self, name: &str) -> Option<CallerId> {
+        self.callers.by_name.get(name).copied()
+    }
+
+    /// The caller that one of a certificate's subject alternative names stands for; the first that is known.
+    pub fn caller_by_certificate<'a>(&self, names: impl IntoIterator<Item = &'a str>) -> Option<CallerId> {
+        names.into_iter().find_map(|name| self.callers.by_certificate.get(name).copied())
+    }
+
+    /// A caller's name; empty if the id is of another policy.
+    pub fn caller_name(&self, caller: CallerId) -> &str {
+        self.callers.get(caller).map_or("", |caller| &caller.name)
+    }
+
+    /// The jobs a second past which a caller's jobs are marked as over its limit; unlimited by default.
+    pub fn jobs_per_s(&self, caller: CallerId) -> Option<f64> {
+        self.callers.get(caller)?.jobs_per_s
+    }
+
+    /// Whether the certificate of this serial, in hex, is revoked.
+    pub fn is_certificate_revoked(&self, serial: &str) -> bool {
+        self.revoked_certificates.contains(&serial.to_lowercase())
+    }
+
+    pub(crate) fn is_token_revoked(&self, token_id: &str) -> bool {
+        self.revoked_tokens.contains(token_id)
+    }
+
+    /// Whether the caller may request anything at all.
+    pub(crate) fn is_caller_revoked(&self, caller: CallerId) -> bool {
+        self.callers.get(caller).is_none_or(|caller| caller.revoked)
+    }
+
+    pub(crate) fn key(&self, key_id: &str) -> Option<&VerificationKey> {
+        self.keys.get(key_id)
+    }
+
+    /// The tenant of a job that a caller requests from this address: the one it names, else its only one. Job class and
+    /// tenant are indexes of `compile`.
+    ///
+    /// # Errors
+    /// The first of these that the caller may not: request anything, from this network, this job class, for this tenant.
+    pub fn authorize(
+        &self,
+        caller: CallerId,
+        job_class: usize,
+        tenant: Option<usize>,
+        address: IpAddr,
+    ) -> Result<usize, DenyReason> {
+        let rights = self.callers.get(caller).ok_or(DenyReason::UnknownCaller)?;
+        rights.authorize(job_class, tenant, address)
+    }
+}
--- a/crates/hazelgrade-identity/src/token.rs
+++ b/crates/hazelgrade-identity/src/token.rs
@@ -1,219 +1,152 @@
-//! Tokens: JWT, signed with a key of the set by its `kid`. The algorithm is the key's, never the token's own.
+//! Signed tokens: JWT (RFC 7519), verified with the key of the policy that the token's `kid` names. The algorithm is the
+//! key's, never the token's own.
 
-use crate::set::{Identity, Life};
+use crate::caller_rights::CallerId;
+use crate::deny_reason::DenyReason;
+use crate::key::{KeyState, VerificationKey};
+use crate::policy::AccessPolicy;
 use hazelgrade::time::Time;
-use jsonwebtoken::{Algorithm, DecodingKey, Validation};
+use jsonwebtoken::Validation;
+use jsonwebtoken::errors::ErrorKind;
 use serde::{Deserialize, Serialize};
 use std::collections::HashSet;
 
 /// The longest token, in bytes: a header, some claims and a signature take a fourth of it.
-pub const LONGEST_TOKEN: usize = 2048;
+pub const MAX_TOKEN_BYTES: usize = 2048;
 
-/// Why a token, a certificate or a job is refused.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Refused {
-    /// Nothing names the caller.
-    Nameless,
-    /// It can't be read as a token.
-    Unreadable,
-    UnknownKey,
-    /// The key is not active yet, or its time is over.
-    KeyNotValid,
-    /// The token names another algorithm than its key's.
-    Algorithm,
-    Signature,
-    Audience,
-    Expired,
-    /// Not valid yet, or issued in the future.
-    TooEarly,
-    /// It would live for longer than any token may.
-    TooLong,
-    UnknownCaller,
-    /// The key, the caller, the token or the certificate was revoked.
-    Revoked,
-    Network,
-    JobClass,
-    Tenant,
-    /// Too many bad ones came from there lately: not looked at.
-    Doubted,
-}
-
-impl Refused {
-    pub const ALL: [Refused; 16] = [
-        Refused::Nameless,
-        Refused::Unreadable,
-        Refused::UnknownKey,
-        Refused::KeyNotValid,
-        Refused::Algorithm,
-        Refused::Signature,
-        Refused::Audience,
-        Refused::Expired,
-        Refused::TooEarly,
-        Refused::TooLong,
-        Refused::UnknownCaller,
-        Refused::Revoked,
-        Refused::Network,
-        Refused::JobClass,
-        Refused::Tenant,
-        Refused::Doubted,
-    ];
-
-    /// It lies in the keys that are known: many of these show a wrong set.
-    pub fn is_of_keys(self) -> bool {
-        matches!(
-            self,
-            Refused::UnknownKey | Refused::KeyNotValid | Refused::Signature | Refused::UnknownCaller
-        )
-    }
-
-    /// In words, for the caller and the log: never anything of the token.
-    pub fn reason(self) -> &'static str {
-        match self {
-            Refused::Nameless => "no token or certificate names the caller",
-            Refused::Unreadable => "the token can't be read",
-            Refused::UnknownKey => "no key of that id is known",
-            Refused::KeyNotValid => "the key is not valid now",
-            Refused::Algorithm => "the token's algorithm is not its key's",
-            Refused::Signature => "the signature is wrong",
-            Refused::Audience => "the token is for another audience",
-            Refused::Expired => "the token has expired",
-            Refused::TooEarly => "the token is not valid yet",
-            Refused::TooLong => "the token lives for too long",
-            Refused::UnknownCaller => "the caller is not known",
-            Refused::Revoked => "revoked",
-            Refused::Network => "not from this network",
-            Refused::JobClass => "the caller may not ask for this use case",
-            Refused::Tenant => "the caller may not ask for this customer",
-            Refused::Doubted => "too many bad tokens came from there",
-        }
-    }
-}
+/// Times in a token, in seconds since 1970, lie below this.
+const MAX_TIME_S: f64 = 1e11;
 
-/// A key of the set.
-pub(crate) struct Key {
-    pub algorithm: Algorithm,
-    pub decoding: DecodingKey,
-    pub active_from: Time,
-    pub signs_until: Time,
-    pub valid_until: Time,
-    pub revoked: bool,
-}
-
-impl std::fmt::Debug for Key {
-    fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(to, "Key({:?})", self.algorithm)
-    }
-}
-
-impl Key {
-    pub fn life(&self, now: Time) -> Life {
-        match now {
-            _ if self.revoked => Life::Revoked,
-            now if now < self.active_from => Life::Announced,
-            now if now < self.signs_until => Life::Active,
-            now if now < self.valid_until => Life::Retiring,
-            _ => Life::Over,
-        }
-    }
-}
-
-/// What a token says, times in seconds since 1970.
+/// The claims of a token, by their names in RFC 7519; times in seconds since 1970.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Claims {
-    /// The caller.
+    /// Subject: the caller's name.
     pub sub: String,
+    /// Audience: who the token is meant for.
     pub aud: String,
+    /// When the token expires.
     pub exp: f64,
+    /// When the token was issued.
     pub iat: f64,
+    /// Before when the token is not valid; from its issue on by default.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub nbf: Option<f64>,
-    /// The token's own id, by which it can be revoked.
+    /// The token's id, by which it can be revoked.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub jti: Option<String>,
 }
 
-/// A token whose signature is right; whether it counts now is asked for each job.
+/// A token whose signature and claims were verified once. Whether it is still valid is checked for each job.
 #[derive(Clone, Debug)]
-pub struct Verified {
+pub struct VerifiedToken {
+    /// The caller's name.
     pub caller: String,
-    pub kid: String,
-    pub token: Option<String>,
-    pub expires: Time,
+    /// The id of the key that signed it.
+    pub key_id: String,
+    /// The token's id, if it has one.
+    pub token_id: Option<String>,
+    /// When it expires, with the clock skew that is allowed for.
+    pub expires_at: Time,
 }
 
-/// Verifies a token.
-pub fn verify(identity: &Identity, token: &str, now: Time) -> Result<Verified, Refused> {
-    if token.len() > LONGEST_TOKEN {
-        return Err(Refused::Unreadable);
+/// Verifies a token under a policy.
+///
+/// # Errors
+/// The first check that the token fails: its form, key, algorithm, signature, audience, times, revocation, caller.
+pub fn verify(policy: &AccessPolicy, token: &str, now: Time) -> Result<VerifiedToken, DenyReason> {
+    if token.len() > MAX_TOKEN_BYTES {
+        return Err(DenyReason::MalformedToken);
     }
-    // `none` is no algorithm that can be read, so it ends here.
-    let header = jsonwebtoken::decode_header(token).map_err(|_| Refused::Unreadable)?;
-    let kid = header.kid.ok_or(Refused::UnknownKey)?;
-    let key = identity.key(&kid).ok_or(Refused::UnknownKey)?;
+    // A header with the algorithm `none` does not decode.
+    let header = jsonwebtoken::decode_header(token).map_err(|_| DenyReason::MalformedToken)?;
+    let key_id = header.kid.ok_or(DenyReason::UnknownKey)?;
+    let key = policy.key(&key_id).ok_or(DenyReason::UnknownKey)?;
     if header.alg != key.algorithm {
-        return Err(Refused::Algorithm);
+        return Err(DenyReason::AlgorithmMismatch);
     }
-    match key.life(now) {
-        Life::Active | Life::Retiring => {}
+    check_key_accepts(policy, key, now)?;
+    let claims = decode(token, key)?;
+    let expires_at = check_claims(policy, key, &claims, now)?;
+    let verified = VerifiedToken { caller: claims.sub, key_id, token_id: claims.jti, expires_at };
+    valid_caller(policy, &verified, now)?;
+    Ok(verified)
+}
+
+fn check_key_accepts(policy: &AccessPolicy, key: &VerificationKey, now: Time) -> Result<(), DenyReason> {
+    match key.state(now) {
+        KeyState::Active | KeyState::Retiring => Ok(()),
         // The signer's clock may be ahead.
-        Life::Announced if key.active_from.since(now) <= identity.skew => {}
-        Life::Revoked => return Err(Refused::Revoked),
-        Life::Announced | Life::Over => return Err(Refused::KeyNotValid),
+        KeyState::Announced if key.active_from.since(now) <= policy.clock_skew => Ok(()),
+        KeyState::Revoked => Err(DenyReason::Revoked),
+        KeyState::Announced | KeyState::Expired => Err(DenyReason::KeyNotValid),
     }
+}
+
+/// Checks the signature and decodes the claims.
+fn decode(token: &str, key: &VerificationKey) -> Result<Claims, DenyReason> {
     let mut validation = Validation::new(key.algorithm);
-    // Times and audience are checked here, by the clock that came in.
-    (validation.validate_exp, validation.validate_nbf, validation.validate_aud) = (false, false, false);
+    // `check_claims` checks times and audience, by the time that it is given.
+    validation.validate_exp = false;
+    validation.validate_nbf = false;
+    validation.validate_aud = false;
     validation.required_spec_claims = HashSet::new();
-    let decoded = jsonwebtoken::decode::<Claims>(token, &key.decoding, &validation);
-    let claims = decoded.map_err(|error| match error.kind() {
-        jsonwebtoken::errors::ErrorKind::InvalidSignature => Refused::Signature,
-        _ => Refused::Unreadable,
-    })?;
-    let claims = claims.claims;
-    if claims.aud != identity.audience {
-        return Err(Refused::Audience);
+    match jsonwebtoken::decode::<Claims>(token, &key.decoding, &validation) {
+        Ok(decoded) => Ok(decoded.claims),
+        Err(error) if matches!(error.kind(), ErrorKind::InvalidSignature) => Err(DenyReason::BadSignature),
+        Err(_) => Err(DenyReason::MalformedToken),
     }
-    let moment = |seconds: f64| {
-        let sane = seconds.is_finite() && (0.0..1e11).contains(&seconds);
-        sane.then(|| Time::from_ms(seconds * 1000.0)).ok_or(Refused::Unreadable)
-    };
-    let expires = moment(claims.exp)? + identity.skew;
-    let early = now + identity.skew;
-    for from in claims.nbf.into_iter().chain([claims.iat]) {
-        if moment(from)? > early {
-            return Err(Refused::TooEarly);
+}
+
+/// Checks audience and times; returns when the token expires, with the clock skew that is allowed for.
+fn check_claims(
+    policy: &AccessPolicy,
+    key: &VerificationKey,
+    claims: &Claims,
+    now: Time,
+) -> Result<Time, DenyReason> {
+    if claims.aud != policy.audience {
+        return Err(DenyReason::WrongAudience);
+    }
+    let expires = time_of_claim(claims.exp)?;
+    let latest_start = now + policy.clock_skew;
+    for start_s in claims.nbf.into_iter().chain([claims.iat]) {
+        if time_of_claim(start_s)? > latest_start {
+            return Err(DenyReason::NotYetValid);
         }
     }
-    let issued = moment(claims.iat)?;
-    if issued > key.signs_until + identity.skew {
-        return Err(Refused::KeyNotValid);
+    let issued = time_of_claim(claims.iat)?;
+    if issued > key.signs_until + policy.clock_skew {
+        return Err(DenyReason::KeyNotValid);
     }
-    if moment(claims.exp)?.since(issued) > identity.longest_token {
-        return Err(Refused::TooLong);
+    if expires.since(issued) > policy.max_token_lifetime {
+        return Err(DenyReason::LifetimeTooLong);
     }
-    let verified = Verified { caller: claims.sub, kid, token: claims.jti, expires };
-    stands(identity, &verified, now)?;
-    Ok(verified)
+    Ok(expires + policy.clock_skew)
+}
+
+fn time_of_claim(seconds: f64) -> Result<Time, DenyReason> {
+    let is_in_range = seconds.is_finite() && (0.0..MAX_TIME_S).contains(&seconds);
+    if is_in_range { Ok(Time::from_ms(seconds * 1000.0)) } else { Err(DenyReason::MalformedToken) }
 }
 
-/// Whether a token that was verified before counts now: under this set, at this time.
-pub(crate) fn stands(
-    identity: &Identity,
-    verified: &Verified,
+/// The caller of a token that was verified before, if the token is still valid under this policy at this time.
+pub(crate) fn valid_caller(
+    policy: &AccessPolicy,
+    token: &VerifiedToken,
     now: Time,
-) -> Result<crate::CallerId, Refused> {
-    if verified.expires <= now {
-        return Err(Refused::Expired);
+) -> Result<CallerId, DenyReason> {
+    if token.expires_at <= now {
+        return Err(DenyReason::Expired);
     }
-    let key = identity.key(&verified.kid).ok_or(Refused::UnknownKey)?;
-    match key.life(now) {
-        Life::Revoked => return Err(Refused::Revoked),
-        Life::Over => return Err(Refused::KeyNotValid),
-        _ => {}
+    let key = policy.key(&token.key_id).ok_or(DenyReason::UnknownKey)?;
+    match key.state(now) {
+        KeyState::Revoked => return Err(DenyReason::Revoked),
+        KeyState::Expired => return Err(DenyReason::KeyNotValid),
+        KeyState::Announced | KeyState::Active | KeyState::Retiring => {}
     }
-    if verified.token.as_ref().is_some_and(|token| identity.token_revoked(token)) {
-        return Err(Refused::Revoked);
+    if token.token_id.as_ref().is_some_and(|token_id| policy.is_token_revoked(token_id)) {
+        return Err(DenyReason::Revoked);
     }
-    let caller = identity.caller(&verified.caller).ok_or(Refused::UnknownCaller)?;
-    if identity.caller_stands(caller) { Ok(caller) } else { Err(Refused::Revoked) }
+    let caller = policy.caller_by_name(&token.caller).ok_or(DenyReason::UnknownCaller)?;
+    if policy.is_caller_revoked(caller) { Err(DenyReason::Revoked) } else { Ok(caller) }
 }
--- a/crates/hazelgrade-identity/tests/recorded_tokens.rs
+++ b/crates/hazelgrade-identity/tests/recorded_tokens.rs
@@ -7,9 +7,9 @@
 use base64::engine::general_purpose::{STANDARD, URL_SAFE_NO_PAD};
 use hazelgrade::time::Time;
 use hazelgrade_config::{Document, Kind};
-use hazelgrade_identity::issue::Signer;
+use hazelgrade_identity::signer::Signer;
 use hazelgrade_identity::token::{Claims, verify};
-use hazelgrade_identity::{Identity, Refused};
+use hazelgrade_identity::{AccessPolicy, DenyReason};
 use zeroize::Zeroizing;
 
 struct Recorded {
@@ -47,14 +47,14 @@
     Time::from_ms(seconds * 1000.0)
 }
 
-fn compiled(document: &str) -> Identity {
+fn compiled(document: &str) -> AccessPolicy {
     let document = Document::read_as(Kind::Identity, document, "recorded.toml").expect("it is right");
-    Identity::of(&document).expect("it is right")
+    AccessPolicy::from_document(&document).expect("it is right")
 }
 
 fn signer(recorded: &Recorded) -> Signer {
     let pkcs8 = STANDARD.decode(recorded.private_key.trim()).expect("base64");
-    Signer::of_pkcs8(Zeroizing::new(pkcs8)).expect("a private key")
+    Signer::from_pkcs8(Zeroizing::new(pkcs8)).expect("a private key")
 }
 
 fn claims(recorded: &Recorded) -> Claims {
@@ -75,10 +75,10 @@
         let verified = verify(&policy, token, at(recorded.issued_s)).expect("it is valid");
         assert_eq!(verified.caller, "front-desk");
         let expired = verify(&policy, token, at(recorded.issued_s + 690.0)).err();
-        assert_eq!(expired, Some(Refused::Expired), "600 s and the skew of clocks later");
+        assert_eq!(expired, Some(DenyReason::Expired), "600 s and the skew of clocks later");
         let revokes = format!("{}\n[revoked]\ntokens = [\"{}\"]\n", recorded.document, recorded.token_id);
         let revoked = verify(&compiled(&revokes), token, at(recorded.issued_s)).err();
-        assert_eq!(revoked, Some(Refused::Revoked), "by its id");
+        assert_eq!(revoked, Some(DenyReason::Revoked), "by its id");
     }
 }
 
