--- a/crates/hazelgrade-demo/src/measure/identity.rs
+++ b/crates/hazelgrade-demo/src/measure/identity.rs
@@ -13,10 +13,9 @@
 use hazelgrade_fakes::node::Node;
 use hazelgrade_fakes::world::{World, callers_with};
 use hazelgrade_fakes::{comes_true, free_address};
-use hazelgrade_identity::desk::{Desk, Known};
-use hazelgrade_identity::issue::Signer;
+use hazelgrade_identity::signer::{PublicKey, Signer};
 use hazelgrade_identity::token::Claims;
-use hazelgrade_identity::{CallerId, Identity};
+use hazelgrade_identity::{AccessPolicy, Authenticator, CallerId, Credentials};
 use hdrhistogram::Histogram;
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair, SanType};
 use rustls::pki_types::{PrivateKeyDer, ServerName};
@@ -51,7 +50,7 @@
 /// A set of so many callers, each with a job class, a tenant and two networks.
 fn set(signer: &Signer, callers: usize, longest: f64) -> Result<Document, String> {
     let mut fields = Fields::default();
-    let (x, y) = signer.public();
+    let PublicKey { x, y } = signer.public_key();
     let mut put = |path: &str, value| fields.0.insert(path.to_owned(), value);
     put("audience", Scalar::Word("measure".into()));
     put("longest_token_s", Scalar::Number(longest));
@@ -69,8 +68,8 @@
     Document::of_fields(Kind::Identity, fields, "measure").map_err(|faults| fault::lines(&faults, 3))
 }
 
-fn compiled(document: &Document) -> Result<Identity, String> {
-    let mut identity = Identity::of(document)?;
+fn compiled(document: &Document) -> Result<AccessPolicy, String> {
+    let mut identity = AccessPolicy::from_document(document).map_err(failed)?;
     let names: Vec<String> = (0..50).map(|tenant| format!("c{tenant}")).collect();
     let tenants: BTreeMap<&str, usize> =
         names.iter().enumerate().map(|(at, name)| (name.as_str(), at)).collect();
@@ -109,31 +108,32 @@
         table.add_row([name.to_owned(), us, a_second, format!("{allocations:.2}")]);
     };
     for algorithm in ["EdDSA", "ES256"] {
-        let signer = Signer::new(algorithm)?;
+        let signer = Signer::generate(algorithm).map_err(failed)?;
         let mut desk =
-            Desk::new(compiled(&set(&signer, 100, 600.0)?)?, at(NOW_S)).ok_or("no key is valid")?;
+            Authenticator::new(compiled(&set(&signer, 100, 600.0)?)?, at(NOW_S)).map_err(failed)?;
         let sign = |id: usize| signer.sign("k1", &claims(&format!("caller-{}", id % 100), id, NOW_S, 300.0));
-        let tokens: Vec<String> = (0..COUNT * RUNS).map(sign).collect::<Result<_, _>>()?;
+        let tokens: Vec<String> = (0..COUNT * RUNS).map(sign).collect::<Result<_, _>>().map_err(failed)?;
         add(
             &format!("{algorithm}, a new token: verified and remembered"),
             cost(COUNT, |place| {
-                black_box(desk.token(at(NOW_S), &tokens[place], HERE).is_ok());
+                black_box(desk.verify_token(at(NOW_S), &tokens[place], HERE).is_ok());
             }),
         );
         if algorithm == "EdDSA" {
-            let known = Known { token: desk.token(at(NOW_S), &tokens[0], HERE).ok(), certificate: None };
+            let known =
+                Credentials { token: desk.verify_token(at(NOW_S), &tokens[0], HERE).ok(), certificate: None };
             add(
                 "a known token with the job: digest, table, rights",
                 cost(COUNT, |place| {
-                    let token = desk.token(at(NOW_S), &tokens[place % 100], HERE);
-                    let known = Known { token: token.ok(), certificate: None };
-                    black_box(desk.asks(at(NOW_S), &known, 0, Some(0), HERE).is_ok());
+                    let token = desk.verify_token(at(NOW_S), &tokens[place % 100], HERE);
+                    let known = Credentials { token: token.ok(), certificate: None };
+                    black_box(desk.authorize_and_count(at(NOW_S), &known, 0, Some(0), HERE).is_ok());
                 }),
             );
             add(
                 "a connection that said hello: key, expiry, rights",
                 cost(COUNT, |_| {
-                    black_box(desk.asks(at(NOW_S), &known, 0, Some(0), HERE).is_ok());
+                    black_box(desk.authorize_and_count(at(NOW_S), &known, 0, Some(0), HERE).is_ok());
                 }),
             );
         }
@@ -144,28 +144,28 @@
             cost(COUNT, |place| {
                 // Each from a source of its own, so that none is doubted.
                 let from = IpAddr::V4(Ipv4Addr::from(place as u32));
-                black_box(desk.token(at(NOW_S), &bad[place], from).is_err());
+                black_box(desk.verify_token(at(NOW_S), &bad[place], from).is_err());
             }),
         );
         add(
             "a bad signature from a doubted source",
             cost(COUNT, |place| {
-                black_box(desk.token(at(NOW_S), &bad[place], HERE).is_err());
+                black_box(desk.verify_token(at(NOW_S), &bad[place], HERE).is_err());
             }),
         );
     }
     // Rights alone, against plain ways.
-    let signer = Signer::new("EdDSA")?;
+    let signer = Signer::generate("EdDSA").map_err(failed)?;
     let identity = compiled(&set(&signer, 1000, 600.0)?)?;
     let ids: Vec<CallerId> =
-        (0..1000).filter_map(|caller| identity.caller(&format!("caller-{caller}"))).collect();
+        (0..1000).filter_map(|caller| identity.caller_by_name(&format!("caller-{caller}"))).collect();
     let triples: Vec<(usize, usize, usize)> =
         (0..1000).flat_map(|caller| [0, 1].map(|case| (caller, case, caller % 50))).collect();
     let hashed: HashSet<(usize, usize, usize)> = triples.iter().copied().collect();
     add(
         "rights of one in 1,000 callers, with its networks: bit sets",
         cost(COUNT * 10, |place| {
-            black_box(identity.may(ids[place % 1000], place % 2, Some(place % 50), HERE).is_ok());
+            black_box(identity.authorize(ids[place % 1000], place % 2, Some(place % 50), HERE).is_ok());
         }),
     );
     add(
@@ -185,7 +185,7 @@
 
 fn sizes() -> Result<Table, String> {
     let mut table = table(["callers", "document, KB", "made ready in ms", "memory, KB"]);
-    let signer = Signer::new("EdDSA")?;
+    let signer = Signer::generate("EdDSA").map_err(failed)?;
     for callers in [100, 1000, 10_000, 100_000] {
         let document = set(&signer, callers, 600.0)?;
         let kb = document.to_toml().len() / 1024;
@@ -220,7 +220,10 @@
 impl Setting {
     fn new() -> Result<Setting, String> {
         let work = Work { cores: 4, takes: Duration::from_millis(10), calls: true };
-        let setting = Setting { world: World::new(work).map_err(failed)?, signer: Signer::new("EdDSA")? };
+        let setting = Setting {
+            world: World::new(work).map_err(failed)?,
+            signer: Signer::generate("EdDSA").map_err(failed)?,
+        };
         let serving = document(&[READ, BOOK], 50, "")?;
         std::fs::write(setting.file("first.toml"), serving.to_toml()).map_err(failed)?;
         std::fs::write(setting.file("identity.toml"), set(&setting.signer, 100, 3600.0)?.to_toml())
@@ -250,7 +253,7 @@
     }
 
     fn token(&self, caller: usize) -> Result<String, String> {
-        self.signer.sign("k1", &claims(&format!("caller-{caller}"), caller, unix_s(), 600.0))
+        self.signer.sign("k1", &claims(&format!("caller-{caller}"), caller, unix_s(), 600.0)).map_err(failed)
     }
 
     fn identity(&self) -> String {
--- a/crates/hazelgrade-server/src/program/identity.rs
+++ b/crates/hazelgrade-server/src/program/identity.rs
@@ -9,7 +9,7 @@
 use hazelgrade::time::Time;
 use hazelgrade_config::operator::{Identified, Streamed};
 use hazelgrade_config::{Document, Kind, fault};
-use hazelgrade_identity::Identity;
+use hazelgrade_identity::AccessPolicy;
 use hazelgrade_net::bell::Bell;
 use hazelgrade_store::Store;
 use hazelgrade_stream::backoff::Backoff;
@@ -33,15 +33,15 @@
     let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
     let read = Document::read_as(Kind::Identity, &text, &shown);
     let document = read.map_err(|faults| fault::lines(&faults, FAULTS_NAMED))?;
-    Identity::of(&document).map_err(|why| format!("{shown}: {why}"))?;
+    AccessPolicy::from_document(&document).map_err(|why| format!("{shown}: {why}"))?;
     Ok(document)
 }
 
 /// `back`: after a version that failed. What that one revoked stays revoked.
 fn take(document: &Document, parts: &Parts, back: bool) -> Result<(), String> {
-    let identity = Identity::of(document)?;
+    let identity = AccessPolicy::from_document(document).map_err(|error| error.to_string())?;
     let now = parts.rounds.clock.now();
-    parts.callers.replace(identity, &parts.site.borrow(), now, back).map_err(str::to_owned)
+    parts.callers.replace(identity, &parts.site.borrow(), now, back).map_err(|error| error.to_string())
 }
 
 /// SIGHUP: the file as it is now; one that is wrong changes nothing.
--- a/crates/hazelgrade-server/src/program/keys.rs
+++ b/crates/hazelgrade-server/src/program/keys.rs
@@ -6,7 +6,7 @@
 use base64::engine::general_purpose::STANDARD;
 use hazelgrade_config::document::LONGEST_TOKEN_S;
 use hazelgrade_config::{Document, Kind, fault};
-use hazelgrade_identity::issue::Signer;
+use hazelgrade_identity::signer::{PublicKey, Signer};
 use hazelgrade_identity::token::Claims;
 use pico_args::Arguments;
 use serde_json::json;
@@ -100,7 +100,7 @@
 
     /// Makes a key, keeps its private half, and gives its name and table.
     fn made(&self, document: &DocumentMut, from: f64, longest: f64) -> Result<(String, Table), String> {
-        let signer = Signer::new(&self.algorithm)?;
+        let signer = Signer::generate(&self.algorithm).map_err(|error| error.to_string())?;
         let taken = |kid: &str| document.get("key").and_then(|keys| keys.get(kid)).is_some();
         let kid = (1..).map(|count| format!("k{count}")).find(|kid| !taken(kid)).unwrap_or_default();
         let folder = self.private()?;
@@ -112,7 +112,7 @@
         let text = Zeroizing::new(STANDARD.encode(signer.pkcs8()));
         file.and_then(|mut file| file.write_all(text.as_bytes()).and_then(|()| file.sync_all()))
             .map_err(failed)?;
-        let (x, y) = signer.public();
+        let PublicKey { x, y } = signer.public_key();
         let mut table = Table::new();
         table["algorithm"] = value(signer.algorithm());
         table["x"] = value(x);
@@ -224,7 +224,7 @@
         let pkcs8 = STANDARD
             .decode(text.trim())
             .map_err(|_| format!("{}: not a key of this program", path.display()))?;
-        let signer = Signer::of_pkcs8(Zeroizing::new(pkcs8))?;
+        let signer = Signer::from_pkcs8(Zeroizing::new(pkcs8)).map_err(|error| error.to_string())?;
         let claims = Claims {
             sub: caller.to_owned(),
             aud: fields.word("audience").unwrap_or_default().to_owned(),
@@ -233,7 +233,8 @@
             nbf: None,
             jti: Some(format!("{caller}-{:x}", (now() * 1e6) as u64)),
         };
-        Ok(format!("{}\n", signer.sign(kid, &claims)?))
+        let token = signer.sign(kid, &claims).map_err(|error| error.to_string())?;
+        Ok(format!("{token}\n"))
     }
 }
 
--- a/crates/hazelgrade-server/src/program/tls.rs
+++ b/crates/hazelgrade-server/src/program/tls.rs
@@ -55,13 +55,13 @@
                     .and_then(Iterator::collect::<Result<Vec<_>, _>>)
                     .map_err(|error| wrong("revoked", path, error))?;
                 for list in &lists {
-                    let (of_list, next) =
-                        certificate::read_revoked(list).map_err(|error| wrong("revoked", path, error))?;
-                    serials.extend(of_list);
+                    let list = certificate::read_revocation_list(list)
+                        .map_err(|error| wrong("revoked", path, error))?;
+                    serials.extend(list.serials);
                     let now = SystemTime::now()
                         .duration_since(UNIX_EPOCH)
                         .map_or(0, |since| since.as_secs() as i64);
-                    if next.is_some_and(|next| next < now) {
+                    if list.next_update_s.is_some_and(|next| next < now) {
                         // It still says who was revoked; without it more would be let in, or nobody.
                         tracing::warn!(path = %path.display(), "the list of revoked certificates is past its next update");
                     }
--- a/crates/hazelgrade-server/src/protocol/jsonrpc.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc.rs
@@ -3,7 +3,7 @@
 use super::{Body, is_body};
 use hazelgrade::api::{Idempotency, Job, JobId};
 use hazelgrade::time::{Span, Time};
-use hazelgrade_identity::token::LONGEST_TOKEN;
+use hazelgrade_identity::token::MAX_TOKEN_BYTES;
 use hazelgrade_settings::Site;
 use serde_json::{Map, Value, json};
 
@@ -158,8 +158,8 @@
 fn token(params: &mut Params) -> Result<Option<String>, String> {
     match params.0.remove("token") {
         None | Some(Value::Null) => Ok(None),
-        Some(Value::String(token)) if (1..=LONGEST_TOKEN).contains(&token.len()) => Ok(Some(token)),
-        Some(_) => Err(format!("field token: expected a token of {LONGEST_TOKEN} bytes at most")),
+        Some(Value::String(token)) if (1..=MAX_TOKEN_BYTES).contains(&token.len()) => Ok(Some(token)),
+        Some(_) => Err(format!("field token: expected a token of {MAX_TOKEN_BYTES} bytes at most")),
     }
 }
 
--- a/crates/hazelgrade-server/src/routing/callers.rs
+++ b/crates/hazelgrade-server/src/routing/callers.rs
@@ -2,8 +2,8 @@
 
 use crate::protocol::jsonrpc::Asked;
 use hazelgrade::time::Time;
-use hazelgrade_identity::desk::{Desk, Known};
-use hazelgrade_identity::{Identity, Refused};
+use hazelgrade_identity::policy::NoValidKey;
+use hazelgrade_identity::{AccessPolicy, Authenticator, Authorization, Credentials, DenyReason};
 use hazelgrade_settings::Site;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,14 +12,14 @@
 /// A connection's caller.
 pub struct Caller {
     pub from: IpAddr,
-    pub known: RefCell<Known>,
+    pub known: RefCell<Credentials>,
 }
 
 /// All callers, if they are asked who they are.
 #[derive(Default)]
 pub struct Callers {
     on: Cell<bool>,
-    desk: RefCell<Option<Desk>>,
+    desk: RefCell<Option<Authenticator>>,
     /// Certificates that a list of the operators' names as revoked.
     revoked: RefCell<BTreeSet<String>>,
 }
@@ -38,21 +38,19 @@
     /// With `back` it is the one before a set that failed; what that one revoked stays revoked.
     pub fn replace(
         &self,
-        mut identity: Identity,
+        mut identity: AccessPolicy,
         site: &Site,
         now: Time,
         back: bool,
-    ) -> Result<(), &'static str> {
+    ) -> Result<(), NoValidKey> {
         let (job_classes, tenants) = places(site);
         identity.compile(&job_classes, &tenants);
         let mut desk = self.desk.borrow_mut();
         match &mut *desk {
-            Some(desk) if back => desk.go_back(identity, now),
-            Some(desk) => desk.replace(identity, now),
+            Some(desk) if back => desk.roll_back_policy(identity, now),
+            Some(desk) => desk.replace_policy(identity, now),
             None => {
-                let new = Desk::new(identity, now)
-                    .ok_or("no key of the set is valid now: nobody could be let in")?;
-                *desk = Some(new);
+                *desk = Some(Authenticator::new(identity, now)?);
                 Ok(())
             }
         }
@@ -77,48 +75,56 @@
     }
 
     /// A connection says who it is.
-    pub fn hello(&self, now: Time, caller: &Caller, token: &str) -> Result<String, Refused> {
+    pub fn hello(&self, now: Time, caller: &Caller, token: &str) -> Result<String, DenyReason> {
         let mut desk = self.desk.borrow_mut();
-        let desk = desk.as_mut().ok_or(Refused::UnknownKey)?;
-        match desk.token(now, token, caller.from) {
+        let desk = desk.as_mut().ok_or(DenyReason::UnknownKey)?;
+        match desk.verify_token(now, token, caller.from) {
             Ok(verified) => {
                 let name = verified.caller.clone();
                 caller.known.borrow_mut().token = Some(verified);
                 Ok(name)
             }
             Err(refused) => {
-                desk.refused(now, &caller.known.borrow(), refused);
+                desk.record_denial(now, &caller.known.borrow(), refused);
                 Err(refused)
             }
         }
     }
 
     /// Whether a job may be asked for, and if its tenant is not named, which it is.
-    pub fn may(&self, now: Time, caller: &Caller, asked: &mut Asked) -> Result<(), Refused> {
+    pub fn may(&self, now: Time, caller: &Caller, asked: &mut Asked) -> Result<(), DenyReason> {
         if !self.on.get() {
             return Ok(());
         }
         let mut desk = self.desk.borrow_mut();
-        let desk = desk.as_mut().ok_or(Refused::UnknownKey)?;
+        let desk = desk.as_mut().ok_or(DenyReason::UnknownKey)?;
         let tenant = asked.for_customer.then_some(asked.job.tenant);
-        let with_job = asked.token.take().map(|token| desk.token(now, &token, caller.from)).transpose();
+        let with_job =
+            asked.token.take().map(|token| desk.verify_token(now, &token, caller.from)).transpose();
         let known = caller.known.borrow();
         let listed =
             known.certificate.as_ref().is_some_and(|shown| self.revoked.borrow().contains(&shown.serial));
         let may = with_job.and_then(|token| {
             if listed {
-                return Err(Refused::Revoked);
+                return Err(DenyReason::Revoked);
             }
-            let own = token.map(|token| Known { token: Some(token), certificate: None });
-            desk.asks(now, own.as_ref().unwrap_or(&known), asked.job.job_class, tenant, caller.from)
+            let own = token.map(|token| Credentials { token: Some(token), certificate: None });
+            desk.authorize_and_count(
+                now,
+                own.as_ref().unwrap_or(&known),
+                asked.job.job_class,
+                tenant,
+                caller.from,
+            )
         });
         match may {
-            Ok((tenant, beyond)) => {
-                (asked.job.tenant, asked.job.over_caller_limit) = (tenant, beyond);
+            Ok(Authorization { tenant, over_limit }) => {
+                asked.job.tenant = tenant;
+                asked.job.over_caller_limit = over_limit;
                 Ok(())
             }
             Err(refused) => {
-                desk.refused(now, &known, refused);
+                desk.record_denial(now, &known, refused);
                 Err(refused)
             }
         }
@@ -126,10 +132,11 @@
 
     /// Lines for the log that are due, written.
     pub fn audit(&self, now: Time) {
-        let lines = self.desk.borrow_mut().as_mut().map(|desk| desk.audit(now)).unwrap_or_default();
+        let lines =
+            self.desk.borrow_mut().as_mut().map(|desk| desk.take_due_audit_records(now)).unwrap_or_default();
         for line in lines {
             let caller = line.caller.as_deref().unwrap_or("-");
-            tracing::warn!(caller, reason = line.refused.reason(), count = line.count, "refused");
+            tracing::warn!(caller, reason = line.reason.message(), count = line.count, "refused");
         }
     }
 }
--- a/crates/hazelgrade-server/src/routing/front.rs
+++ b/crates/hazelgrade-server/src/routing/front.rs
@@ -10,8 +10,7 @@
 use async_io::Async;
 use hazelgrade::api::{Idempotency, JobId};
 use hazelgrade::time::Span;
-use hazelgrade_identity::Refused;
-use hazelgrade_identity::desk::Known;
+use hazelgrade_identity::{Credentials, DenyReason};
 use hazelgrade_net::ending::ConnectionEnd;
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, Ipv4Addr, TcpStream};
@@ -45,7 +44,7 @@
                 return self.clients.came();
             }
         };
-        let caller = Caller { from, known: RefCell::new(Known { token: None, certificate }) };
+        let caller = Caller { from, known: RefCell::new(Credentials { token: None, certificate }) };
         let on_line = async |client: &Rc<Client<JobId>>, line: &[u8]| self.take(client, &caller, line).await;
         let last_words = |end| match end {
             ConnectionEnd::TooLong => Some(jsonrpc::last_words(true)),
@@ -84,7 +83,7 @@
                 if hello.is_err() {
                     client.misused();
                 }
-                let hello = hello.as_deref().map_err(|refused| refused.reason());
+                let hello = hello.as_deref().map_err(|refused| refused.message());
                 client.put(&jsonrpc::encode_hello(call, hello));
             }
             Ok(Incoming::Check(call)) => {
@@ -104,11 +103,11 @@
     }
 
     /// One clear answer, that it never ran and would run nowhere.
-    fn deny(&self, client: &Client<JobId>, call: u64, refused: Refused) {
+    fn deny(&self, client: &Client<JobId>, call: u64, refused: DenyReason) {
         let mut tally = self.parts.tally.borrow_mut();
         tally.denied += 1;
-        tally.unverified += u64::from(refused.is_of_keys());
-        client.put(&jsonrpc::encode(call, &Answer::Denied(refused.reason()), self.parts.rounds.said()));
+        tally.unverified += u64::from(refused.suggests_wrong_policy());
+        client.put(&jsonrpc::encode(call, &Answer::Denied(refused.message()), self.parts.rounds.said()));
         // Read at a pace, as one whose jobs are rejected and never run.
         client.rejected();
     }
--- a/crates/hazelgrade-server/src/transport/tls.rs
+++ b/crates/hazelgrade-server/src/transport/tls.rs
@@ -7,9 +7,8 @@
 use futures_lite::io::split;
 use futures_rustls::TlsAcceptor;
 use hazelgrade::time::{Span, Time};
-use hazelgrade_identity::certificate;
-use hazelgrade_identity::desk::Certificate;
-use hazelgrade_identity::handshakes::{Handshakes, MOST};
+use hazelgrade_identity::certificate::{ClientCertificate, read_certificate};
+use hazelgrade_identity::handshake_limiter::{HandshakeLimiter, MAX_HANDSHAKES, StartedHandshake};
 use hazelgrade_net::ending::ConnectionEnd;
 use hazelgrade_net::wire::{Shared, Wire};
 use rustls::ServerConfig;
@@ -25,7 +24,7 @@
 
 pub struct Tls {
     config: RefCell<Option<Arc<ServerConfig>>>,
-    handshakes: RefCell<Handshakes>,
+    handshakes: RefCell<HandshakeLimiter>,
     /// By which a handshake is ended to make room.
     ends: RefCell<BTreeMap<u64, Sender<()>>>,
 }
@@ -35,7 +34,7 @@
         let within = Span::from_ms(WITHIN.as_secs_f64() * 1000.0);
         Tls {
             config: RefCell::default(),
-            handshakes: RefCell::new(Handshakes::new(MOST, within)),
+            handshakes: RefCell::new(HandshakeLimiter::new(MAX_HANDSHAKES, within)),
             ends: RefCell::default(),
         }
     }
@@ -48,7 +47,7 @@
     }
 
     pub fn ended(&self) -> u64 {
-        self.handshakes.borrow().ended
+        self.handshakes.borrow().ended_early()
     }
 
     /// Shakes hands, if TLS is on: what carries the connection then, and what the client's certificate says.
@@ -56,13 +55,13 @@
         &self,
         stream: Async<TcpStream>,
         now: Time,
-    ) -> Result<(Wire, Option<Rc<Certificate>>), ConnectionEnd> {
+    ) -> Result<(Wire, Option<Rc<ClientCertificate>>), ConnectionEnd> {
         let Some(config) = self.config.borrow().clone() else { return Ok((Wire::plain(stream), None)) };
         let _ = stream.get_ref().set_nodelay(true);
-        let (number, _, makes_room) = self.handshakes.borrow_mut().begin(now);
+        let StartedHandshake { id, evicted, .. } = self.handshakes.borrow_mut().begin(now);
         let (end, ended) = bounded(1);
-        self.ends.borrow_mut().insert(number, end);
-        if let Some(slowest) = makes_room.and_then(|slowest| self.ends.borrow_mut().remove(&slowest)) {
+        self.ends.borrow_mut().insert(id, end);
+        if let Some(slowest) = evicted.and_then(|slowest| self.ends.borrow_mut().remove(&slowest)) {
             // Full or closed: it is over already.
             let _ = slowest.try_send(());
         }
@@ -80,15 +79,15 @@
             Err(ConnectionEnd::Slow)
         };
         let shaken = or(shaking, or(late, room)).await;
-        self.handshakes.borrow_mut().over(number, shaken.is_ok());
-        self.ends.borrow_mut().remove(&number);
+        self.handshakes.borrow_mut().finish(id, shaken.is_ok());
+        self.ends.borrow_mut().remove(&id);
         let stream = shaken?;
         let chain = stream.get_ref().1.peer_certificates();
-        let certificate = match chain.and_then(<[_]>::first).map(|der| certificate::read(der)) {
+        let certificate = match chain.and_then(<[_]>::first).map(|der| read_certificate(der)) {
             None => None,
             Some(Ok(certificate)) => Some(Rc::new(certificate)),
             Some(Err(why)) => {
-                tracing::warn!(why, "a client's certificate can't be read");
+                tracing::warn!(why = why.to_string(), "a client's certificate can't be read");
                 return Err(ConnectionEnd::Unreadable);
             }
         };
--- a/crates/hazelgrade-server/tests/recorded/main.rs
+++ b/crates/hazelgrade-server/tests/recorded/main.rs
@@ -18,7 +18,7 @@
 use hazelgrade_fakes::service::Service;
 use hazelgrade_fakes::world::{World, callers_with};
 use hazelgrade_fakes::{comes_true, unix_ms};
-use hazelgrade_identity::issue::Signer;
+use hazelgrade_identity::signer::Signer;
 use hazelgrade_identity::token::Claims;
 use hazelgrade_stream::protocol::{Content, Refusal, Said};
 use recordings::{recording, restore, text};
@@ -98,7 +98,7 @@
     let pkcs8 = base64::engine::general_purpose::STANDARD
         .decode(text(&recording("keys.json"), "/k1"))
         .expect("a private key");
-    let signer = Signer::of_pkcs8(Zeroizing::new(pkcs8)).expect("a private key");
+    let signer = Signer::from_pkcs8(Zeroizing::new(pkcs8)).expect("a private key");
     let now = (unix_ms() / 1000) as f64;
     let (sub, aud) = ("front".into(), "agenda".into());
     let claims = Claims { sub, aud, iat: now, exp: now + 600.0, nbf: None, jti: Some("t2".into()) };
