--- a/crates/hazelgrade-server/tests/identity/main.rs
+++ b/crates/hazelgrade-server/tests/identity/main.rs
@@ -1,5 +1,5 @@
-//! Who asks, and whether it may, through real sockets: the operators' tool makes keys and tokens, a node goes by a file or by
-//! what a control service streams.
+//! Authentication and authorization of callers through real sockets: the operators' tool makes keys and tokens, a node goes by
+//! a file or by what a control service streams.
 
 mod tls;
 
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant};
 
 const SOON: Duration = Duration::from_secs(10);
-const CUT_OFF: Duration = Duration::from_secs(3);
+const DEADLINE: Duration = Duration::from_secs(3);
 const GRACE: Duration = Duration::from_millis(250);
 const QUICK: Work = Work { cores: 4, takes: Duration::from_millis(4), calls: false };
 
@@ -29,18 +29,18 @@
     [caller.desk]\nuse_cases = [\"read\", \"book\"]\ncustomers = [\"c0\"]\n";
 
 /// The operators' tool; what it prints.
-fn keys(words: &[&str], set: &Path, private: &Path) -> String {
+fn keys(arguments: &[&str], set: &Path, private: &Path) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hazelgrade"));
-    command.arg("keys").args(words).arg("--set").arg(set).arg("--private").arg(private);
+    command.arg("keys").args(arguments).arg("--set").arg(set).arg("--private").arg(private);
     let output = command.output().expect("it starts");
-    assert!(output.status.success(), "{words:?}: {}", String::from_utf8_lossy(&output.stderr));
+    assert!(output.status.success(), "{arguments:?}: {}", String::from_utf8_lossy(&output.stderr));
     String::from_utf8_lossy(&output.stdout).trim().to_owned()
 }
 
 struct Setting {
     world: World,
     control: SocketAddr,
-    _control: Child,
+    control_service: Child,
     documents: PathBuf,
     private: PathBuf,
 }
@@ -65,7 +65,7 @@
         command.args(["control", "--lineage", "test", "--log", "error", "--documents"]).arg(&documents);
         let child =
             command.args(["--listen", &control.to_string()]).stdin(Stdio::null()).spawn().expect("it starts");
-        Setting { world, control, _control: child, documents, private }
+        Setting { world, control, control_service: child, documents, private }
     }
 
     fn set(&self) -> PathBuf {
@@ -95,22 +95,22 @@
 
 impl Drop for Setting {
     fn drop(&mut self) {
-        let _ = self._control.kill();
-        let _ = self._control.wait();
+        let _ = self.control_service.kill();
+        let _ = self.control_service.wait();
     }
 }
 
 /// A connection, line by line.
-struct Peer(BufReader<TcpStream>);
+struct Connection(BufReader<TcpStream>);
 
-impl Peer {
-    fn of(node: &Node) -> Peer {
+impl Connection {
+    fn connect(node: &Node) -> Connection {
         let stream = TcpStream::connect(node.plan.listen).expect("it listens");
         stream.set_read_timeout(Some(SOON)).expect("a time-out");
-        Peer(BufReader::new(stream))
+        Connection(BufReader::new(stream))
     }
 
-    fn ask(&mut self, message: &Value) -> Value {
+    fn request(&mut self, message: &Value) -> Value {
         self.0.get_mut().write_all(format!("{message}\n").as_bytes()).expect("it takes bytes");
         let mut line = String::new();
         self.0.read_line(&mut line).expect("a line in time");
@@ -118,11 +118,11 @@
     }
 
     fn hello(&mut self, token: &str) -> Value {
-        self.ask(&json!({"jsonrpc": "2.0", "id": 1, "method": "hello", "params": {"token": token}}))
+        self.request(&json!({"jsonrpc": "2.0", "id": 1, "method": "hello", "params": {"token": token}}))
     }
 
     fn job(&mut self, call: u64, job_class: &str, owner: Option<&str>, token: Option<&str>) -> Value {
-        self.ask(&json!({"jsonrpc": "2.0", "id": call, "method": job_class, "params": {
+        self.request(&json!({"jsonrpc": "2.0", "id": call, "method": job_class, "params": {
             "req": format!("j{call:04}{:08x}", unix_ms() as u32), "ts": unix_ms(), "via": 1, "owner": owner,
             "need": 12.5, "level": 0.5, "body": "aGVsbG8=", "token": token}}))
     }
@@ -143,24 +143,36 @@
 }
 
 #[test]
-fn a_caller_asks_for_what_it_may_and_is_told_once_what_it_may_not() {
+fn a_caller_gets_the_jobs_that_it_may_request_and_one_denial_for_any_other() {
     let setting = Setting::new();
     let file = setting.set();
     let node = setting.node(&format!("[identity]\ndocument = {file:?}\n"));
-    let mut peer = Peer::of(&node);
-    assert_eq!(denied(&peer.job(2, "read", Some("c0"), None)), "no token or certificate names the caller");
+    let mut connection = Connection::connect(&node);
+    assert_eq!(
+        denied(&connection.job(2, "read", Some("c0"), None)),
+        "no token or certificate names the caller"
+    );
     // Once for a connection.
     let front = setting.token("front", "30");
-    assert_eq!(peer.hello(&front)["result"]["caller"], "front");
-    assert!(succeeded(&peer.job(3, "read", Some("c0"), None)));
-    assert!(succeeded(&peer.job(4, "read", None, None)), "its only customer needs no name");
-    assert_eq!(denied(&peer.job(5, "book", Some("c0"), None)), "the caller may not ask for this use case");
-    assert_eq!(denied(&peer.job(6, "read", Some("c1"), None)), "the caller may not ask for this customer");
+    assert_eq!(connection.hello(&front)["result"]["caller"], "front");
+    assert!(succeeded(&connection.job(3, "read", Some("c0"), None)));
+    assert!(succeeded(&connection.job(4, "read", None, None)), "its only tenant needs no name");
+    assert_eq!(
+        denied(&connection.job(5, "book", Some("c0"), None)),
+        "the caller may not ask for this use case"
+    );
+    assert_eq!(
+        denied(&connection.job(6, "read", Some("c1"), None)),
+        "the caller may not ask for this customer"
+    );
     // With a job: another caller on the same connection.
     let desk = setting.token("desk", "30");
-    assert!(succeeded(&peer.job(7, "book", Some("c0"), Some(&desk))));
-    assert_eq!(denied(&peer.job(8, "book", Some("c0"), None)), "the caller may not ask for this use case");
-    let mut other = Peer::of(&node);
+    assert!(succeeded(&connection.job(7, "book", Some("c0"), Some(&desk))));
+    assert_eq!(
+        denied(&connection.job(8, "book", Some("c0"), None)),
+        "the caller may not ask for this use case"
+    );
+    let mut other = Connection::connect(&node);
     let signature = desk.rfind('.').expect("three parts") + 1;
     let other_letter = if &desk[signature..=signature] == "A" { "B" } else { "A" };
     let bad = format!("{}{other_letter}{}", &desk[..signature], &desk[signature + 1..]);
@@ -169,42 +181,42 @@
     assert!(setting.world.executor.runs().len() == 3, "what was denied never ran");
 
     // From the file, on SIGHUP: the desk is revoked, on the connection that it has.
-    assert!(succeeded(&peer.job(9, "book", Some("c0"), Some(&desk))));
+    assert!(succeeded(&connection.job(9, "book", Some("c0"), Some(&desk))));
     setting.change(|text| text.replace("[caller.desk]\n", "[caller.desk]\nrevoked = true\n"));
     assert!(node.signal("HUP"));
     let mut call = 10;
     assert!(comes_true(SOON, || {
         call += 1;
-        !succeeded(&peer.job(call, "book", Some("c0"), Some(&desk)))
+        !succeeded(&connection.job(call, "book", Some("c0"), Some(&desk)))
     }));
-    assert_eq!(denied(&peer.job(900, "book", Some("c0"), Some(&desk))), "revoked");
-    assert!(succeeded(&peer.job(901, "read", Some("c0"), None)), "the front goes on");
+    assert_eq!(denied(&connection.job(900, "book", Some("c0"), Some(&desk))), "revoked");
+    assert!(succeeded(&connection.job(901, "read", Some("c0"), None)), "the front goes on");
     // A file that is wrong changes nothing.
     setting.change(|text| text.replace("audience", "audiences"));
     assert!(node.signal("HUP"));
-    assert!(succeeded(&peer.job(902, "read", Some("c0"), None)));
+    assert!(succeeded(&connection.job(902, "read", Some("c0"), None)));
 }
 
 #[test]
-fn a_token_that_expires_on_a_living_connection_lets_its_job_end_and_no_other_begin() {
+fn a_token_that_expires_on_an_open_connection_lets_its_job_end_and_no_other_begin() {
     let setting = Setting::new();
     let file = setting.set();
     setting.world.executor.change(Work { takes: Duration::from_millis(2500), ..QUICK });
     let patient = document(&[("read", 6000, 8000, 1)], 2, "").expect("it is right");
     std::fs::write(setting.documents.join(service::DOCUMENT), patient.to_toml()).expect("a file");
     let node = setting.node(&format!("[identity]\ndocument = {file:?}\n"));
-    let mut peer = Peer::of(&node);
+    let mut connection = Connection::connect(&node);
     let token = setting.token("front", "2");
-    assert_eq!(peer.hello(&token)["result"]["caller"], "front");
+    assert_eq!(connection.hello(&token)["result"]["caller"], "front");
     let began = Instant::now();
-    assert!(succeeded(&peer.job(2, "read", None, None)), "a job that was let in goes on");
+    assert!(succeeded(&connection.job(2, "read", None, None)), "a job that was admitted goes on");
     assert!(began.elapsed() > Duration::from_millis(2400));
-    assert_eq!(denied(&peer.job(3, "read", None, None)), "the token has expired");
+    assert_eq!(denied(&connection.job(3, "read", None, None)), "the token has expired");
 }
 
 #[test]
-fn keys_rotated_each_second_under_load_refuse_no_valid_job_and_a_revoked_caller_is_served_nothing_after_the_bound()
- {
+fn key_rotation_each_second_under_load_denies_no_valid_job_and_a_revoked_caller_gets_nothing_after_the_bound()
+{
     let setting = Setting::new();
     let node = setting.node("[identity]\nstreamed = true\ntrial_ms = 100\n");
     let (front, leaves): (Token, Token) = Default::default();
@@ -212,9 +224,14 @@
         |into: &Arc<Mutex<String>>, caller: &str| *into.lock().expect("a lock") = setting.token(caller, "5");
     sign(&front, "front");
     sign(&leaves, "desk");
-    let mut peer = Peer::of(&node);
+    let mut connection = Connection::connect(&node);
     let ready = comes_true(SOON, || {
-        succeeded(&peer.job(unix_ms() % 1_000_000, "read", Some("c0"), Some(&front.lock().expect("a lock"))))
+        succeeded(&connection.job(
+            unix_ms() % 1_000_000,
+            "read",
+            Some("c0"),
+            Some(&front.lock().expect("a lock")),
+        ))
     });
     assert!(ready, "the first set arrives");
     let load = callers_with(node.plan.listen, 100.0, &["read"], Some(front.clone()));
@@ -234,10 +251,10 @@
     }
     let revoked_for = Duration::from_millis(1000);
     let ((told, twice), (of_desk, _)) = (load.stop(), load_of_desk.stop());
-    let verdict = rules::check(&told, twice, &setting.world.executor.runs(), CUT_OFF, GRACE);
+    let verdict = rules::check(&told, twice, &setting.world.executor.runs(), DEADLINE, GRACE);
     assert!(verdict.kept() && verdict.count > 300, "{verdict}");
-    let refused: Vec<&Told> = told.iter().filter(|told| told.fate == Fate::Denied).collect();
-    assert!(refused.is_empty(), "a valid job was refused: {refused:?}");
+    let denials: Vec<&Told> = told.iter().filter(|told| told.fate == Fate::Denied).collect();
+    assert!(denials.is_empty(), "a valid job was denied: {denials:?}");
     // Of the desk, the last ones: all denied, and none of them ran.
     let last = of_desk.iter().map(|told| told.sent).max().expect("some");
     let late: Vec<&Told> =
@@ -250,7 +267,7 @@
 }
 
 #[test]
-fn a_flood_of_bad_tokens_is_turned_away_while_others_are_served() {
+fn a_flood_of_bad_tokens_is_denied_while_others_are_served() {
     let setting = Setting::new();
     let file = setting.set();
     let node = setting.node(&format!("[identity]\ndocument = {file:?}\n"));
@@ -280,9 +297,9 @@
         .collect();
     let sent: u64 = flood.into_iter().map(|thread| thread.join().expect("it ends")).sum();
     let (told, twice) = load.stop();
-    let verdict = rules::check(&told, twice, &setting.world.executor.runs(), CUT_OFF, GRACE);
+    let verdict = rules::check(&told, twice, &setting.world.executor.runs(), DEADLINE, GRACE);
     assert!(sent > 200, "{sent} is no flood");
     assert!(verdict.kept() && verdict.of(Fate::Succeeded) == verdict.count, "{sent} bad ones: {verdict}");
     let slowest = told.iter().map(|told| told.after).max().expect("some");
-    assert!(slowest < Duration::from_millis(1000), "{slowest:?}, within the goal time");
+    assert!(slowest < Duration::from_millis(1000), "{slowest:?}, within the latency objective");
 }
--- a/crates/hazelgrade-server/tests/identity/tls.rs
+++ b/crates/hazelgrade-server/tests/identity/tls.rs
@@ -127,21 +127,21 @@
     }
 }
 
-struct Secure(BufReader<StreamOwned<ClientConnection, TcpStream>>);
+struct SecureConnection(BufReader<StreamOwned<ClientConnection, TcpStream>>);
 
-impl Secure {
-    fn of(node: &Node, config: &Arc<ClientConfig>) -> Option<Secure> {
+impl SecureConnection {
+    fn connect(node: &Node, config: &Arc<ClientConfig>) -> Option<SecureConnection> {
         let stream = TcpStream::connect(node.plan.listen).ok()?;
         stream.set_read_timeout(Some(SOON)).ok()?;
         let name = ServerName::try_from("node.test").expect("a name");
         let client = ClientConnection::new(config.clone(), name).expect("a client");
-        let mut secure = Secure(BufReader::new(StreamOwned::new(client, stream)));
-        // Until the node has answered, its refusal of a certificate may still come.
-        secure.ask(&json!({"jsonrpc": "2.0", "id": 1, "method": "ping"}))?;
+        let mut secure = SecureConnection(BufReader::new(StreamOwned::new(client, stream)));
+        // Until the node has answered, it may still reject the certificate.
+        secure.request(&json!({"jsonrpc": "2.0", "id": 1, "method": "ping"}))?;
         Some(secure)
     }
 
-    fn ask(&mut self, message: &Value) -> Option<Value> {
+    fn request(&mut self, message: &Value) -> Option<Value> {
         self.0.get_mut().write_all(format!("{message}\n").as_bytes()).ok()?;
         let mut line = String::new();
         self.0.read_line(&mut line).ok()?;
@@ -149,7 +149,7 @@
     }
 
     fn job(&mut self, call: u64, job_class: &str, token: Option<&str>) -> Value {
-        let answer = self.ask(&json!({"jsonrpc": "2.0", "id": call, "method": job_class, "params": {
+        let answer = self.request(&json!({"jsonrpc": "2.0", "id": call, "method": job_class, "params": {
             "req": format!("t{call:04}{:08x}", unix_ms() as u32), "ts": unix_ms(), "via": 1,
             "need": 12.5, "level": 0.5, "body": "aGVsbG8=", "token": token}}));
         answer.expect("an answer")
@@ -167,8 +167,8 @@
     let plan = setting.world.plan("n1", program, &[], setting.control, &stream);
     let node = Plan { log: "error".into(), ..plan }.start().expect("it starts");
     let ready = || {
-        let up = Secure::of(&node, &files.client(None))
-            .and_then(|mut secure| secure.ask(&json!({"jsonrpc": "2.0", "id": 2, "method": "ping"})));
+        let up = SecureConnection::connect(&node, &files.client(None))
+            .and_then(|mut secure| secure.request(&json!({"jsonrpc": "2.0", "id": 2, "method": "ping"})));
         up.is_some_and(|up| up["result"]["up"] == true)
     };
     assert!(comes_true(SOON, ready), "it is ready in time");
@@ -176,19 +176,19 @@
 }
 
 #[test]
-fn a_certificate_names_its_caller_and_a_revoked_one_is_refused_on_old_connections_and_by_resumption() {
+fn a_certificate_names_its_caller_and_a_revoked_one_is_denied_on_open_connections_and_by_resumption() {
     let setting = Setting::new();
     let files = Files::new(&setting);
     let node = started(&setting, &files);
     let (front, other) = (files.client(Some((&files.clients, 7))), files.client(Some((&files.clients, 8))));
-    let mut old = Secure::of(&node, &front).expect("it connects");
+    let mut old = SecureConnection::connect(&node, &front).expect("it connects");
     assert!(succeeded(&old.job(2, "read", None)));
     assert_eq!(denied(&old.job(3, "book", None)), "the caller may not ask for this use case");
-    let mut again = Secure::of(&node, &front).expect("it connects");
+    let mut again = SecureConnection::connect(&node, &front).expect("it connects");
     assert!(again.resumed() && succeeded(&again.job(2, "read", None)), "a resumed session keeps its caller");
-    let mut stays = Secure::of(&node, &other).expect("it connects");
+    let mut stays = SecureConnection::connect(&node, &other).expect("it connects");
     // Without a certificate, by token.
-    let mut bare = Secure::of(&node, &files.client(None)).expect("it connects");
+    let mut bare = SecureConnection::connect(&node, &files.client(None)).expect("it connects");
     assert_eq!(denied(&bare.job(2, "read", None)), "no token or certificate names the caller");
     let desk = setting.token("desk", "30");
     assert!(succeeded(&bare.job(3, "book", Some(&desk))));
@@ -204,24 +204,24 @@
     assert_eq!(denied(&old.job(900, "read", None)), "revoked");
     assert_eq!(denied(&again.job(901, "read", None)), "revoked");
     for _ in 0..3 {
-        let served =
-            Secure::of(&node, &front).is_some_and(|mut secure| succeeded(&secure.job(2, "read", None)));
+        let served = SecureConnection::connect(&node, &front)
+            .is_some_and(|mut secure| succeeded(&secure.job(2, "read", None)));
         assert!(!served, "it keeps trying, by resumption too");
     }
     assert!(succeeded(&stays.job(2, "read", None)), "others go on");
 }
 
 #[test]
-fn an_authority_is_replaced_without_dropping_connections_and_files_that_are_wrong_change_nothing() {
+fn replacing_an_authority_drops_no_connection_and_wrong_files_change_nothing() {
     let setting = Setting::new();
     let files = Files::new(&setting);
     let node = started(&setting, &files);
     let before = files.client(Some((&files.clients, 7)));
-    let mut old = Secure::of(&node, &before).expect("it connects");
+    let mut old = SecureConnection::connect(&node, &before).expect("it connects");
     assert!(succeeded(&old.job(2, "read", None)));
     files.write("node.key", "no key");
     assert!(node.signal("HUP"));
-    assert!(succeeded(&Secure::of(&node, &before).expect("it connects").job(2, "read", None)));
+    assert!(succeeded(&SecureConnection::connect(&node, &before).expect("it connects").job(2, "read", None)));
     let next = Authority::new();
     let (certificate, key, _, _) = files.server.sign(None, 2);
     files.write("node.pem", &certificate);
@@ -231,11 +231,11 @@
     assert!(node.signal("HUP"));
     let after = files.client(Some((&next, 7)));
     assert!(
-        comes_true(SOON, || Secure::of(&node, &after).is_some()),
-        "the new authority's certificates are taken"
+        comes_true(SOON, || SecureConnection::connect(&node, &after).is_some()),
+        "the new authority's certificates are accepted"
     );
-    assert!(Secure::of(&node, &before).is_none(), "the old one's are not");
-    assert!(succeeded(&old.job(3, "read", None)), "a connection that stands goes on");
+    assert!(SecureConnection::connect(&node, &before).is_none(), "the old one's are not");
+    assert!(succeeded(&old.job(3, "read", None)), "an open connection goes on");
 }
 
 #[test]
@@ -254,7 +254,7 @@
         })
         .collect();
     assert!(half.len() > 250);
-    let mut secure = Secure::of(&node, &front).expect("it connects");
+    let mut secure = SecureConnection::connect(&node, &front).expect("it connects");
     assert!(succeeded(&secure.job(2, "read", None)));
     assert!(began.elapsed() < Duration::from_secs(2), "before the half ones are over");
     let closed = |stream: &TcpStream| {
