--- a/crates/hazelgrade-server/src/program/command/keys.rs
+++ b/crates/hazelgrade-server/src/program/command/keys.rs
@@ -6,7 +6,7 @@
 use base64::engine::general_purpose::STANDARD;
 use hazelgrade_config::document::DEFAULT_MAX_TOKEN_LIFETIME_S;
 use hazelgrade_config::{Document, Fields, Kind, error_summary};
-use hazelgrade_identity::issue::Signer;
+use hazelgrade_identity::signer::{PublicKey, Signer};
 use hazelgrade_identity::token::Claims;
 use pico_args::Arguments;
 use serde_json::{Value, json};
@@ -148,7 +148,7 @@
             nbf: None,
             jti: Some(format!("{caller}-{:x}", (issued_s * 1e6) as u64)),
         };
-        Ok(format!("{}\n", signer.sign(key.id, &claims)?))
+        Ok(format!("{}\n", signer.sign(key.id, &claims).map_err(|error| error.to_string())?))
     }
 
     fn private_folder(&self) -> Result<&Path, String> {
@@ -198,12 +198,12 @@
         signs_from_s: f64,
         max_token_lifetime_s: f64,
     ) -> Result<NewKey, String> {
-        let signer = Signer::new(&self.algorithm)?;
+        let signer = Signer::generate(&self.algorithm).map_err(|error| error.to_string())?;
         let id = unused_key_id(document);
         let folder = self.private_folder()?;
         std::fs::create_dir_all(folder).map_err(|error| format!("{}: {error}", folder.display()))?;
         write_private_key(&folder.join(format!("{id}.key")), &signer)?;
-        let (x, y) = signer.public();
+        let PublicKey { x, y } = signer.public_key();
         let mut table = Table::new();
         table["algorithm"] = value(signer.algorithm());
         table["x"] = value(x);
@@ -344,5 +344,5 @@
     let text = Zeroizing::new(text);
     let pkcs8 =
         STANDARD.decode(text.trim()).map_err(|_| format!("{}: not a key of this program", path.display()))?;
-    Signer::of_pkcs8(Zeroizing::new(pkcs8))
+    Signer::from_pkcs8(Zeroizing::new(pkcs8)).map_err(|error| error.to_string())
 }
--- a/crates/hazelgrade-server/src/program/documents.rs
+++ b/crates/hazelgrade-server/src/program/documents.rs
@@ -1,7 +1,7 @@
 //! Reads documents from files, with errors as text that names file, line and field.
 
 use hazelgrade_config::{Document, Kind, error_summary};
-use hazelgrade_identity::Identity;
+use hazelgrade_identity::AccessPolicy;
 use std::path::Path;
 
 /// Errors of one document that are shown.
@@ -14,7 +14,7 @@
     let document = Document::read_as(kind, &text, &file);
     let document = document.map_err(|errors| error_summary(&errors, MAX_ERRORS_SHOWN))?;
     if kind == Kind::Identity {
-        Identity::of(&document).map_err(|error| format!("{file}: {error}"))?;
+        AccessPolicy::from_document(&document).map_err(|error| format!("{file}: {error}"))?;
     }
     Ok(document)
 }
--- a/crates/hazelgrade-server/src/program/identity.rs
+++ b/crates/hazelgrade-server/src/program/identity.rs
@@ -11,7 +11,7 @@
 use hazelgrade::time::Time;
 use hazelgrade_config::operator::{IdentityConfig, StreamConfig};
 use hazelgrade_config::{Document, Kind};
-use hazelgrade_identity::Identity;
+use hazelgrade_identity::AccessPolicy;
 use hazelgrade_stream::client::Host;
 use hazelgrade_stream::stored;
 use hazelgrade_stream::trial::Sample;
@@ -26,9 +26,12 @@
 /// Makes the node go by an identity document. `is_rollback`: after a version that failed; what that one revoked stays
 /// revoked.
 fn apply(document: &Document, context: &RequestContext, is_rollback: bool) -> Result<(), String> {
-    let identity = Identity::of(document)?;
+    let identity = AccessPolicy::from_document(document).map_err(|error| error.to_string())?;
     let now = context.driver.clock.now();
-    context.callers.replace(identity, &context.site.borrow(), now, is_rollback).map_err(str::to_owned)
+    context
+        .callers
+        .replace(identity, &context.site.borrow(), now, is_rollback)
+        .map_err(|error| error.to_string())
 }
 
 /// Reads the identity document again, on SIGHUP; one that is wrong changes nothing.
--- a/crates/hazelgrade-server/src/program/serving_document/host.rs
+++ b/crates/hazelgrade-server/src/program/serving_document/host.rs
@@ -90,7 +90,7 @@
             tenants: tenant_names(&tenants.table),
             ..(*before).clone()
         }));
-        parts.callers.site_changed(&parts.site.borrow());
+        parts.callers.settings_changed(&parts.site.borrow());
         self.job_classes.replace(job_classes.table);
         self.tenants.replace(tenants.table);
         parts.driver.set_ready(document.is_some());
--- a/crates/hazelgrade-server/src/program/tls.rs
+++ b/crates/hazelgrade-server/src/program/tls.rs
@@ -95,10 +95,10 @@
         .and_then(Iterator::collect::<Result<Vec<_>, _>>)
         .map_err(|error| list_error(&error))?;
     for list in &lists {
-        let (serials, next_update_s) = certificate::read_revoked(list).map_err(|error| list_error(&error))?;
-        revoked_serials.extend(serials);
+        let list = certificate::read_revocation_list(list).map_err(|error| list_error(&error))?;
+        revoked_serials.extend(list.serials);
         let now_s = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs() as i64);
-        if next_update_s.is_some_and(|next_update_s| next_update_s < now_s) {
+        if list.next_update_s.is_some_and(|next_update_s| next_update_s < now_s) {
             // It still says who was revoked; without it revoked clients would be accepted, or all rejected.
             tracing::warn!(path = %path.display(), "the list of revoked certificates is past its next update");
         }
--- a/crates/hazelgrade-server/src/protocol/jsonrpc/request.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc/request.rs
@@ -4,7 +4,7 @@
 use crate::protocol::{Body, is_body};
 use hazelgrade::api::{Idempotency, Job, JobId};
 use hazelgrade::time::Time;
-use hazelgrade_identity::token::LONGEST_TOKEN;
+use hazelgrade_identity::token::MAX_TOKEN_BYTES;
 use hazelgrade_settings::HostSettings;
 use serde_json::{Map, Value};
 
@@ -125,8 +125,8 @@
     fn token(&mut self) -> Result<Option<String>, InvalidField> {
         match self.0.remove("token") {
             None | Some(Value::Null) => Ok(None),
-            Some(Value::String(token)) if (1..=LONGEST_TOKEN).contains(&token.len()) => Ok(Some(token)),
-            Some(_) => Err(InvalidField::new("token", format!("a token of {LONGEST_TOKEN} bytes at most"))),
+            Some(Value::String(token)) if (1..=MAX_TOKEN_BYTES).contains(&token.len()) => Ok(Some(token)),
+            Some(_) => Err(InvalidField::new("token", format!("a token of {MAX_TOKEN_BYTES} bytes at most"))),
         }
     }
 }
@@ -138,8 +138,8 @@
     params: Params,
 }
 
-/// Decodes a line. `site` gives the job classes and tenants that a job may name.
-pub fn decode(line: &[u8], site: &HostSettings) -> Result<ClientMessage, RequestError> {
+/// Decodes a line. `settings` gives the job classes and tenants that a job may name.
+pub fn decode(line: &[u8], settings: &HostSettings) -> Result<ClientMessage, RequestError> {
     let Request { call_id, method, mut params } = decode_request(line)?;
     if method == "abort" {
         return Ok(decode_abort(call_id, &mut params));
@@ -152,13 +152,13 @@
     if method == "ping" {
         return Ok(ClientMessage::HealthCheck { call_id });
     }
-    if method == "hello" && site.authenticates_callers {
+    if method == "hello" && settings.authenticates_callers {
         let token = params.token().map_err(invalid_param)?;
         let token = token.ok_or_else(|| invalid_param(InvalidField::new("token", "a token")))?;
         return Ok(ClientMessage::Hello { call_id, token });
     }
-    let job_class = find_job_class(call_id, &method, site)?;
-    let request = decode_job(call_id, job_class, &mut params, site).map_err(invalid_param)?;
+    let job_class = find_job_class(call_id, &method, settings)?;
+    let request = decode_job(call_id, job_class, &mut params, settings).map_err(invalid_param)?;
     Ok(ClientMessage::Job(Box::new(request)))
 }
 
@@ -198,11 +198,11 @@
 
 /// The index of the job class that a method names. One that is out of use here, or any while this instance has
 /// nothing to serve, may be served by others.
-fn find_job_class(call_id: u64, method: &str, site: &HostSettings) -> Result<usize, RequestError> {
-    match site.job_class(method) {
+fn find_job_class(call_id: u64, method: &str, settings: &HostSettings) -> Result<usize, RequestError> {
+    match settings.job_class(method) {
         Some((job_class, true)) => Ok(job_class),
         known => {
-            let not_served = known.is_some() || !site.serves();
+            let not_served = known.is_some() || !settings.serves();
             let error = RequestError::new(Some(call_id), Reason::UnknownMethod);
             Err(RequestError { not_served, ..error })
         }
@@ -214,21 +214,21 @@
     call_id: u64,
     job_class: usize,
     params: &mut Params,
-    site: &HostSettings,
+    settings: &HostSettings,
 ) -> Result<JobRequest, InvalidField> {
     let id = params.job_id()?;
     let received_at = params.number("ts", |ts| ts > 0.0 && ts < 1e15, "Unix milliseconds")?;
     params.number("via", |via| via >= 0.0 && via.fract() == 0.0, "a whole number")?;
     let tenant_name = params.optional_text("owner", "a customer of this site")?;
     let names_tenant = tenant_name.is_some();
-    let tenant = find_tenant(tenant_name.as_deref(), site)?;
+    let tenant = find_tenant(tenant_name.as_deref(), settings)?;
     let is_retry = params.is_retry()?;
     let queued_kb =
         params.number("need", |kb| kb > 0.0 && kb < 2000.0, "kilobytes, above 0 and under 2000")?;
     let priority_rank = params.number("level", |rank| (0.0..1.0).contains(&rank), "from 0 to under 1")?;
-    let idempotency_key = params.idempotency_key(site.job_classes[job_class].idempotency)?;
+    let idempotency_key = params.idempotency_key(settings.job_classes[job_class].idempotency)?;
     let body = params.body()?;
-    let token = if site.authenticates_callers { params.token()? } else { None };
+    let token = if settings.authenticates_callers { params.token()? } else { None };
     let job = Job {
         id: id.into(),
         job_class,
@@ -248,12 +248,13 @@
 }
 
 /// The index of a tenant. No name is needed where there are no named tenants, or where the caller tells the tenant.
-fn find_tenant(name: Option<&str>, site: &HostSettings) -> Result<usize, InvalidField> {
-    let named = name.and_then(|name| site.tenants.iter().position(|tenant| tenant.as_deref() == Some(name)));
+fn find_tenant(name: Option<&str>, settings: &HostSettings) -> Result<usize, InvalidField> {
+    let named =
+        name.and_then(|name| settings.tenants.iter().position(|tenant| tenant.as_deref() == Some(name)));
     match named {
         Some(tenant) => Ok(tenant),
-        None if site.tenants.iter().all(Option::is_none) => Ok(0),
-        None if name.is_none() && site.authenticates_callers => Ok(0),
+        None if settings.tenants.iter().all(Option::is_none) => Ok(0),
+        None if name.is_none() && settings.authenticates_callers => Ok(0),
         None => Err(InvalidField::new("owner", "a customer of this site")),
     }
 }
--- a/crates/hazelgrade-server/src/routing/callers.rs
+++ b/crates/hazelgrade-server/src/routing/callers.rs
@@ -2,8 +2,8 @@
 
 use crate::protocol::jsonrpc::JobRequest;
 use hazelgrade::time::Time;
-use hazelgrade_identity::desk::{Desk, Known};
-use hazelgrade_identity::{Identity, Refused};
+use hazelgrade_identity::policy::NoValidKey;
+use hazelgrade_identity::{AccessPolicy, Authenticator, Authorization, Credentials, DenyReason};
 use hazelgrade_settings::HostSettings;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,14 +14,14 @@
     /// The address that the connection comes from.
     pub address: IpAddr,
     /// What the connection is identified by.
-    pub known: RefCell<Known>,
+    pub credentials: RefCell<Credentials>,
 }
 
 /// Callers and their rights; off at first, and then every request is allowed.
 #[derive(Default)]
 pub struct Callers {
     enabled: Cell<bool>,
-    desk: RefCell<Option<Desk>>,
+    authenticator: RefCell<Option<Authenticator>>,
     /// Serial numbers of the certificates on the operators' list of revoked ones.
     revoked_certificates: RefCell<BTreeSet<String>>,
 }
@@ -37,25 +37,23 @@
         self.enabled.get()
     }
 
-    /// Replaces keys, callers and rights from the next job on. With `is_rollback`, `identity` is the set before one
-    /// that failed; what the failed one revoked stays revoked. The error says why the set can't be used.
+    /// Replaces keys, callers and rights from the next job on. With `is_rollback`, `policy` is the one before one
+    /// that failed; what the failed one revoked stays revoked. An error says that no key is valid now, and changes nothing.
     pub fn replace(
         &self,
-        mut identity: Identity,
-        site: &HostSettings,
+        mut policy: AccessPolicy,
+        settings: &HostSettings,
         now: Time,
         is_rollback: bool,
-    ) -> Result<(), &'static str> {
-        let indexes = NameIndexes::new(site);
-        identity.compile(&indexes.job_classes, &indexes.tenants);
-        let mut desk = self.desk.borrow_mut();
-        match &mut *desk {
-            Some(desk) if is_rollback => desk.go_back(identity, now),
-            Some(desk) => desk.replace(identity, now),
+    ) -> Result<(), NoValidKey> {
+        let indexes = NameIndexes::new(settings);
+        policy.compile(&indexes.job_classes, &indexes.tenants);
+        let mut authenticator = self.authenticator.borrow_mut();
+        match &mut *authenticator {
+            Some(authenticator) if is_rollback => authenticator.roll_back_policy(policy, now),
+            Some(authenticator) => authenticator.replace_policy(policy, now),
             None => {
-                let new = Desk::new(identity, now)
-                    .ok_or("no key of the set is valid now: nobody could be let in")?;
-                *desk = Some(new);
+                *authenticator = Some(Authenticator::new(policy, now)?);
                 Ok(())
             }
         }
@@ -63,7 +61,7 @@
 
     /// Removes the key set: nobody has any right.
     pub fn clear(&self) {
-        self.desk.replace(None);
+        self.authenticator.replace(None);
     }
 
     /// Replaces the serial numbers of revoked certificates, for established connections too.
@@ -72,73 +70,82 @@
     }
 
     /// The job classes and tenants of the site have changed.
-    pub fn site_changed(&self, site: &HostSettings) {
-        if let Some(desk) = &mut *self.desk.borrow_mut() {
-            let indexes = NameIndexes::new(site);
-            desk.compile(&indexes.job_classes, &indexes.tenants);
+    pub fn settings_changed(&self, settings: &HostSettings) {
+        if let Some(authenticator) = &mut *self.authenticator.borrow_mut() {
+            let indexes = NameIndexes::new(settings);
+            authenticator.compile(&indexes.job_classes, &indexes.tenants);
         }
     }
 
     /// Identifies the caller of a connection by a token, and gives its name.
-    pub fn authenticate(&self, now: Time, caller: &Caller, token: &str) -> Result<String, Refused> {
-        let mut desk = self.desk.borrow_mut();
-        let desk = desk.as_mut().ok_or(Refused::UnknownKey)?;
-        match desk.token(now, token, caller.address) {
+    pub fn authenticate(&self, now: Time, caller: &Caller, token: &str) -> Result<String, DenyReason> {
+        let mut authenticator = self.authenticator.borrow_mut();
+        let authenticator = authenticator.as_mut().ok_or(DenyReason::UnknownKey)?;
+        match authenticator.verify_token(now, token, caller.address) {
             Ok(verified) => {
                 let name = verified.caller.clone();
-                caller.known.borrow_mut().token = Some(verified);
+                caller.credentials.borrow_mut().token = Some(verified);
                 Ok(name)
             }
-            Err(refused) => {
-                desk.refused(now, &caller.known.borrow(), refused);
-                Err(refused)
+            Err(reason) => {
+                authenticator.record_denial(now, &caller.credentials.borrow(), reason);
+                Err(reason)
             }
         }
     }
 
     /// Decides whether a caller may ask for a job. Fills in the tenant where the request doesn't name one, and
     /// whether the caller is over its rate limit.
-    pub fn authorize(&self, now: Time, caller: &Caller, request: &mut JobRequest) -> Result<(), Refused> {
+    pub fn authorize(&self, now: Time, caller: &Caller, request: &mut JobRequest) -> Result<(), DenyReason> {
         if !self.enabled.get() {
             return Ok(());
         }
-        let mut desk = self.desk.borrow_mut();
-        let desk = desk.as_mut().ok_or(Refused::UnknownKey)?;
+        let mut authenticator = self.authenticator.borrow_mut();
+        let authenticator = authenticator.as_mut().ok_or(DenyReason::UnknownKey)?;
         let tenant = request.names_tenant.then_some(request.job.tenant);
-        let token = request.token.take().map(|token| desk.token(now, &token, caller.address)).transpose();
-        let known = caller.known.borrow();
+        let token = request
+            .token
+            .take()
+            .map(|token| authenticator.verify_token(now, &token, caller.address))
+            .transpose();
+        let credentials = caller.credentials.borrow();
         let decision = token.and_then(|token| {
-            if self.has_revoked_certificate(&known) {
-                return Err(Refused::Revoked);
+            if self.has_revoked_certificate(&credentials) {
+                return Err(DenyReason::Revoked);
             }
-            let by_token = token.map(|token| Known { token: Some(token), certificate: None });
-            let by = by_token.as_ref().unwrap_or(&known);
-            desk.asks(now, by, request.job.job_class, tenant, caller.address)
+            let by_token = token.map(|token| Credentials { token: Some(token), certificate: None });
+            let by = by_token.as_ref().unwrap_or(&credentials);
+            authenticator.authorize_and_count(now, by, request.job.job_class, tenant, caller.address)
         });
         match decision {
-            Ok((tenant, over_limit)) => {
+            Ok(Authorization { tenant, over_limit }) => {
                 request.job.tenant = tenant;
                 request.job.over_caller_limit = over_limit;
                 Ok(())
             }
-            Err(refused) => {
-                desk.refused(now, &known, refused);
-                Err(refused)
+            Err(reason) => {
+                authenticator.record_denial(now, &credentials, reason);
+                Err(reason)
             }
         }
     }
 
-    fn has_revoked_certificate(&self, known: &Known) -> bool {
+    fn has_revoked_certificate(&self, credentials: &Credentials) -> bool {
         let revoked = self.revoked_certificates.borrow();
-        known.certificate.as_ref().is_some_and(|certificate| revoked.contains(&certificate.serial))
+        credentials.certificate.as_ref().is_some_and(|certificate| revoked.contains(&certificate.serial))
     }
 
     /// Logs the refusals that are due.
     pub fn audit(&self, now: Time) {
-        let lines = self.desk.borrow_mut().as_mut().map(|desk| desk.audit(now)).unwrap_or_default();
+        let lines = self
+            .authenticator
+            .borrow_mut()
+            .as_mut()
+            .map(|authenticator| authenticator.take_due_audit_records(now))
+            .unwrap_or_default();
         for line in lines {
             let caller = line.caller.as_deref().unwrap_or("-");
-            tracing::warn!(caller, reason = line.refused.reason(), count = line.count, "caller refused");
+            tracing::warn!(caller, reason = line.reason.message(), count = line.count, "caller refused");
         }
     }
 }
@@ -150,9 +157,9 @@
 }
 
 impl NameIndexes<'_> {
-    fn new(site: &HostSettings) -> NameIndexes<'_> {
-        let job_classes = site.job_classes.iter().enumerate().filter(|(_, job_class)| job_class.in_use);
-        let tenants = site.tenants.iter().enumerate();
+    fn new(settings: &HostSettings) -> NameIndexes<'_> {
+        let job_classes = settings.job_classes.iter().enumerate().filter(|(_, job_class)| job_class.in_use);
+        let tenants = settings.tenants.iter().enumerate();
         NameIndexes {
             job_classes: job_classes.map(|(index, job_class)| (job_class.name.as_str(), index)).collect(),
             tenants: tenants.filter_map(|(index, name)| Some((name.as_deref()?, index))).collect(),
--- a/crates/hazelgrade-server/src/routing/front_end.rs
+++ b/crates/hazelgrade-server/src/routing/front_end.rs
@@ -12,8 +12,8 @@
 use async_io::Async;
 use hazelgrade::api::{Idempotency, JobId};
 use hazelgrade::time::{Span, Time};
-use hazelgrade_identity::Refused;
-use hazelgrade_identity::desk::Known;
+use hazelgrade_identity::DenyReason;
+use hazelgrade_identity::authenticator::Credentials;
 use hazelgrade_net::connection_end::ConnectionEnd;
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, Ipv4Addr, TcpStream};
@@ -56,8 +56,8 @@
                 return tracing::debug!(?end, "handshake failed");
             }
         };
-        let known = Known { token: None, certificate: accepted.certificate };
-        let caller = Caller { address, known: RefCell::new(known) };
+        let known = Credentials { token: None, certificate: accepted.certificate };
+        let caller = Caller { address, credentials: RefCell::new(known) };
         let on_line = async |connection: &Rc<ClientConnection<JobId>>, line: &[u8]| {
             self.handle_line(connection, &caller, line).await;
         };
@@ -72,8 +72,8 @@
     }
 
     async fn handle_line(&self, connection: &Rc<ClientConnection<JobId>>, caller: &Caller, line: &[u8]) {
-        let site = self.context.site.borrow().clone();
-        match jsonrpc::decode(line, &site) {
+        let settings = self.context.settings.borrow().clone();
+        match jsonrpc::decode(line, &settings) {
             Ok(ClientMessage::Job(request)) => self.handle_job(connection, caller, *request).await,
             Ok(ClientMessage::Abort { call_id, job_id }) => self.handle_abort(connection, call_id, job_id),
             Ok(ClientMessage::Hello { call_id, token }) => {
@@ -117,7 +117,7 @@
         if authenticated.is_err() {
             connection.count_violation();
         }
-        let name = authenticated.as_deref().map_err(|refused| refused.reason());
+        let name = authenticated.as_deref().map_err(|refused| refused.message());
         connection.send(&jsonrpc::encode_hello(call_id, name));
     }
 
@@ -144,11 +144,11 @@
     }
 
     /// Answers a call that its caller has no right to make: it did not run, and would run nowhere.
-    fn deny(&self, connection: &ClientConnection<JobId>, call_id: u64, refused: Refused) {
+    fn deny(&self, connection: &ClientConnection<JobId>, call_id: u64, refused: DenyReason) {
         let mut counters = self.context.counters.borrow_mut();
         counters.denied += 1;
-        counters.unverified += u64::from(refused.is_of_keys());
-        self.answer(connection, call_id, &Answer::Denied(refused.reason()));
+        counters.unverified += u64::from(refused.suggests_wrong_policy());
+        self.answer(connection, call_id, &Answer::Denied(refused.message()));
         // The connection is read more slowly, like one whose jobs are rejected and never run.
         connection.count_rejection();
     }
@@ -176,8 +176,8 @@
         }
         let received_at = context.driver.clock.to_monotonic(request.job.received_at);
         let (deadline, is_keyed) = {
-            let site = context.site.borrow();
-            let job_class = &site.job_classes[request.job.job_class];
+            let settings = context.settings.borrow();
+            let job_class = &settings.job_classes[request.job.job_class];
             (job_class.deadline, job_class.idempotency != Idempotency::Idempotent)
         };
         if !self.check_age(connection, &request, received_at, deadline) {
@@ -232,8 +232,8 @@
     /// Takes a job's tokens from the budgets that all nodes share, where they are on.
     fn take_tokens(&self, request: &mut JobRequest) {
         if let Some(share) = self.context.driver.budget_share() {
-            let site = self.context.site.borrow();
-            let tenant = site.tenants.get(request.job.tenant).and_then(Option::as_deref);
+            let settings = self.context.settings.borrow();
+            let tenant = settings.tenants.get(request.job.tenant).and_then(Option::as_deref);
             request.job.lease_retry_after = share.take_tokens(&request.job, tenant);
         }
     }
--- a/crates/hazelgrade-server/src/routing/job.rs
+++ b/crates/hazelgrade-server/src/routing/job.rs
@@ -97,7 +97,7 @@
 /// Admits a job to the controller and handles its events until it is over.
 pub async fn serve(request: JobRequest, events: Receiver<JobEvent>, context: Rc<RequestContext>) {
     let JobRequest { job, body, .. } = request;
-    let job_class = context.site.borrow().job_classes[job.job_class].name.clone();
+    let job_class = context.settings.borrow().job_classes[job.job_class].name.clone();
     let task = JobTask { id: job.id.clone(), job_class, body, retry_of: job.retry_of.clone(), context };
     task.arrived(job);
     let mut phase = Phase::Queued;
--- a/crates/hazelgrade-server/src/transport/tls.rs
+++ b/crates/hazelgrade-server/src/transport/tls.rs
@@ -8,9 +8,10 @@
 use futures_rustls::TlsAcceptor;
 use futures_rustls::server::TlsStream;
 use hazelgrade::time::{Span, Time};
-use hazelgrade_identity::certificate;
-use hazelgrade_identity::desk::Certificate;
-use hazelgrade_identity::handshakes::{Handshakes, MOST};
+use hazelgrade_identity::certificate::{self, ClientCertificate};
+use hazelgrade_identity::handshake_limiter::{
+    HandshakeId, HandshakeLimiter, MAX_HANDSHAKES, StartedHandshake,
+};
 use hazelgrade_net::connection_end::ConnectionEnd;
 use hazelgrade_net::stream::{SharedSocket, SplitStream};
 use rustls::ServerConfig;
@@ -29,15 +30,15 @@
     /// What is read and written, encrypted where TLS is on.
     pub stream: SplitStream,
     /// The client's certificate, if it has sent one.
-    pub certificate: Option<Rc<Certificate>>,
+    pub certificate: Option<Rc<ClientCertificate>>,
 }
 
 /// The TLS configuration and the handshakes in progress.
 pub struct Tls {
     config: RefCell<Option<Arc<ServerConfig>>>,
-    handshakes: RefCell<Handshakes>,
+    handshakes: RefCell<HandshakeLimiter>,
     /// What ends each handshake, to make room for others.
-    aborts: RefCell<BTreeMap<u64, Sender<()>>>,
+    aborts: RefCell<BTreeMap<HandshakeId, Sender<()>>>,
 }
 
 impl Default for Tls {
@@ -45,7 +46,7 @@
         let timeout = Span::from_ms(HANDSHAKE_TIMEOUT.as_secs_f64() * 1000.0);
         Tls {
             config: RefCell::default(),
-            handshakes: RefCell::new(Handshakes::new(MOST, timeout)),
+            handshakes: RefCell::new(HandshakeLimiter::new(MAX_HANDSHAKES, timeout)),
             aborts: RefCell::default(),
         }
     }
@@ -60,7 +61,7 @@
 
     /// Handshakes that failed or were ended, since the start.
     pub fn failed_handshakes(&self) -> u64 {
-        self.handshakes.borrow().ended
+        self.handshakes.borrow().ended_early()
     }
 
     /// Performs the handshake, if TLS is on.
@@ -86,28 +87,28 @@
     /// Adds a handshake; with too many in progress the slowest is ended. What it gives second
     /// is notified when this one is to end.
     fn begin_handshake(&self, now: Time) -> (HandshakeGuard<'_>, Receiver<()>) {
-        let (number, _, makes_room) = self.handshakes.borrow_mut().begin(now);
+        let StartedHandshake { id, evicted, .. } = self.handshakes.borrow_mut().begin(now);
         let (abort, aborted) = bounded(1);
-        self.aborts.borrow_mut().insert(number, abort);
-        if let Some(slowest) = makes_room.and_then(|slowest| self.aborts.borrow_mut().remove(&slowest)) {
+        self.aborts.borrow_mut().insert(id, abort);
+        if let Some(slowest) = evicted.and_then(|slowest| self.aborts.borrow_mut().remove(&slowest)) {
             // Full or closed means that it is over already.
             let _ = slowest.try_send(());
         }
-        (HandshakeGuard { tls: self, number, succeeded: false }, aborted)
+        (HandshakeGuard { tls: self, id, succeeded: false }, aborted)
     }
 }
 
 /// A handshake in progress; it is over when this is dropped.
 struct HandshakeGuard<'a> {
     tls: &'a Tls,
-    number: u64,
+    id: HandshakeId,
     succeeded: bool,
 }
 
 impl Drop for HandshakeGuard<'_> {
     fn drop(&mut self) {
-        self.tls.handshakes.borrow_mut().over(self.number, self.succeeded);
-        self.tls.aborts.borrow_mut().remove(&self.number);
+        self.tls.handshakes.borrow_mut().finish(self.id, self.succeeded);
+        self.tls.aborts.borrow_mut().remove(&self.id);
     }
 }
 
@@ -131,10 +132,12 @@
     or(handshake, or(timeout, aborted)).await
 }
 
-fn read_certificate(stream: &TlsStream<SharedSocket>) -> Result<Option<Rc<Certificate>>, ConnectionEnd> {
+fn read_certificate(
+    stream: &TlsStream<SharedSocket>,
+) -> Result<Option<Rc<ClientCertificate>>, ConnectionEnd> {
     let chain = stream.get_ref().1.peer_certificates();
     let Some(der) = chain.and_then(<[_]>::first) else { return Ok(None) };
-    match certificate::read(der) {
+    match certificate::read_certificate(der) {
         Ok(certificate) => Ok(Some(Rc::new(certificate))),
         Err(error) => {
             tracing::warn!(%error, "malformed client certificate");
