--- a/crates/hazelgrade-server/src/program/budgets.rs
+++ b/crates/hazelgrade-server/src/program/budgets.rs
@@ -74,7 +74,7 @@
         &config.standalone,
         MultiplyWithCarry::new(incarnation),
     );
-    let linger = context.site.borrow().linger;
+    let linger = context.settings.borrow().linger;
     BudgetShare::new(holder, config.call_budget.clone(), linger, clock_rate)
 }
 
--- a/crates/hazelgrade-server/src/program/identity.rs
+++ b/crates/hazelgrade-server/src/program/identity.rs
@@ -30,7 +30,7 @@
     let now = context.driver.clock.now();
     context
         .callers
-        .replace(identity, &context.site.borrow(), now, is_rollback)
+        .replace(identity, &context.settings.borrow(), now, is_rollback)
         .map_err(|error| error.to_string())
 }
 
@@ -66,9 +66,9 @@
     context: &Rc<RequestContext>,
 ) -> Result<Option<IdentitySubscription>, String> {
     context.callers.enable();
-    let mut host_settings = (**context.site.borrow()).clone();
+    let mut host_settings = (**context.settings.borrow()).clone();
     host_settings.authenticates_callers = true;
-    context.site.replace(Rc::new(host_settings));
+    context.settings.replace(Rc::new(host_settings));
     let document =
         config.document.as_deref().map(|path| documents::read(Kind::Identity, path)).transpose()?;
     let Some((stream, initial)) = stream.zip(initial).filter(|_| config.streamed) else {
--- a/crates/hazelgrade-server/src/program/serve.rs
+++ b/crates/hazelgrade-server/src/program/serve.rs
@@ -132,7 +132,7 @@
     /// Heartbeats, the summary in the log, and the watch over silent clients.
     fn start_reports(&self) {
         let Services { rounds, registry, front, is_draining, .. } = &self.services;
-        let readiness_follows_health = self.services.parts.site.borrow().readiness_follows_health;
+        let readiness_follows_health = self.services.parts.settings.borrow().readiness_follows_health;
         let heartbeat = reports::Heartbeat {
             registry: registry.clone(),
             node: self.deployment.name.clone(),
@@ -211,7 +211,7 @@
             log_level: log_level.handle,
             default_log_level: log_level.default,
             default_limits,
-            calls_dependency: parts.site.borrow().calls_dependency,
+            calls_dependency: parts.settings.borrow().calls_dependency,
         };
         let (started, host) = initial.start(stream, &self.deployment, context);
         started.follow(host, stream, tasks, self.drain_notices.serving.clone());
--- a/crates/hazelgrade-server/src/program/serve/services.rs
+++ b/crates/hazelgrade-server/src/program/serve/services.rs
@@ -77,7 +77,7 @@
             result_cache,
             dependency_calls: calls,
             executor: link,
-            site: RefCell::new(Rc::new(host_settings)),
+            settings: RefCell::new(Rc::new(host_settings)),
             counters: RefCell::new(Counters::default()),
             callers: Callers::default(),
         });
@@ -94,7 +94,8 @@
 
     /// What turns messages of the executor into events of jobs.
     pub fn notices(&self) -> ExecutorEvents {
-        let RequestContext { driver: rounds, in_flight: hand, executor: link, site, .. } = &*self.parts;
+        let RequestContext { driver: rounds, in_flight: hand, executor: link, settings: site, .. } =
+            &*self.parts;
         ExecutorEvents::new(rounds.clone(), hand.clone(), link.clone(), &site.borrow().gauge_names)
     }
 
--- a/crates/hazelgrade-server/src/program/serving_document/host.rs
+++ b/crates/hazelgrade-server/src/program/serving_document/host.rs
@@ -84,13 +84,13 @@
         if !parts.driver.update_settings(settings_update(settings.limits, &job_classes, &tenants)) {
             return Err("a place was taken away that jobs in hand may name".into());
         }
-        let before = parts.site.borrow().clone();
-        parts.site.replace(Rc::new(HostSettings {
+        let before = parts.settings.borrow().clone();
+        parts.settings.replace(Rc::new(HostSettings {
             job_classes: job_class_entries(&job_classes.table),
             tenants: tenant_names(&tenants.table),
             ..(*before).clone()
         }));
-        parts.callers.settings_changed(&parts.site.borrow());
+        parts.callers.settings_changed(&parts.settings.borrow());
         self.job_classes.replace(job_classes.table);
         self.tenants.replace(tenants.table);
         parts.driver.set_ready(document.is_some());
--- a/crates/hazelgrade-server/src/routing/context.rs
+++ b/crates/hazelgrade-server/src/routing/context.rs
@@ -27,7 +27,7 @@
     /// The link to the executor.
     pub executor: Rc<ExecutorLink>,
     /// The settings that requests are read by from now on; a job that has arrived keeps those it was read by.
-    pub site: RefCell<Rc<HostSettings>>,
+    pub settings: RefCell<Rc<HostSettings>>,
     /// What has become of the jobs.
     pub counters: RefCell<Counters>,
     /// Who may ask for what.
