--- a/crates/hazelgrade-budget/tests/histories.rs
+++ b/crates/hazelgrade-budget/tests/histories.rs
@@ -1,6 +1,8 @@
 //! Hundreds of seeded histories of the real state machines in simulated time, with all kinds of faults, against a
 //! plain count of what is in use at each instant.
 
+#![allow(clippy::too_many_lines)]
+
 use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade_fakes::fleet::{Fault, Fleet, FleetConfig, RestartStore};
 
--- a/crates/hazelgrade-budget/tests/ownership.rs
+++ b/crates/hazelgrade-budget/tests/ownership.rs
@@ -1,5 +1,7 @@
 //! What sites own, and how it moves between them.
 
+#![allow(clippy::too_many_lines)]
+
 use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
 use hazelgrade_budget::ownership::{Action, Ownership};
--- a/crates/hazelgrade-budget/tests/recorded_messages.rs
+++ b/crates/hazelgrade-budget/tests/recorded_messages.rs
@@ -1,5 +1,7 @@
 //! The recorded form of every message and every stored record: names, order of fields and numbers stay byte for byte.
 
+#![allow(clippy::expect_used)]
+
 use hazelgrade_budget::lessor::{BudgetReport, LeaseReport};
 use hazelgrade_budget::protocol::{
     GrantLine, KnownLessor, LeaseGrant, LeaseRequest, OperatorCommand, RequestLine, SiteReport,
--- a/crates/hazelgrade-config/tests/documents.rs
+++ b/crates/hazelgrade-config/tests/documents.rs
@@ -1,5 +1,7 @@
 //! Documents are read with all their errors, compared, and written again.
 
+#![allow(clippy::expect_used)]
+
 use hazelgrade_config::schema::{Applies, LOG_LEVELS, RETRY_MODES, SERVING_FIELDS, ValueType};
 use hazelgrade_config::{Difference, Document, Fields, Kind, OperatorConfig, Scalar};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -209,3 +211,13 @@
         "{trial}"
     );
 }
+
+#[test]
+fn budgets_by_site_are_read_again_from_their_own_toml() {
+    let text =
+        "[budget.calls]\nmeasure = \"in-hand\"\nwhole = 40\nset_aside = 8\nsite = { a = 24, b = 16 }\n";
+    let document = Document::read_as(Kind::Budgets, text, "budgets.toml").expect("it is right");
+    let written = document.to_toml();
+    let read = Document::read_as(Kind::Budgets, &written, "written");
+    assert_eq!(read.map(|document| document.digest()), Ok(document.digest()), "{written}");
+}
--- a/crates/hazelgrade-config/tests/recorded_documents.rs
+++ b/crates/hazelgrade-config/tests/recorded_documents.rs
@@ -1,5 +1,7 @@
 //! The shipped documents are read, and wrong ones give the recorded messages, character by character.
 
+#![allow(clippy::expect_used)]
+
 use hazelgrade_config::{Difference, Document, Kind, OperatorConfig};
 use serde_json::json;
 use std::fmt::Write;
--- a/crates/hazelgrade-fault-injection/tests/edges.rs
+++ b/crates/hazelgrade-fault-injection/tests/edges.rs
@@ -1,5 +1,7 @@
 //! Edges on real sockets: each fault, and that without any the bytes are those that were sent.
 
+#![allow(clippy::expect_used)]
+
 use hazelgrade_fakes::comes_true;
 use hazelgrade_fault_injection::proxy::{Direction, FaultProxy, ms};
 use std::io::{ErrorKind, Read, Write};
--- a/crates/hazelgrade-identity/tests/authenticator.rs
+++ b/crates/hazelgrade-identity/tests/authenticator.rs
@@ -1,5 +1,7 @@
 //! Tokens and certificates on connections while keys, rights and policies change.
 
+#![allow(clippy::expect_used, clippy::too_many_lines)]
+
 mod common;
 
 use common::{HERE, NOW_S, at, claims, compiled, key, read, usual_document};
--- a/crates/hazelgrade-identity/tests/policy.rs
+++ b/crates/hazelgrade-identity/tests/policy.rs
@@ -1,5 +1,7 @@
 //! Identity documents that are wrong, and rights compared with a plain model.
 
+#![allow(clippy::expect_used)]
+
 mod common;
 
 use common::{CALLERS, HERE, NOW_S, at, claims, compiled, key, read, usual_document};
--- a/crates/hazelgrade-identity/tests/recorded_tokens.rs
+++ b/crates/hazelgrade-identity/tests/recorded_tokens.rs
@@ -3,6 +3,8 @@
 //! The files in `recorded` were written by `hazelgrade keys new` and `hazelgrade keys token` of commit 7080dd1. The private
 //! keys are of no use anywhere else.
 
+#![allow(clippy::expect_used)]
+
 use base64::Engine;
 use base64::engine::general_purpose::{STANDARD, URL_SAFE_NO_PAD};
 use hazelgrade::time::Time;
--- a/crates/hazelgrade-identity/tests/tokens.rs
+++ b/crates/hazelgrade-identity/tests/tokens.rs
@@ -1,5 +1,7 @@
 //! Verification of good and bad tokens.
 
+#![allow(clippy::expect_used)]
+
 mod common;
 
 use base64::Engine;
--- a/crates/hazelgrade-server/tests/budgets/main.rs
+++ b/crates/hazelgrade-server/tests/budgets/main.rs
@@ -1,6 +1,8 @@
 //! Nodes that share a budget of calls below, as processes, with faults between them: what is in hand at the dependency is
 //! counted there, and never more than the whole.
 
+#![allow(clippy::expect_used, clippy::too_many_lines)]
+
 use hazelgrade_budget::protocol::OperatorCommand;
 use hazelgrade_fakes::executor::{Executor, Work};
 use hazelgrade_fakes::{free_address, world};
--- a/crates/hazelgrade-server/tests/group/main.rs
+++ b/crates/hazelgrade-server/tests/group/main.rs
@@ -1,6 +1,8 @@
 //! Groups of nodes as processes, with edges between all of them and faults on these: the four rules hold for the whole
 //! group, versions go on, and all is well again when the faults are over.
 
+#![allow(clippy::expect_used)]
+
 mod control;
 mod nodes;
 mod store;
--- a/crates/hazelgrade-server/tests/identity/main.rs
+++ b/crates/hazelgrade-server/tests/identity/main.rs
@@ -1,6 +1,8 @@
 //! Authentication and authorization of callers through real sockets: the operators' tool makes keys and tokens, a node goes by
 //! a file or by what a control service streams.
 
+#![allow(clippy::expect_used, clippy::panic)]
+
 mod tls;
 
 use hazelgrade_config::Document;
--- a/crates/hazelgrade-server/tests/recorded/main.rs
+++ b/crates/hazelgrade-server/tests/recorded/main.rs
@@ -7,6 +7,8 @@
 //! folders of the control services after that. Recordings are never written anew: a build that can't read them can't be
 //! installed over an earlier one.
 
+#![allow(clippy::expect_used, clippy::panic)]
+
 mod recordings;
 
 use hazelgrade_budget::protocol::OperatorCommand;
--- a/crates/hazelgrade-server/tests/recorded_messages.rs
+++ b/crates/hazelgrade-server/tests/recorded_messages.rs
@@ -1,6 +1,8 @@
 //! Every line that an instance sends or reads, byte for byte: clients, executor, database, registry. The peers are
 //! other programs, so a name inside this one may change and a line may not.
 
+#![allow(clippy::expect_used)]
+
 use hazelgrade::api::Idempotency;
 use hazelgrade::time::Span;
 use hazelgrade_server::protocol::executor::{Command, Event, RunEnd};
--- a/crates/hazelgrade-server/tests/streaming/main.rs
+++ b/crates/hazelgrade-server/tests/streaming/main.rs
@@ -1,6 +1,8 @@
 //! Streamed configuration through real sockets: a node as a process, and what may go wrong with versions, the control
 //! service, the store and the node itself.
 
+#![allow(clippy::expect_used, clippy::panic)]
+
 mod control;
 mod node;
 
--- a/crates/hazelgrade-simulator-adapter/tests/recorded_lines.rs
+++ b/crates/hazelgrade-simulator-adapter/tests/recorded_lines.rs
@@ -3,6 +3,8 @@
 //! `recorded/input.tsv` was played to the adapter of commit 7080dd1, `recorded/output.tsv` is what it wrote. The input has
 //! each message of the protocol, the output each decision that the adapter writes but `print`.
 
+#![allow(clippy::expect_used)]
+
 use std::io::Write;
 use std::process::{Command, Stdio};
 use std::thread;
--- a/crates/hazelgrade-simulator-adapter/tests/wire.rs
+++ b/crates/hazelgrade-simulator-adapter/tests/wire.rs
@@ -1,5 +1,7 @@
 //! Drives the built binary over its standard input, as the bench does.
 
+#![allow(clippy::expect_used)]
+
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
--- a/crates/hazelgrade-store/tests/faults.rs
+++ b/crates/hazelgrade-store/tests/faults.rs
@@ -1,5 +1,7 @@
 //! A store on a disk that crashes, tears writes, fails and fills up: what was committed stays, and commits are atomic.
 
+#![allow(clippy::expect_used)]
+
 use hazelgrade_store::simulated_disk::{FaultPlan, SimulatedDisk};
 use hazelgrade_store::{FORMAT_VERSION, Store, StoreError};
 
--- a/crates/hazelgrade-stream/tests/deaths.rs
+++ b/crates/hazelgrade-stream/tests/deaths.rs
@@ -1,5 +1,7 @@
 //! A node that crashes at each single write of its store, and starts again from what the disk has then.
 
+#![allow(clippy::expect_used)]
+
 mod common;
 
 use common::*;
--- a/crates/hazelgrade-stream/tests/histories.rs
+++ b/crates/hazelgrade-stream/tests/histories.rs
@@ -1,5 +1,7 @@
 //! Generated histories of a node, against a plain model of what it may serve and what it must answer.
 
+#![allow(clippy::expect_used, clippy::too_many_lines)]
+
 mod common;
 
 use common::*;
--- a/crates/hazelgrade-stream/tests/publishing.rs
+++ b/crates/hazelgrade-stream/tests/publishing.rs
@@ -1,5 +1,7 @@
 //! The publisher: numbers, differences, rejections, admission, and two publishers that disagree.
 
+#![allow(clippy::expect_used)]
+
 mod common;
 
 use common::*;
--- a/crates/hazelgrade-stream/tests/recorded_messages.rs
+++ b/crates/hazelgrade-stream/tests/recorded_messages.rs
@@ -1,6 +1,8 @@
 //! Each message on the wire, the stored state of a node and the counter file of a publisher, compared byte for byte with
 //! recorded text, and read back from it. Nodes and control services of other builds read and write these bytes.
 
+#![allow(clippy::expect_used, clippy::panic)]
+
 mod common;
 
 use async_executor::LocalExecutor;
--- a/crates/hazelgrade-stream/tests/states.rs
+++ b/crates/hazelgrade-stream/tests/states.rs
@@ -1,6 +1,8 @@
 //! All states, within bounds, of a publisher and a node over a channel that loses, doubles and reorders messages, while
 //! connections break, both sides crash and start again, and writes fail.
 
+#![allow(clippy::expect_used, clippy::too_many_lines)]
+
 mod common;
 
 use common::*;
--- a/crates/hazelgrade/tests/decisions.rs
+++ b/crates/hazelgrade/tests/decisions.rs
@@ -2,6 +2,8 @@
 //! digests stand in `recorded/decisions.txt`: a change of names or of shape leaves them as they are, a change of what is
 //! decided does not. `RECORD=1 cargo test -p hazelgrade --test decisions` writes the file anew.
 
+#![allow(clippy::expect_used, clippy::too_many_lines)]
+
 mod common;
 
 use common::*;
--- a/crates/hazelgrade/tests/rules.rs
+++ b/crates/hazelgrade/tests/rules.rs
@@ -1,6 +1,8 @@
 //! A slow, plain model of the four rules plays the world beside the controller on generated inputs. Every decision is
 //! checked against what the rules allow, and every job against the one final answer it is owed.
 
+#![allow(clippy::too_many_lines)]
+
 mod common;
 
 use common::*;
