--- a/crates/hazelgrade-server/src/lib.rs
+++ b/crates/hazelgrade-server/src/lib.rs
@@ -1,4 +1,6 @@
-//! The service instance: the module's decisions on real sockets. See `docs/architecture.md`.
+//! The service instance: carries out the controller's decisions on real sockets. See `docs/architecture.md`.
+
+#![warn(missing_docs)]
 
 pub mod program;
 pub mod protocol;
--- a/crates/hazelgrade-server/src/program/budgets.rs
+++ b/crates/hazelgrade-server/src/program/budgets.rs
@@ -1,4 +1,4 @@
-//! Limits that hold for all nodes together: this node's part in them.
+//! Budgets: limits that hold for all nodes together, and this node's share of them.
 
 use super::configuration::Deployment;
 use super::documents;
@@ -27,12 +27,14 @@
 
 /// A subscription to documents of budgets that has started, and the host for it.
 pub struct BudgetSubscription {
+    /// The subscription, not followed yet.
     pub started: StartedSubscription,
+    /// Applies the documents.
     pub host: BudgetHost,
 }
 
-/// Switches budgets on. Until a lessor grants some, calls are bounded by what the node may use on its own.
-/// `clock_rate` is the rate of this node's clock, 1 but in tests.
+/// Enables budgets. Until a lessor grants a lease, the node may use what the configuration allows it without one.
+/// `clock_rate` is the rate of this node's clock: 1 except in tests.
 pub fn start(
     config: &BudgetConfig,
     stream: &StreamConfig,
@@ -42,7 +44,7 @@
     clock_rate: f64,
 ) -> Result<BudgetSubscription, String> {
     let document = config.document.as_deref().map(|path| documents::read(Kind::Budgets, path)).transpose()?;
-    let budget_share = Rc::new(node_part(config, deployment, context, clock_rate));
+    let budget_share = Rc::new(new_budget_share(config, deployment, context, clock_rate));
     budget_share.set_budgets(&BTreeMap::new());
     context.driver.set_budget_share(budget_share.clone());
     let store = initial.store.clone();
@@ -59,13 +61,13 @@
     Ok(BudgetSubscription { started, host })
 }
 
-fn node_part(
+fn new_budget_share(
     config: &BudgetConfig,
     deployment: &Deployment,
     context: &RequestContext,
     clock_rate: f64,
 ) -> BudgetShare {
-    // Two processes of one name are two holders, so the incarnation can't come from the name or the seed.
+    // Two processes with the same name are different holders, so the incarnation must not depend on name or seed.
     let incarnation = RandomState::new().hash_one((SystemTime::now(), std::process::id()));
     let holder = LeaseHolder::new(
         Time::from_ms(0.0),
@@ -78,7 +80,7 @@
     BudgetShare::new(holder, config.call_budget.clone(), linger, clock_rate)
 }
 
-/// What a document of budgets, and leases, change of a node.
+/// Applies documents of budgets and leases to the node.
 pub struct BudgetHost {
     context: Rc<RequestContext>,
     budget_share: Rc<BudgetShare>,
@@ -94,11 +96,11 @@
 }
 
 impl BudgetHost {
-    /// Tells the controller what this node may use now.
-    fn update_allowance(&self) {
-        let rounds = &self.context.driver;
-        if let Some(allowance) = self.budget_share.call_lease(rounds.clock.now()) {
-            rounds.notify(ControllerEvent::LeaseUpdated(allowance));
+    /// Notifies the controller of the calls that this node may make now.
+    fn update_call_lease(&self) {
+        let driver = &self.context.driver;
+        if let Some(lease) = self.budget_share.call_lease(driver.clock.now()) {
+            driver.notify(ControllerEvent::LeaseUpdated(lease));
         }
     }
 }
@@ -114,7 +116,7 @@
 
     fn apply(&self, document: Option<&Document>, _is_rollback: bool) -> Result<(), String> {
         self.budget_share.set_budgets(&document.map(terms::read_all).unwrap_or_default());
-        self.update_allowance();
+        self.update_call_lease();
         Ok(())
     }
 
@@ -134,9 +136,9 @@
 
     fn next_message(&self) -> Option<SubscriberMessage> {
         let request = self.budget_share.due_request()?;
-        // A node that drains has given units back by saying so.
+        // The request of a draining node returns units.
         if request.draining {
-            self.update_allowance();
+            self.update_call_lease();
         }
         Some(SubscriberMessage::LeaseRequest(request))
     }
@@ -151,19 +153,19 @@
     }
 
     fn on_connected(&self) {
-        self.budget_share.connected();
+        self.budget_share.on_connected();
     }
 
     fn on_message(&self, published: &PublisherMessage) {
         match published {
             PublisherMessage::LeaseGrant(grant) => {
                 if self.budget_share.apply_grant(grant) {
-                    self.update_allowance();
+                    self.update_call_lease();
                 } else {
-                    tracing::debug!(count = grant.sequence, "a grant that is not the latest");
+                    tracing::debug!(count = grant.sequence, "outdated grant ignored");
                 }
             }
-            PublisherMessage::RequestLeases => self.budget_share.nudged(),
+            PublisherMessage::RequestLeases => self.budget_share.request_leases_now(),
             _ => {}
         }
     }
--- a/crates/hazelgrade-server/src/program/command.rs
+++ b/crates/hazelgrade-server/src/program/command.rs
@@ -12,6 +12,7 @@
 use pico_args::Arguments;
 use std::process::ExitCode;
 
+/// The usage text; `{KEYS}` and `{BUDGETS}` stand for those of the sub-commands.
 const USAGE: &str = "\
 hazelgrade: decides what one service instance takes, runs and turns away
 
@@ -38,7 +39,7 @@
   --log LEVEL       off, error, warn, info (the usual level), debug or trace
 ";
 
-/// Exit code for wrong usage, a wrong configuration, or an address that can't be had.
+/// Exit code for wrong usage, a wrong configuration, or an address that can't be used.
 const EXIT_WRONG_USAGE: u8 = 2;
 
 /// Runs the program by its command line.
@@ -94,7 +95,7 @@
 }
 
 impl Command {
-    /// Takes a sub-command's arguments; `None` if there is no such sub-command.
+    /// Parses a sub-command's arguments; returns `None` if there is no such sub-command.
     fn parse(name: &str, arguments: &mut Arguments) -> Result<Option<Command>, pico_args::Error> {
         Ok(Some(match name {
             "serve" => Command::Serve(serve::ServeCommand::parse(arguments)?),
--- a/crates/hazelgrade-server/src/program/command/budget.rs
+++ b/crates/hazelgrade-server/src/program/command/budget.rs
@@ -11,6 +11,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime};
 
+/// The usage text of `budget`.
 pub const USAGE: &str = "  hazelgrade budget found --documents DIR --keeper SITE --listen ADDRESS [--lost]
                                      make the store of a site's keeper, once; --lost if there was one before
   hazelgrade budget show|history|metrics|open --control ADDRESS
@@ -20,34 +21,47 @@
                                      move units to another site; declare a site lost for good
 ";
 
-/// A control service that does not answer within this is taken as down.
+/// How long to wait for the answer of the control service.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The arguments of `budget`.
 pub enum BudgetCommand {
+    /// Creates the store of a site's lessor.
     CreateStore {
+        /// The folder of documents.
         documents: PathBuf,
+        /// The site whose budgets it grants.
         site: String,
+        /// The address that the control service will listen on.
         listen: SocketAddr,
-        /// There was a store before, which is lost.
+        /// Whether there was a store before, which is lost.
         lost: bool,
     },
+    /// Sends a request to a lessor.
     Request {
+        /// The address of the control service.
         control_service: SocketAddr,
+        /// The request.
         request: OperatorCommand,
+        /// How to print the answer.
         output: Output,
     },
 }
 
-/// How an answer is shown.
+/// How an answer is printed.
 pub enum Output {
+    /// Tables of sites, budgets and holders.
     Tables,
+    /// Metrics in the text format of Prometheus.
     Metrics,
+    /// Events, one a line.
     History,
+    /// One line of text.
     Line,
 }
 
 impl BudgetCommand {
+    /// Parses the arguments of the sub-command.
     pub fn parse(arguments: &mut Arguments) -> Result<BudgetCommand, pico_args::Error> {
         let name = arguments.subcommand()?.unwrap_or_default();
         if name == "found" {
@@ -75,7 +89,7 @@
         Ok(BudgetCommand::Request { control_service, request, output })
     }
 
-    /// Carries it out; gives the text to print.
+    /// Runs the command and returns the text to print.
     pub fn run(self) -> Result<String, String> {
         match self {
             BudgetCommand::CreateStore { documents, site, listen, lost } => {
@@ -105,7 +119,7 @@
     Ok(OperatorCommand::Retire { site: arguments.value_from_str("--site")?, id: parse_id(arguments)? })
 }
 
-/// Names a change, so that a retry of it does nothing; a random name if none is given.
+/// The id of a change, so that a retry of it does nothing; random if none is given.
 fn parse_id(arguments: &mut Arguments) -> Result<String, pico_args::Error> {
     let random = || format!("w{:016x}", RandomState::new().hash_one(SystemTime::now()));
     Ok(arguments.opt_value_from_str("--id")?.unwrap_or_else(random))
--- a/crates/hazelgrade-server/src/program/command/budget/report.rs
+++ b/crates/hazelgrade-server/src/program/command/budget/report.rs
@@ -60,6 +60,7 @@
     )
 }
 
+/// The columns of the table of holders, as [`holder_row`] fills them.
 const HOLDER_COLUMNS: [&str; 11] = [
     "holder", "run", "granted", "at most", "used", "wants", "to have", "alone", "heard", "back in",
     "here for",
@@ -88,7 +89,7 @@
     ]
 }
 
-/// What happened, one event a line.
+/// The history of a lessor, one event a line.
 pub fn history(events: &Value) -> String {
     let line = |event: &Value| {
         let seconds_ago = event[0].as_f64().unwrap_or(0.0) / 1000.0;
--- a/crates/hazelgrade-server/src/program/command/check.rs
+++ b/crates/hazelgrade-server/src/program/command/check.rs
@@ -19,6 +19,7 @@
 }
 
 impl CheckCommand {
+    /// Parses the arguments of the sub-command.
     pub fn parse(arguments: &mut Arguments) -> Result<CheckCommand, pico_args::Error> {
         Ok(CheckCommand {
             operator: arguments.opt_value_from_str("--operator")?,
@@ -29,7 +30,7 @@
         })
     }
 
-    /// Prints what the files would do, up to the first that is wrong.
+    /// Prints what the files would do; stops at the first file that is wrong.
     pub fn run(self) -> Result<(), String> {
         if let Some(path) = &self.operator {
             check_operator_file(path)?;
--- a/crates/hazelgrade-server/src/program/command/control.rs
+++ b/crates/hazelgrade-server/src/program/command/control.rs
@@ -14,10 +14,10 @@
 use std::rc::Rc;
 use tracing::level_filters::LevelFilter;
 
-/// Subscribers admitted a second. A fleet of a thousand is back within seconds, at a pace that leaves room on one core.
+/// Subscribers admitted per second. A fleet of a thousand reconnects within seconds, and one core is not fully used.
 const DEFAULT_ADMITTED_PER_S: f64 = 200.0;
 
-/// Subscribers admitted at once after some quiet, as a ratio of those a second.
+/// Subscribers admitted at once after a quiet period, as a ratio of those admitted per second.
 const ADMISSION_BURST_RATIO: f64 = 0.25;
 
 /// The arguments of `control`.
@@ -27,6 +27,7 @@
 }
 
 impl ControlCommand {
+    /// Parses the arguments of the sub-command.
     pub fn parse(arguments: &mut Arguments) -> Result<ControlCommand, pico_args::Error> {
         let admitted_per_s = arguments.opt_value_from_str("--admit")?.unwrap_or(DEFAULT_ADMITTED_PER_S);
         let config = ControlServiceConfig {
@@ -42,7 +43,7 @@
         Ok(ControlCommand { config, log_level: log_level(arguments)? })
     }
 
-    /// Runs until SIGTERM or SIGINT. Nodes go on by what they have when it ends.
+    /// Runs until SIGTERM or SIGINT. Nodes continue with their last documents after that.
     pub fn run(self) -> Result<(), String> {
         let (log, _) = logging::start(self.log_level);
         let ended = run_until_signal(self.config);
@@ -83,7 +84,7 @@
     in_doubt: u32,
 }
 
-/// Logs the units that are granted, at each change. All figures are in `budget metrics`.
+/// Logs the granted units whenever they change. `budget metrics` prints all figures.
 fn log_granted_units() -> Metrics {
     let before = Cell::new(None);
     Box::new(move |budgets| {
--- a/crates/hazelgrade-server/src/program/command/keys.rs
+++ b/crates/hazelgrade-server/src/program/command/keys.rs
@@ -18,6 +18,7 @@
 use toml_edit::{DocumentMut, Item, Table, value};
 use zeroize::Zeroizing;
 
+/// The usage text of `keys`.
 pub const USAGE: &str = "\
   hazelgrade keys new    --set FILE --private DIR [--audience NAME] [--algorithm EdDSA|ES256]
   hazelgrade keys rotate --set FILE --private DIR [--lead SECONDS] [--overlap SECONDS] [--algorithm EdDSA|ES256]
@@ -26,19 +27,19 @@
                                      make and rotate the keys of an identity document, and sign tokens
 ";
 
-/// How long a key signs if nobody rotates it: 30 days.
+/// How long a key signs unless it is rotated: 30 days.
 const SIGNING_PERIOD_S: f64 = 30.0 * 86_400.0;
 
-/// How long a token is valid where the command line does not say.
+/// How long a token is valid unless the command line sets it.
 const DEFAULT_TOKEN_LIFETIME_S: f64 = 600.0;
 
-/// At a rotation keys overlap for the longest token lifetime divided by this, where the command line does not say.
+/// At a rotation keys overlap for the longest token lifetime divided by this, unless the command line sets it.
 const DEFAULT_OVERLAP_DIVISOR: f64 = 10.0;
 
 /// The mode of files with private keys.
 const PRIVATE_FILE_MODE: u32 = 0o600;
 
-/// The arguments of `keys`. All are taken for each of its sub-commands.
+/// The arguments of `keys`. Each sub-command accepts all of them.
 pub struct KeysCommand {
     subcommand: String,
     document: PathBuf,
@@ -47,7 +48,7 @@
     algorithm: String,
     /// How long after now a new key starts to sign.
     lead_s: f64,
-    /// How long the keys before it go on signing from then on.
+    /// How long the earlier keys continue to sign after that.
     overlap_s: Option<f64>,
     caller: Option<String>,
     token_lifetime_s: f64,
@@ -55,6 +56,7 @@
 }
 
 impl KeysCommand {
+    /// Parses the arguments of the sub-command.
     pub fn parse(arguments: &mut Arguments) -> Result<KeysCommand, pico_args::Error> {
         Ok(KeysCommand {
             subcommand: arguments.subcommand()?.unwrap_or_default(),
@@ -70,7 +72,7 @@
         })
     }
 
-    /// Carries it out; gives the text to print.
+    /// Runs the sub-command and returns the text to print.
     pub fn run(&self) -> Result<String, String> {
         match self.subcommand.as_str() {
             "new" => self.create_key(),
@@ -93,8 +95,8 @@
         Ok(format!("key {} signs from now on\n", key.id))
     }
 
-    /// A new key signs after the lead, and the others for the overlap after that; their tokens are accepted as long as
-    /// they may live.
+    /// Adds a key that signs after the lead, and retires the others after the overlap. Their tokens stay valid until
+    /// they expire.
     fn rotate(&self) -> Result<String, String> {
         let mut document = self.read_editable()?;
         let max_token_lifetime_s = max_token_lifetime_s(&document);
@@ -124,7 +126,7 @@
         Ok(text)
     }
 
-    /// Signs with the key that signs for longest from now.
+    /// Signs a token with the active key whose signing period ends last.
     fn sign_token(&self) -> Result<String, String> {
         let document = documents::read(Kind::Identity, &self.document)?;
         let fields = document.fields();
@@ -256,6 +258,7 @@
         has_started && now_s() < self.signs_until_s() && !self.is_revoked()
     }
 
+    /// The key as one line of `keys show`.
     fn line(&self) -> String {
         let seconds_left = |field: &str| match self.number(field) {
             Some(at_s) => format!("{:.0} s", at_s - now_s()),
@@ -313,7 +316,7 @@
     keys[&key.id] = Item::Table(key.table.clone());
 }
 
-/// Ends the signing of all keys that would sign past a time; gives their ids.
+/// Ends the signing period of all keys that would sign after a time, and returns their ids.
 fn retire_keys(document: &mut DocumentMut, signs_until_s: f64, max_token_lifetime_s: f64) -> Vec<String> {
     let mut retired = Vec::new();
     let Some(keys) = document.get_mut("key").and_then(Item::as_table_mut) else { return retired };
@@ -328,7 +331,7 @@
     retired
 }
 
-/// Never overwrites another key: what it signed would be lost.
+/// Writes the private half of a key to a new file. Never overwrites a file, as the key in it could not be recovered.
 fn write_private_key(path: &Path, signer: &Signer) -> Result<(), String> {
     let io_error = |error: std::io::Error| format!("{}: {error}", path.display());
     let text = Zeroizing::new(STANDARD.encode(signer.pkcs8()));
--- a/crates/hazelgrade-server/src/program/command/serve.rs
+++ b/crates/hazelgrade-server/src/program/command/serve.rs
@@ -8,10 +8,10 @@
 use std::process::ExitCode;
 use tracing::level_filters::LevelFilter;
 
-/// Names the configuration file where `--config` is not given; the platform's start sets it.
+/// The environment variable that names the configuration file if `--config` is not given; the platform sets it.
 const CONFIGURATION_VARIABLE: &str = "PROXY_CONFIG";
 
-/// The log level where the command line names none.
+/// The log level if the command line names none.
 pub const DEFAULT_LOG_LEVEL: LevelFilter = LevelFilter::INFO;
 
 /// The arguments of `serve`.
@@ -36,6 +36,7 @@
 }
 
 impl ServeCommand {
+    /// Parses the arguments of the sub-command.
     pub fn parse(arguments: &mut Arguments) -> Result<ServeCommand, pico_args::Error> {
         Ok(ServeCommand {
             operator: arguments.opt_value_from_str("--operator")?,
@@ -44,7 +45,7 @@
         })
     }
 
-    /// Serves until the exit; the code says whether every answer was written.
+    /// Serves until shutdown. The exit code tells whether every answer was written.
     pub fn run(self) -> Result<ExitCode, String> {
         let signals = serve::install_signals()?;
         let configuration_path = self.configuration.ok_or(NO_CONFIGURATION)?;
--- a/crates/hazelgrade-server/src/program/command/status.rs
+++ b/crates/hazelgrade-server/src/program/command/status.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A control service that does not answer within this is taken as down.
+/// How long to wait for the answer of the control service.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The arguments of `status`.
@@ -16,11 +16,12 @@
 }
 
 impl StatusCommand {
+    /// Parses the arguments of the sub-command.
     pub fn parse(arguments: &mut Arguments) -> Result<StatusCommand, pico_args::Error> {
         Ok(StatusCommand { control_service: arguments.value_from_str("--control")? })
     }
 
-    /// Asks the control service; gives the table.
+    /// Requests the status and returns the table to print.
     pub fn run(self) -> Result<String, String> {
         let report = control_service::request_status(self.control_service, TIMEOUT)
             .map_err(|error| error.to_string())?;
--- a/crates/hazelgrade-server/src/program/configuration.rs
+++ b/crates/hazelgrade-server/src/program/configuration.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration file in JSON. Its field names are in this module alone.
+//! The platform's configuration file in JSON. Only this module knows its field names.
 
 use crate::transport::database;
 use hazelgrade_config::serving::ResourceLimits;
@@ -11,34 +11,40 @@
 /// a file that is read, one connection that was just accepted.
 const RESERVED_DESCRIPTORS: usize = 16;
 
-/// The part of the memory limit that cached results may take; the rest is for jobs in flight and connections.
+/// The share of the memory limit for cached results; the rest is for jobs in flight and connections.
 const RESULT_CACHE_RATIO: f64 = 0.125;
 
-/// File descriptors where the configuration sets no limit.
+/// The limit on file descriptors if the configuration sets none.
 const DEFAULT_SOCKETS: usize = 1024;
 
 /// The least limit on file descriptors.
 const MIN_SOCKETS: u64 = 32;
 
-/// Memory where the configuration sets no limit, in MiB.
+/// The limit on memory if the configuration sets none, in MiB.
 const DEFAULT_MEMORY_MB: f64 = 192.0;
 
+/// Bytes per MiB.
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
-/// The addresses of the node's peers, which a reload changes.
+/// The addresses of the node's peers, which a reload may change.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
+    /// The executor.
     pub executor: SocketAddr,
+    /// The registry.
     pub registry: SocketAddr,
-    /// `None` for a node without a dependency to call.
+    /// The database; `None` for a node without a dependency to call.
     pub database: Option<SocketAddr>,
 }
 
 /// The platform's configuration of an instance.
 #[derive(Debug)]
 pub struct Deployment {
+    /// The name of the node.
     pub name: String,
+    /// The address to listen on.
     pub listen: SocketAddr,
+    /// The addresses of its peers.
     pub addresses: Addresses,
     /// Seeds all random numbers of decisions.
     pub seed: u64,
@@ -48,23 +54,25 @@
     pub sockets: usize,
     /// Memory that the process may take, in MiB.
     pub memory_mb: f64,
-    /// The settings of the controller, not decoded.
+    /// The settings of the controller, not decoded yet.
     pub settings: Value,
+    /// The fields that only a restart changes.
     pub start_fields: StartFields,
 }
 
-/// The fields that only a start takes in, as they were then.
+/// The fields that only a restart changes, as they were at the start.
 #[derive(Clone, Debug)]
 pub struct StartFields(Vec<(&'static str, Option<Value>)>);
 
 impl StartFields {
+    /// Their names in the file.
     const NAMES: [&str; 6] = ["name", "listen", "seed", "stop_ms", "limits", "settings"];
 
     fn from_configuration(value: &Value) -> StartFields {
         StartFields(Self::NAMES.iter().map(|field| (*field, value.get(field).cloned())).collect())
     }
 
-    /// The names of those that another configuration has otherwise.
+    /// The names of the fields that differ in another configuration.
     pub fn differing(&self, value: &Value) -> Vec<&'static str> {
         let differing = self.0.iter().filter(|(field, before)| value.get(field) != before.as_ref());
         differing.map(|(field, _)| *field).collect()
@@ -82,12 +90,16 @@
 /// Why a configuration can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ErrorReason {
+    /// The file can't be read.
     #[error(transparent)]
     Unreadable(#[from] std::io::Error),
+    /// It is not JSON.
     #[error(transparent)]
     InvalidJson(#[from] serde_json::Error),
+    /// It is JSON, but not an object.
     #[error("expected a JSON object")]
     NotAnObject,
+    /// A field is missing or wrong.
     #[error(transparent)]
     Field(#[from] FieldError),
 }
@@ -103,7 +115,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("field {field}: expected {expected}")]
 pub struct FieldError {
+    /// The name of the field.
     pub field: &'static str,
+    /// What it must be.
     pub expected: &'static str,
 }
 
@@ -146,7 +160,7 @@
 }
 
 impl Deployment {
-    /// Connections to the dependency that may be open at once: with few descriptors, half of those not reserved.
+    /// Connections to the dependency that may be open at once: at most half of the descriptors that are not reserved.
     pub fn max_dependency_connections(&self) -> usize {
         database::MAX_CONNECTIONS.min(self.sockets.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(1)
     }
@@ -172,7 +186,7 @@
         }
     }
 
-    /// Removes job classes and tenants from the settings, as they come from documents.
+    /// Removes job classes and tenants from the settings: they come from documents instead.
     pub fn remove_job_classes_and_tenants(&mut self) {
         if let Some(settings) = self.settings.as_object_mut() {
             settings.remove("classes");
@@ -219,7 +233,7 @@
     name.map(str::to_owned).ok_or_else(|| field_error("name", "a word"))
 }
 
-/// Hex digits, or a whole number.
+/// The seed, as a string of hex digits or a whole number.
 fn decode_seed(value: &Value) -> Option<u64> {
     match value.get("seed")? {
         Value::String(hex) => u64::from_str_radix(hex, 16).ok(),
--- a/crates/hazelgrade-server/src/program/drain.rs
+++ b/crates/hazelgrade-server/src/program/drain.rs
@@ -1,4 +1,4 @@
-//! Shutdown: from the signal to the exit. [`drain`] has its order.
+//! Shutdown, from the signal to the exit. [`drain`] lists the steps in order.
 
 use super::serve::Services;
 use crate::protocol::jsonrpc;
@@ -13,23 +13,27 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The listener closes this long before the platform kills the process, at the latest.
+/// The listener closes at least this long before the platform kills the process.
 const LISTENER_CLOSES_BEFORE_STOP: Duration = Duration::from_millis(150);
-/// With no client connected for this long, no more will come.
+/// After this long without a connected client, no more clients are expected.
 const NO_CLIENTS_FOR: Duration = Duration::from_millis(1500);
-/// With every answer written, it exits this long before it would be killed, even if peers still hold connections.
+/// Once every answer is written, the process exits this long before it would be killed, even with connections open.
 const EXITS_BEFORE_STOP: Duration = Duration::from_millis(20);
+/// How often the drain checks its progress.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Tells the subscriptions to documents that the node drains.
+/// Notifies the subscriptions to documents that the node drains, one for each kind.
 #[derive(Default)]
-pub struct DrainNotices {
+pub struct DrainNotifiers {
+    /// For serving documents.
     pub serving: Rc<Notify>,
+    /// For identity documents.
     pub identity: Rc<Notify>,
+    /// For documents of budgets.
     pub budgets: Rc<Notify>,
 }
 
-impl DrainNotices {
+impl DrainNotifiers {
     fn notify(&self) {
         self.serving.notify();
         self.identity.notify();
@@ -37,23 +41,23 @@
     }
 }
 
-/// Drains the node: answers all that comes until the stop is near or all clients have left. `true` if every answer was
+/// Drains the node: keeps answering until the stop is near or all clients have left. Returns whether every answer was
 /// written.
 ///
 /// `requested_at` is when shutdown was requested; `stop` is how long after it the platform kills the process.
 pub async fn drain(
     services: &Services,
-    notices: &DrainNotices,
+    notifiers: &DrainNotifiers,
     accepting: Task<()>,
     listener: Rc<Async<TcpListener>>,
     requested_at: Time,
     stop: Duration,
 ) -> bool {
-    announce(services, notices);
-    let drain = Drain::new(&services.front, requested_at, stop);
-    drain.tell_controller_and_clients(requested_at);
+    announce(services, notifiers);
+    let drain = Drain::new(&services.front_end, requested_at, stop);
+    drain.notify_controller_and_clients(requested_at);
     drain.wait_for_clients_to_leave().await;
-    // What the system has accepted counts, even unread: all of it is taken before the listener closes.
+    // Connections in the backlog may carry requests: all of them are accepted before the listener closes.
     accepting.cancel().await;
     drain.take_backlog(&listener).await;
     drop(listener);
@@ -62,41 +66,41 @@
     drain.is_settled()
 }
 
-/// The registry hears that the node is not ready, control services and lessors that it drains.
-fn announce(services: &Services, notices: &DrainNotices) {
+/// Reports "not ready" to the registry, and the drain to control services and lessors.
+fn announce(services: &Services, notifiers: &DrainNotifiers) {
     services.is_draining.set(true);
-    notices.notify();
-    if let Some(budget_share) = services.rounds.budget_share() {
+    notifiers.notify();
+    if let Some(budget_share) = services.driver.budget_share() {
         budget_share.start_drain();
     }
-    services.rounds.request_heartbeat();
+    services.driver.request_heartbeat();
 }
 
 struct Drain<'a> {
-    front: &'a Rc<FrontEnd>,
-    began: Instant,
+    front_end: &'a Rc<FrontEnd>,
+    started_at: Instant,
     stop: Duration,
 }
 
 impl Drain<'_> {
-    fn new(front: &Rc<FrontEnd>, requested_at: Time, stop: Duration) -> Drain<'_> {
-        let elapsed = front.context.driver.clock.now().since(requested_at);
+    fn new(front_end: &Rc<FrontEnd>, requested_at: Time, stop: Duration) -> Drain<'_> {
+        let elapsed = front_end.context.driver.clock.now().since(requested_at);
         let elapsed = Duration::from_secs_f64(elapsed.as_ms() / 1000.0).min(stop);
-        let began = Instant::now().checked_sub(elapsed).unwrap_or_else(Instant::now);
-        Drain { front, began, stop }
+        let started_at = Instant::now().checked_sub(elapsed).unwrap_or_else(Instant::now);
+        Drain { front_end, started_at, stop }
     }
 
     fn elapsed(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// No answer is owed, and all that was written has left the process.
+    /// Whether every job is answered, and every answer was handed to the system.
     fn is_settled(&self) -> bool {
-        self.front.context.in_flight.unanswered() == 0 && self.front.connections.all_idle()
+        self.front_end.context.in_flight.unanswered() == 0 && self.front_end.connections.all_idle()
     }
 
-    fn tell_controller_and_clients(&self, requested_at: Time) {
-        let context = &self.front.context;
+    fn notify_controller_and_clients(&self, requested_at: Time) {
+        let context = &self.front_end.context;
         let stop_at = requested_at + Span::from_ms(self.stop.as_secs_f64() * 1000.0);
         tracing::info!(
             in_flight = context.in_flight.count(),
@@ -106,14 +110,14 @@
         );
         context.driver.start_rounds();
         context.driver.notify(ControllerEvent::DrainStarted(stop_at));
-        self.front.connections.broadcast(jsonrpc::DRAINING);
+        self.front_end.connections.broadcast(jsonrpc::DRAINING);
     }
 
     async fn wait_for_clients_to_leave(&self) {
         let mut no_clients_since: Option<Instant> = None;
         while self.elapsed() + LISTENER_CLOSES_BEFORE_STOP < self.stop {
             Timer::after(POLL_INTERVAL).await;
-            if self.front.connections.count() > 0 || !self.is_settled() {
+            if self.front_end.connections.count() > 0 || !self.is_settled() {
                 no_clients_since = None;
                 continue;
             }
@@ -125,19 +129,19 @@
     }
 
     async fn take_backlog(&self, listener: &Async<TcpListener>) {
-        let clients = &self.front.connections;
-        while !take_backlog(listener, clients, |stream| self.front.start(stream))
+        let clients = &self.front_end.connections;
+        while !take_backlog(listener, clients, |stream| self.front_end.start(stream))
             && self.elapsed() < self.stop
         {
-            clients.make_room();
+            clients.evict_idle();
             Timer::after(POLL_INTERVAL).await;
         }
     }
 
-    /// The controller's last answers come shortly before the stop. A connection on which nothing is owed is closed as
-    /// any other, so that nothing on its way to the peer is lost with the process.
+    /// Waits for the last answers, which the controller gives shortly before the stop. Idle connections are closed
+    /// properly, so that no bytes in transit are lost when the process exits.
     async fn write_last_answers(&self) {
-        let clients = &self.front.connections;
+        let clients = &self.front_end.connections;
         while clients.count() > 0 || !self.is_settled() {
             let reserve = if self.is_settled() { EXITS_BEFORE_STOP } else { Duration::ZERO };
             if self.elapsed() >= self.stop.saturating_sub(reserve) {
@@ -149,11 +153,11 @@
     }
 
     fn log_end(&self) {
-        let context = &self.front.context;
+        let context = &self.front_end.context;
         tracing::info!(
             counters = ?*context.counters.borrow(),
             unanswered = context.in_flight.unanswered(),
-            connections = self.front.connections.count(),
+            connections = self.front_end.connections.count(),
             after_ms = self.elapsed().as_millis(),
             "drained"
         );
--- a/crates/hazelgrade-server/src/program/identity.rs
+++ b/crates/hazelgrade-server/src/program/identity.rs
@@ -1,4 +1,4 @@
-//! Signing keys, callers and rights in a serving node: from a file, or streamed as a kind of document of its own.
+//! Authentication in a serving node: signing keys, callers and rights come from a file, or as streamed documents.
 
 use super::configuration::Deployment;
 use super::documents;
@@ -20,17 +20,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Denied requests are logged, summed up, once in this time.
+/// How often denied requests are logged, summed up.
 const AUDIT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Makes the node go by an identity document. `is_rollback`: after a version that failed; what that one revoked stays
-/// revoked.
+/// Applies an identity document to the node. With `is_rollback` it replaces a later version that failed, and what that
+/// one revoked stays revoked.
 fn apply(document: &Document, context: &RequestContext, is_rollback: bool) -> Result<(), String> {
-    let identity = AccessPolicy::from_document(document).map_err(|error| error.to_string())?;
+    let policy = AccessPolicy::from_document(document).map_err(|error| error.to_string())?;
     let now = context.driver.clock.now();
     context
         .callers
-        .replace(identity, &context.settings.borrow(), now, is_rollback)
+        .replace(policy, &context.settings.borrow(), now, is_rollback)
         .map_err(|error| error.to_string())
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Logs denied requests until it is dropped.
+/// Logs denied requests until the future is dropped.
 pub async fn log_denied_requests(context: &RequestContext) {
     loop {
         Timer::after(AUDIT_INTERVAL).await;
@@ -53,11 +53,13 @@
 
 /// A subscription to identity documents that has started, and the host for it.
 pub struct IdentitySubscription {
+    /// The subscription, not followed yet.
     pub started: StartedSubscription,
+    /// Applies the documents.
     pub host: IdentityHost,
 }
 
-/// Switches authentication on: from the file at once, and by a subscription if identities are streamed.
+/// Enables authentication. An identity document in a file applies at once; streamed ones apply through a subscription.
 pub fn start(
     config: &IdentityConfig,
     stream: Option<&StreamConfig>,
@@ -91,7 +93,7 @@
     Ok(Some(IdentitySubscription { started, host }))
 }
 
-/// What an identity document changes of a node.
+/// Applies identity documents to the node.
 pub struct IdentityHost {
     context: Rc<RequestContext>,
     store: SharedStore,
@@ -124,8 +126,8 @@
         }
     }
 
-    /// Requests that signing keys deny count as failures, those that rights and revocations deny do not: else a
-    /// revocation would be rolled back for doing what it is for.
+    /// Requests that fail verification count as failures. Those denied by rights or revocations do not: otherwise a
+    /// revocation would be rolled back for having its intended effect.
     fn sample(&self) -> Sample {
         let counters = *self.context.counters.borrow();
         let counted = CountedJobs {
--- a/crates/hazelgrade-server/src/program/logging.rs
+++ b/crates/hazelgrade-server/src/program/logging.rs
@@ -1,4 +1,4 @@
-//! The log: lines on standard error, written by a thread of its own. When that can't keep up, lines are dropped.
+//! The log: lines on standard error, written by a separate thread. If it can't keep up, lines are dropped.
 
 use tracing::level_filters::LevelFilter;
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
@@ -13,7 +13,7 @@
 /// Changes the level while the program runs.
 pub type LevelHandle = reload::Handle<LevelFilter, Registry>;
 
-/// Logs at this level until the guard is dropped, which writes the lines that wait.
+/// Logs at this level until the guard is dropped, which writes the remaining lines.
 pub fn start(level: LevelFilter) -> (WorkerGuard, LevelHandle) {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
@@ -21,7 +21,7 @@
         .finish(std::io::stderr());
     let (filter, handle) = reload::Layer::new(level);
     let lines = tracing_subscriber::fmt::layer().with_writer(writer).with_ansi(false).with_target(false);
-    // Fails only if a log was started before; then that one goes on.
+    // Fails only if a log was started before, which continues then.
     let _ = tracing_subscriber::registry().with(filter).with(lines).try_init();
     (guard, handle)
 }
--- a/crates/hazelgrade-server/src/program/serve.rs
+++ b/crates/hazelgrade-server/src/program/serve.rs
@@ -1,6 +1,6 @@
 //! `serve`: one service instance, from its start to its exit.
 //!
-//! [`serve`] has the order of start; [`super::drain`] has the order of shutdown.
+//! [`serve`] starts the instance; [`super::drain`] shuts it down.
 
 mod bind;
 mod reports;
@@ -10,7 +10,7 @@
 pub use signals::install as install_signals;
 
 use super::configuration::Deployment;
-use super::drain::{self, DrainNotices};
+use super::drain::{self, DrainNotifiers};
 use super::logging::LevelHandle;
 use super::reload::Reload;
 use super::serving_document::{InitialConfiguration, ServingContext};
@@ -35,6 +35,7 @@
 
 /// The log of the program, whose level documents change.
 pub struct LogLevel {
+    /// Changes the level while the program runs.
     pub handle: LevelHandle,
     /// The level of the command line.
     pub default: LevelFilter,
@@ -42,10 +43,13 @@
 
 /// What the command line gives to an instance.
 pub struct ServeOptions {
+    /// The platform's configuration.
     pub deployment: Deployment,
     /// The file that the deployment was read from, which SIGHUP reads again.
     pub configuration_path: PathBuf,
+    /// The operator's file.
     pub operator: OperatorConfig,
+    /// The log of the program.
     pub log_level: LogLevel,
     /// Caught since before the configuration was read.
     pub signals: Signals,
@@ -53,11 +57,11 @@
 
 /// Serves until SIGTERM or SIGINT, then drains; SIGHUP reloads until the exit. `Ok(true)` if every answer was written.
 ///
-/// With `[stream]` in the operator's file, job classes, tenants, limits and addresses come as documents; what the
-/// deployment says of job classes and tenants does not count then.
+/// With `[stream]` in the operator's file, job classes, tenants, limits and addresses come as documents; the job
+/// classes and tenants of the deployment are ignored then.
 ///
 /// # Errors
-/// What is wrong with a file or address, with its field; nothing was served then.
+/// The field of a file or address that is wrong; nothing was served then.
 pub fn serve(options: ServeOptions) -> Result<bool, String> {
     let ServeOptions { mut deployment, configuration_path, operator, log_level, mut signals } = options;
     let initial = open_initial_configuration(&operator, &mut deployment)?;
@@ -66,20 +70,20 @@
     let (listener, reload_requested) = match bind::bind(deployment.listen, &mut signals)? {
         Bound::Listening { listener, reload_requested } => (listener, reload_requested),
         Bound::ShutdownRequested => {
-            tracing::info!("shutdown was requested before it listened");
+            tracing::info!("shutdown requested before listening");
             return Ok(true);
         }
     };
     let default_limits = settings.host.limits.clone();
     let services = Services::new(&deployment, settings, operator.test_faults)?;
-    let notices = services.notices();
+    let executor_events = services.executor_events();
     if let Some(config) = &operator.tls {
-        tls::load(config, &services.front.tls, &services.parts)?;
+        tls::load(config, &services.front_end.tls, &services.context)?;
     }
-    let instance = Instance { deployment, services, drain_notices: DrainNotices::default() };
+    let instance = Instance { deployment, services, drain_notifiers: DrainNotifiers::default() };
 
     instance.start_reports();
-    let reload = Rc::new(instance.reload(configuration_path));
+    let reload = Rc::new(instance.new_reload(configuration_path));
     instance.start_identity(operator.identity.as_ref(), operator.stream.as_ref(), initial.as_ref())?;
     let clock_rate = operator.test_faults.map_or(1.0, |faults| faults.clock_rate);
     instance.start_budgets(
@@ -91,24 +95,24 @@
     if let Some((initial, stream)) = initial.zip(operator.stream.as_ref()) {
         instance.start_serving_documents(initial, stream, &reload, log_level, default_limits);
     }
-    instance.start_rounds(notices);
+    instance.start_driver(executor_events);
     let listener = Rc::new(listener);
     let accepting = instance.start_accepting(&listener);
 
-    let Instance { deployment, services, drain_notices } = instance;
+    let Instance { deployment, services, drain_notifiers } = instance;
     let shutdown = ShutdownRequest::default();
     let reloader = Reloader::new(&operator, reload, &services);
-    let handle_signals = signals::handle(signals, reload_requested, &reloader, &shutdown, &services.rounds);
+    let handle_signals = signals::handle(signals, reload_requested, &reloader, &shutdown, &services.driver);
     let serve_and_drain = async {
-        let requested_at = shutdown.requested(&services.rounds).await;
+        let requested_at = shutdown.requested(&services.driver).await;
         let all_written =
-            drain::drain(&services, &drain_notices, accepting, listener, requested_at, deployment.stop);
+            drain::drain(&services, &drain_notifiers, accepting, listener, requested_at, deployment.stop);
         Ok(all_written.await)
     };
     block_on(services.tasks.run(or(serve_and_drain, handle_signals)))
 }
 
-/// Opens the store of a node that follows control services. Its document lowers the limits of the process.
+/// Opens the store of a node that subscribes to control services. Its document may lower the limits of the process.
 fn open_initial_configuration(
     operator: &OperatorConfig,
     deployment: &mut Deployment,
@@ -121,44 +125,44 @@
     Ok(Some(initial))
 }
 
-/// The steps of the start, after all parts of the instance were made. Each spawns tasks that run once all steps are done.
+/// An instance whose components exist. Each start step spawns tasks, which run once all steps are done.
 struct Instance {
     deployment: Deployment,
     services: Services,
-    drain_notices: DrainNotices,
+    drain_notifiers: DrainNotifiers,
 }
 
 impl Instance {
-    /// Heartbeats, the summary in the log, and the watch over silent clients.
+    /// Starts heartbeats, the summary in the log, and the enforcement of client timeouts.
     fn start_reports(&self) {
-        let Services { rounds, registry, front, is_draining, .. } = &self.services;
-        let readiness_follows_health = self.services.parts.settings.borrow().readiness_follows_health;
+        let Services { driver, registry, front_end, is_draining, .. } = &self.services;
+        let readiness_follows_health = self.services.context.settings.borrow().readiness_follows_health;
         let heartbeat = reports::Heartbeat {
             registry: registry.clone(),
             node: self.deployment.name.clone(),
-            rounds: rounds.clone(),
+            driver: driver.clone(),
             is_draining: is_draining.clone(),
             readiness_follows_health,
         };
         self.services.spawn(async move { heartbeat.run().await });
-        let summarized = front.clone();
+        let summarized = front_end.clone();
         self.services.spawn(async move { reports::log_summaries(&summarized).await });
-        let watched = front.clone();
+        let watched = front_end.clone();
         self.services.spawn(async move { watched.connections.enforce_timeouts().await });
     }
 
-    fn reload(&self, configuration_path: PathBuf) -> Reload {
+    fn new_reload(&self, configuration_path: PathBuf) -> Reload {
         let addresses = self.deployment.addresses;
         Reload {
             configuration_path,
             start_fields: self.deployment.start_fields.clone(),
             calls_dependency: addresses.database.is_some(),
-            file: Cell::new(addresses),
-            streamed: Cell::default(),
-            link: self.services.parts.executor.clone(),
-            calls: self.services.parts.dependency_calls.clone(),
+            file_addresses: Cell::new(addresses),
+            streamed_addresses: Cell::default(),
+            executor: self.services.context.executor.clone(),
+            dependency_calls: self.services.context.dependency_calls.clone(),
             registry: self.services.registry.clone(),
-            rounds: self.services.rounds.clone(),
+            driver: self.services.driver.clone(),
         }
     }
 
@@ -169,13 +173,13 @@
         initial: Option<&InitialConfiguration>,
     ) -> Result<(), String> {
         let Some(config) = config else { return Ok(()) };
-        let Services { parts, tasks, .. } = &self.services;
-        let subscription = identity::start(config, stream, initial, &self.deployment, parts)?;
+        let Services { context, tasks, .. } = &self.services;
+        let subscription = identity::start(config, stream, initial, &self.deployment, context)?;
         if let Some((subscription, stream)) = subscription.zip(stream) {
-            let draining = self.drain_notices.identity.clone();
+            let draining = self.drain_notifiers.identity.clone();
             subscription.started.follow(subscription.host, stream, tasks, draining);
         }
-        let audited = parts.clone();
+        let audited = context.clone();
         self.services.spawn(async move { identity::log_denied_requests(&audited).await });
         Ok(())
     }
@@ -188,9 +192,9 @@
         clock_rate: f64,
     ) -> Result<(), String> {
         let Some(((config, stream), initial)) = config.zip(stream).zip(initial) else { return Ok(()) };
-        let Services { parts, tasks, .. } = &self.services;
-        let subscription = budgets::start(config, stream, initial, &self.deployment, parts, clock_rate)?;
-        let draining = self.drain_notices.budgets.clone();
+        let Services { context, tasks, .. } = &self.services;
+        let subscription = budgets::start(config, stream, initial, &self.deployment, context, clock_rate)?;
+        let draining = self.drain_notifiers.budgets.clone();
         subscription.started.follow(subscription.host, stream, tasks, draining);
         Ok(())
     }
@@ -203,34 +207,34 @@
         log_level: LogLevel,
         default_limits: ServiceLimits,
     ) {
-        let Services { parts, tasks, .. } = &self.services;
-        let context = ServingContext {
+        let Services { context, tasks, .. } = &self.services;
+        let serving_context = ServingContext {
             node: self.deployment.name.clone(),
-            parts: parts.clone(),
+            request_context: context.clone(),
             reload: reload.clone(),
             log_level: log_level.handle,
             default_log_level: log_level.default,
             default_limits,
-            calls_dependency: parts.settings.borrow().calls_dependency,
+            calls_dependency: context.settings.borrow().calls_dependency,
         };
-        let (started, host) = initial.start(stream, &self.deployment, context);
-        started.follow(host, stream, tasks, self.drain_notices.serving.clone());
+        let (started, host) = initial.start(stream, &self.deployment, serving_context);
+        started.follow(host, stream, tasks, self.drain_notifiers.serving.clone());
     }
 
-    /// The link to the executor, and the rounds of the controller.
-    fn start_rounds(&self, notices: ExecutorEvents) {
-        let Services { rounds, tasks, .. } = &self.services;
+    /// Starts the link to the executor, and the rounds of the controller.
+    fn start_driver(&self, executor_events: ExecutorEvents) {
+        let Services { driver, tasks, .. } = &self.services;
         let link_tasks = tasks.clone();
-        self.services.spawn(async move { notices.run(&link_tasks).await });
-        let rounds = rounds.clone();
-        self.services.spawn(async move { rounds.run().await });
+        self.services.spawn(async move { executor_events.run(&link_tasks).await });
+        let driver = driver.clone();
+        self.services.spawn(async move { driver.run().await });
     }
 
     fn start_accepting(&self, listener: &Rc<Async<TcpListener>>) -> Task<()> {
         let listener = listener.clone();
-        let front = self.services.front.clone();
+        let front_end = self.services.front_end.clone();
         let accept = async move {
-            listener::accept(&listener, &front.connections, |stream| front.start(stream)).await
+            listener::accept(&listener, &front_end.connections, |stream| front_end.start(stream)).await
         };
         self.services.tasks.spawn(accept)
     }
--- a/crates/hazelgrade-server/src/program/serve/bind.rs
+++ b/crates/hazelgrade-server/src/program/serve/bind.rs
@@ -1,4 +1,4 @@
-//! Listens for clients, and hears signals while the address is not free yet.
+//! Opens the listening socket. Signals are handled while another process still holds the address.
 
 use crate::transport::listener;
 use async_io::{Async, block_on};
@@ -9,25 +9,28 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// A process that is about to exit may still hold the address; one that holds it for longer is another.
+/// How long to wait for the address: an earlier process that is about to exit may still hold it.
 const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The pause between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How listening ended.
 pub enum Bound {
+    /// The socket listens.
     Listening {
+        /// The socket.
         listener: Async<TcpListener>,
-        /// SIGHUP came meanwhile.
+        /// Whether SIGHUP came meanwhile.
         reload_requested: bool,
     },
-    /// SIGTERM or SIGINT came before it listened.
+    /// SIGTERM or SIGINT came before the socket listened.
     ShutdownRequested,
 }
 
 /// Listens on an address, with retries while another process holds it.
 ///
 /// # Errors
-/// The address and the reason, once [`ADDRESS_IN_USE_TIMEOUT`] has passed or for any other reason at once.
+/// The address and the reason: after [`ADDRESS_IN_USE_TIMEOUT`] if the address is in use, otherwise at once.
 pub fn bind(address: SocketAddr, signals: &mut Signals) -> Result<Bound, String> {
     let give_up_at = Instant::now() + ADDRESS_IN_USE_TIMEOUT;
     let mut reload_requested = false;
--- a/crates/hazelgrade-server/src/program/serve/reports.rs
+++ b/crates/hazelgrade-server/src/program/serve/reports.rs
@@ -10,41 +10,47 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Heartbeats may be lost; this many are sent in the three seconds after which an instance is taken off the list.
+/// The registry unlists an instance after three seconds without a heartbeat. Single datagrams may be lost.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// How often the summary is logged while jobs arrive.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Sends heartbeats to the registry.
 pub struct Heartbeat {
+    /// Where heartbeats go.
     pub registry: Rc<Registry>,
+    /// The name of this node.
     pub node: String,
-    pub rounds: Rc<ControllerDriver>,
+    /// Tells whether the instance is healthy.
+    pub driver: Rc<ControllerDriver>,
+    /// Whether shutdown was requested: heartbeats report "not ready" then.
     pub is_draining: Rc<Cell<bool>>,
+    /// Whether heartbeats report "not ready" while the instance is unhealthy.
     pub readiness_follows_health: bool,
 }
 
 impl Heartbeat {
-    /// Sends one at each interval and at each change of health.
+    /// Sends a heartbeat at each interval, and at once when health changes or a heartbeat is requested.
     pub async fn run(&self) {
         loop {
             let is_ready =
-                !self.is_draining.get() && (self.rounds.is_healthy() || !self.readiness_follows_health);
+                !self.is_draining.get() && (self.driver.is_healthy() || !self.readiness_follows_health);
             self.registry.send(&registry::encode(&self.node, is_ready));
-            self.rounds.record_liveness();
+            self.driver.record_liveness();
             let interval = async {
                 Timer::after(HEARTBEAT_INTERVAL).await;
             };
-            or(self.rounds.health_changed(), interval).await;
+            or(self.driver.health_changed(), interval).await;
         }
     }
 }
 
-/// Logs the counters at each interval in which jobs arrived.
-pub async fn log_summaries(front: &FrontEnd) {
+/// Logs the counters after each interval in which jobs arrived.
+pub async fn log_summaries(front_end: &FrontEnd) {
     let mut arrived_before = 0;
     loop {
         Timer::after(SUMMARY_INTERVAL).await;
-        let context = &front.context;
+        let context = &front_end.context;
         let counters = *context.counters.borrow();
         if counters.arrived == arrived_before {
             continue;
@@ -53,23 +59,23 @@
         tracing::info!(
             ?counters,
             in_flight = context.in_flight.count(),
-            connections = front.connections.count(),
+            connections = front_end.connections.count(),
             rounds = context.driver.round_count.get(),
             longest_round_us = context.driver.longest_round.take().as_micros(),
             dependency_connections = context.dependency_calls.connections(),
             calls_lost = context.dependency_calls.lost.get(),
             unknown_call_replies = context.dependency_calls.unknown_replies.get(),
             unknown_jobs = context.in_flight.unknown_jobs.get(),
-            malformed_lines = front.invalid_messages.get(),
-            clients_evicted = front.connections.closed_for_violation.get(),
-            handshakes_failed = front.tls.failed_handshakes(),
+            malformed_lines = front_end.invalid_messages.get(),
+            clients_evicted = front_end.connections.closed_for_violation.get(),
+            handshakes_failed = front_end.tls.failed_handshakes(),
             "summary"
         );
         if let Some(budget_share) = context.driver.budget_share() {
             tracing::info!(
                 jobs_rejected = budget_share.jobs_rejected.get(),
-                calls_too_late = budget_share.calls_expired.get(),
-                grants_rejected = budget_share.ignored_grants(),
+                calls_expired = budget_share.calls_expired.get(),
+                grants_ignored = budget_share.ignored_grants(),
                 "summary of budgets"
             );
         }
--- a/crates/hazelgrade-server/src/program/serve/services.rs
+++ b/crates/hazelgrade-server/src/program/serve/services.rs
@@ -1,4 +1,4 @@
-//! The parts of an instance, made and joined to each other. Nothing runs yet.
+//! Creates the components of an instance and connects them. No task runs yet.
 
 use crate::program::configuration::Deployment;
 use crate::routing::callers::Callers;
@@ -23,22 +23,29 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Idle connections to the dependency are closed after this; it drops them early itself, and opening one costs little.
+/// Idle connections to the dependency are closed after this. The dependency closes idle ones early itself, and opening
+/// one costs little.
 const DEPENDENCY_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The parts of an instance.
+/// The components of an instance.
 pub struct Services {
     /// The executor of all tasks.
     pub tasks: Rc<LocalExecutor<'static>>,
+    /// Sends heartbeats to the registry.
     pub registry: Rc<Registry>,
-    pub rounds: Rc<ControllerDriver>,
-    pub parts: Rc<RequestContext>,
-    pub front: Rc<FrontEnd>,
-    /// Set once shutdown is requested; heartbeats say not ready from then on.
+    /// Runs the controller.
+    pub driver: Rc<ControllerDriver>,
+    /// What all jobs and connections share.
+    pub context: Rc<RequestContext>,
+    /// The connections of clients.
+    pub front_end: Rc<FrontEnd>,
+    /// Set once shutdown is requested; heartbeats report "not ready" from then on.
     pub is_draining: Rc<Cell<bool>>,
 }
 
 impl Services {
+    /// Creates the components of an instance.
+    ///
     /// # Errors
     /// The address of the registry, if no socket can be opened for it.
     pub fn new(
@@ -52,51 +59,55 @@
             .map_err(|error| format!("field registry: {}: {error}", addresses.registry))?;
         tracing::info!(name = deployment.name, listen = %deployment.listen, "started");
         let tasks = Rc::new(LocalExecutor::new());
-        let hand = Rc::new(InFlightTable::default());
+        let in_flight = Rc::new(InFlightTable::default());
         let result_cache = Rc::new(ResultCache::new(deployment.max_result_cache_bytes()));
-        let link = Rc::new(ExecutorLink::new(addresses.executor));
-        let rounds = Rc::new(ControllerDriver::new(
+        let executor = Rc::new(ExecutorLink::new(addresses.executor));
+        let driver = Rc::new(ControllerDriver::new(
             controller,
             host_settings.tick,
-            hand.clone(),
+            in_flight.clone(),
             result_cache.clone(),
-            link.clone(),
+            executor.clone(),
         ));
         if let Some(test_faults) = test_faults {
             tracing::warn!(?test_faults, "this node has faults injected, for tests");
-            rounds.clock.skew(test_faults.clock_offset_ms, test_faults.clock_rate);
+            driver.clock.skew(test_faults.clock_offset_ms, test_faults.clock_rate);
         }
         let max_connections = deployment.max_dependency_connections();
         let database = addresses
             .database
             .map(|address| Database::new(address, max_connections, DEPENDENCY_IDLE_TIMEOUT));
-        let calls = Rc::new(DependencyCalls::new(database, hand.clone(), tasks.clone()));
-        let parts = Rc::new(RequestContext {
-            driver: rounds.clone(),
-            in_flight: hand,
+        let dependency_calls = Rc::new(DependencyCalls::new(database, in_flight.clone(), tasks.clone()));
+        let context = Rc::new(RequestContext {
+            driver: driver.clone(),
+            in_flight,
             result_cache,
-            dependency_calls: calls,
-            executor: link,
+            dependency_calls,
+            executor,
             settings: RefCell::new(Rc::new(host_settings)),
             counters: RefCell::new(Counters::default()),
             callers: Callers::default(),
         });
-        let front = Rc::new(FrontEnd {
-            context: parts.clone(),
+        let front_end = Rc::new(FrontEnd {
+            context: context.clone(),
             connections: ClientConnections::new(deployment.max_client_connections()),
             tasks: tasks.clone(),
             invalid_messages: Cell::new(0),
             tls: Rc::new(Tls::default()),
         });
         let is_draining = Rc::default();
-        Ok(Services { tasks, registry: Rc::new(registry), rounds, parts, front, is_draining })
+        Ok(Services { tasks, registry: Rc::new(registry), driver, context, front_end, is_draining })
     }
 
-    /// What turns messages of the executor into events of jobs.
-    pub fn notices(&self) -> ExecutorEvents {
-        let RequestContext { driver: rounds, in_flight: hand, executor: link, settings: site, .. } =
-            &*self.parts;
-        ExecutorEvents::new(rounds.clone(), hand.clone(), link.clone(), &site.borrow().gauge_names)
+    /// The handler of the executor's events.
+    pub fn executor_events(&self) -> ExecutorEvents {
+        let RequestContext { driver, in_flight, executor, settings, .. } = &*self.context;
+        ExecutorEvents::new(
+            driver.clone(),
+            in_flight.clone(),
+            executor.clone(),
+            &settings.borrow().gauge_names,
+        )
     }
 
     /// Runs a task until the exit.
--- a/crates/hazelgrade-server/src/program/serve/signals.rs
+++ b/crates/hazelgrade-server/src/program/serve/signals.rs
@@ -15,12 +15,12 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Catches the signals from here on. It comes before anything that may wait: uncaught, each ends the process.
+/// Catches the signals from now on. Call it before anything that may wait: an uncaught signal ends the process.
 pub fn install() -> Result<Signals, String> {
     Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(|error| format!("signals: {error}"))
 }
 
-/// Passes the request to shut down from the signals to the shutdown.
+/// Passes a shutdown request from the signal handler to the drain.
 #[derive(Default)]
 pub struct ShutdownRequest {
     notify: Notify,
@@ -29,64 +29,65 @@
 
 impl ShutdownRequest {
     /// Requests shutdown; only the first request counts.
-    fn request(&self, rounds: &ControllerDriver) {
+    fn request(&self, driver: &ControllerDriver) {
         if self.requested_at.get().is_some() {
             return;
         }
-        // If the process was stopped, the signal came meanwhile: at worst, as soon as it was last seen to run.
-        self.requested_at.set(Some(rounds.record_liveness()));
+        // If the process was suspended, the signal came during the pause: assume the earliest time, its beginning.
+        self.requested_at.set(Some(driver.record_liveness()));
         self.notify.notify();
     }
 
-    /// Waits for the request; gives its time.
-    pub async fn requested(&self, rounds: &ControllerDriver) -> Time {
+    /// Waits for the request and returns its time.
+    pub async fn requested(&self, driver: &ControllerDriver) -> Time {
         self.notify.notified().await;
-        self.requested_at.get().unwrap_or_else(|| rounds.record_liveness())
+        self.requested_at.get().unwrap_or_else(|| driver.record_liveness())
     }
 }
 
-/// Reads all files again that a reload takes in.
+/// Reads the configuration, certificates and identity document again on SIGHUP.
 pub struct Reloader {
     configuration: Rc<Reload>,
     tls: Option<TlsConfig>,
     /// The identity document, if it is not streamed.
     identity_document: Option<PathBuf>,
-    front: Rc<FrontEnd>,
+    front_end: Rc<FrontEnd>,
 }
 
 impl Reloader {
+    /// A reloader for the files that the operator's file names.
     pub fn new(operator: &OperatorConfig, configuration: Rc<Reload>, services: &Services) -> Reloader {
         let identity = operator.identity.as_ref().filter(|identity| !identity.streamed);
         Reloader {
             configuration,
             tls: operator.tls.clone(),
             identity_document: identity.and_then(|identity| identity.document.clone()),
-            front: services.front.clone(),
+            front_end: services.front_end.clone(),
         }
     }
 
-    /// Reads the files; one that is wrong changes nothing, and is logged.
+    /// Reads the files. A file that is wrong changes nothing, and its error is logged.
     fn reload(&self) {
-        let FrontEnd { context: parts, tls, .. } = &*self.front;
+        let FrontEnd { context, tls, .. } = &*self.front_end;
         self.configuration.reload();
-        match self.tls.as_ref().map(|config| tls::load(config, tls, parts)) {
+        match self.tls.as_ref().map(|config| tls::load(config, tls, context)) {
             Some(Ok(())) => tracing::info!("certificates reloaded"),
             Some(Err(error)) => tracing::error!(error, "the new certificates are wrong and change nothing"),
             None => {}
         }
         if let Some(path) = &self.identity_document {
-            identity::reload(path, parts);
+            identity::reload(path, context);
         }
     }
 }
 
-/// Handles signals until it is dropped. `reload_requested`: a SIGHUP that came before.
+/// Handles signals until the future is dropped. `reload_requested` tells that a SIGHUP came before.
 pub async fn handle<Output>(
     mut signals: Signals,
     reload_requested: bool,
     reloader: &Reloader,
     shutdown: &ShutdownRequest,
-    rounds: &ControllerDriver,
+    driver: &ControllerDriver,
 ) -> Output {
     if reload_requested {
         reloader.reload();
@@ -94,7 +95,7 @@
     while let Some(signal) = signals.next().await {
         match signal {
             Ok(Signal::Hup) => reloader.reload(),
-            _ => shutdown.request(rounds),
+            _ => shutdown.request(driver),
         }
     }
     std::future::pending().await
--- a/crates/hazelgrade-server/src/program/serving_document.rs
+++ b/crates/hazelgrade-server/src/program/serving_document.rs
@@ -1,4 +1,4 @@
-//! The serving document in a node: what it starts from, and its subscription to new versions.
+//! Serving documents: the version that a node starts from, and its subscription to new ones.
 
 mod host;
 mod slot_table;
@@ -15,23 +15,24 @@
 use hazelgrade_store::{Store, StoreError};
 use hazelgrade_stream::stored::{self, StoredState};
 
-/// What a node that follows control services starts from.
+/// What a node that subscribes to control services starts from.
 pub struct InitialConfiguration {
+    /// The node's store.
     pub store: SharedStore,
     /// What is stored of serving documents.
     stored: StoredState,
-    /// What is stored, if it can't be read.
+    /// The stored bytes, if they can't be decoded.
     unreadable: Option<Vec<u8>>,
-    /// The document to start by where nothing is stored.
+    /// The document to start with if nothing is stored.
     document: Option<Document>,
 }
 
 impl InitialConfiguration {
-    /// Opens the store and reads the document. A store that can't be used is left as it is, and the node starts by its
-    /// document. In tests, the process kills itself at change number `kill_at` of the store.
+    /// Opens the store and reads the document. A store that can't be used is left as it is, and the node starts with
+    /// its document. In tests, the process kills itself at change number `kill_at` of the store.
     ///
     /// # Errors
-    /// A document that is wrong, and a store of another owner or in use: both are slips of the operator.
+    /// A document that is wrong, and a store of another owner or in use: both are mistakes of the operator.
     pub fn open(
         stream: &StreamConfig,
         owner: &str,
@@ -55,7 +56,9 @@
                 match bytes.as_deref().map(|bytes| StoredState::decode(Kind::Serving, bytes)).transpose() {
                     Ok(state) => stored = state.unwrap_or_default(),
                     Err(error) => {
-                        tracing::error!("field stream.store: {path}: what was kept can't be read, {error}");
+                        tracing::error!(
+                            "field stream.store: {path}: the stored configuration can't be read: {error}"
+                        );
                         unreadable = bytes;
                     }
                 }
@@ -66,14 +69,14 @@
                 Err(format!("field stream.store: {path}: {error}"))
             }
             Err(error) => {
-                tracing::error!("field stream.store: {path}: {error}; nothing can be kept");
+                tracing::error!("field stream.store: {path}: {error}; nothing can be stored");
                 let store = SharedStore::unusable(format!("{path}: {error}"));
                 Ok(InitialConfiguration { store, stored: StoredState::default(), unreadable: None, document })
             }
         }
     }
 
-    /// Limits of the process, by the document that the node starts by.
+    /// The process limits of the document that the node starts with.
     pub fn resource_limits(&self) -> ResourceLimits {
         let stored = self.stored.last_good.as_ref().map(|good| &good.document);
         stored.or(self.document.as_ref()).map(Document::resource_limits).unwrap_or_default()
@@ -86,7 +89,7 @@
         deployment: &Deployment,
         context: ServingContext,
     ) -> (StartedSubscription, ServingHost) {
-        context.parts.driver.set_ready(false);
+        context.request_context.driver.set_ready(false);
         let subscription = Subscription {
             kind: Kind::Serving,
             deployment,
@@ -95,7 +98,7 @@
             stored: self.stored,
             initial: self.document,
         };
-        let started = subscription.start(context.parts.driver.clock.now());
+        let started = subscription.start(context.request_context.driver.clock.now());
         (started, ServingHost::new(context, self.store, self.unreadable))
     }
 }
--- a/crates/hazelgrade-server/src/program/serving_document/host.rs
+++ b/crates/hazelgrade-server/src/program/serving_document/host.rs
@@ -1,4 +1,4 @@
-//! How a serving document takes effect in a node, and how the node's service under it is measured.
+//! Applies a serving document to the node, and measures how the node serves under it.
 
 use super::slot_table::{RevisedTable, SlotTable};
 use crate::program::logging::LevelHandle;
@@ -19,17 +19,21 @@
 use std::rc::Rc;
 use tracing::level_filters::LevelFilter;
 
-/// Stored state that can't be read is put aside under this name before its own name is written.
+/// Stored state that can't be read is preserved under this name when its own name is written again.
 const UNREADABLE_NAME: &str = "configuration.unread";
 
 /// A removed name's slot is quarantined for this many times the longest time in which a job or a retry may refer to it.
 const QUARANTINE_FACTOR: f64 = 2.0;
 
-/// What of the program a serving document changes.
+/// The components that a serving document changes.
 pub struct ServingContext {
+    /// The name of this node.
     pub node: String,
-    pub parts: Rc<RequestContext>,
+    /// What all jobs and connections share.
+    pub request_context: Rc<RequestContext>,
+    /// Takes the addresses of a document.
     pub reload: Rc<Reload>,
+    /// Changes the log level.
     pub log_level: LevelHandle,
     /// The level of the command line, for documents that have none.
     pub default_log_level: LevelFilter,
@@ -39,11 +43,11 @@
     pub calls_dependency: bool,
 }
 
-/// The node, to its subscription to serving documents.
+/// Applies serving documents to the node.
 pub struct ServingHost {
     context: ServingContext,
     store: SharedStore,
-    /// Stored state that can't be read, until it is put aside.
+    /// Stored state that can't be read, until it is preserved under [`UNREADABLE_NAME`].
     unreadable: Rc<RefCell<Option<Vec<u8>>>>,
     job_classes: RefCell<SlotTable<JobClass>>,
     tenants: RefCell<SlotTable<Tenant>>,
@@ -58,6 +62,7 @@
 }
 
 impl ServingHost {
+    /// `unreadable` is stored state that can't be read and must be preserved.
     pub fn new(context: ServingContext, store: SharedStore, unreadable: Option<Vec<u8>>) -> ServingHost {
         ServingHost {
             context,
@@ -69,31 +74,32 @@
         }
     }
 
-    /// Makes controller, fronts and links go by a document; by no job classes at all if there is none. An error changes
-    /// nothing.
+    /// Applies a document to the controller, the settings and the peers' addresses. Without one, no job class is
+    /// served. An error changes nothing.
     fn apply(&self, document: Option<&Document>) -> Result<(), String> {
         let context = &self.context;
-        let parts = &context.parts;
-        let now = parts.driver.clock.now();
+        let request_context = &context.request_context;
+        let now = request_context.driver.clock.now();
         let settings = self.settings_of(document);
         let job_classes = self.revised_job_classes(now, &settings)?;
         let tenants = self.revised_tenants(now, &settings)?;
-        // Of all that may fail this is the last; after it all of the document takes effect.
+        // The addresses are the last step that may fail: the controller accepts all settings that keep the slots, as these
+        // do.
         let addresses = document.map(|document| document.addresses_for(&context.node)).unwrap_or_default();
         context.reload.set_streamed(addresses).map_err(|error| error.to_string())?;
-        if !parts.driver.update_settings(settings_update(settings.limits, &job_classes, &tenants)) {
+        if !request_context.driver.update_settings(settings_update(settings.limits, &job_classes, &tenants)) {
             return Err("a place was taken away that jobs in hand may name".into());
         }
-        let before = parts.settings.borrow().clone();
-        parts.settings.replace(Rc::new(HostSettings {
+        let before = request_context.settings.borrow().clone();
+        request_context.settings.replace(Rc::new(HostSettings {
             job_classes: job_class_entries(&job_classes.table),
             tenants: tenant_names(&tenants.table),
             ..(*before).clone()
         }));
-        parts.callers.settings_changed(&parts.settings.borrow());
+        request_context.callers.settings_changed(&request_context.settings.borrow());
         self.job_classes.replace(job_classes.table);
         self.tenants.replace(tenants.table);
-        parts.driver.set_ready(document.is_some());
+        request_context.driver.set_ready(document.is_some());
         self.set_log_level(document);
         Ok(())
     }
@@ -117,8 +123,8 @@
         now: Time,
         settings: &ServingSettings,
     ) -> Result<RevisedTable<JobClass>, String> {
-        let parts = &self.context.parts;
-        let is_busy = |slot| parts.in_flight.any(|job_class, _| job_class == slot);
+        let request_context = &self.context.request_context;
+        let is_busy = |slot| request_context.in_flight.any(|job_class, _| job_class == slot);
         let job_classes = self.job_classes.borrow();
         job_classes
             .revised(now, &settings.job_classes, quarantine, MAX_JOB_CLASSES, is_busy)
@@ -126,8 +132,8 @@
     }
 
     fn revised_tenants(&self, now: Time, settings: &ServingSettings) -> Result<RevisedTable<Tenant>, String> {
-        let parts = &self.context.parts;
-        let is_busy = |slot| parts.in_flight.any(|_, tenant| tenant == slot);
+        let request_context = &self.context.request_context;
+        let is_busy = |slot| request_context.in_flight.any(|_, tenant| tenant == slot);
         let classes = settings.job_classes.iter();
         let longest = classes.map(|(_, class)| quarantine(class)).max().unwrap_or(Span::ZERO);
         let tenants = self.tenants.borrow();
@@ -185,7 +191,7 @@
 
 impl Host for ServingHost {
     fn now(&self) -> Time {
-        self.context.parts.driver.clock.now()
+        self.context.request_context.driver.clock.now()
     }
 
     fn store(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
@@ -193,8 +199,8 @@
         let unreadable = self.unreadable.clone();
         async move {
             let mut values = vec![(stored::store_key(Kind::Serving), bytes)];
-            let put_aside = unreadable.borrow().clone();
-            values.extend(put_aside.map(|bytes| (UNREADABLE_NAME, bytes)));
+            let preserved = unreadable.borrow().clone();
+            values.extend(preserved.map(|bytes| (UNREADABLE_NAME, bytes)));
             let written = store.write(values).await;
             if written.is_ok() {
                 unreadable.replace(None);
@@ -209,8 +215,8 @@
     }
 
     fn sample(&self) -> Sample {
-        let parts = &self.context.parts;
-        let counters = *parts.counters.borrow();
+        let request_context = &self.context.request_context;
+        let counters = *request_context.counters.borrow();
         let counted = CountedJobs {
             answered: counters.succeeded
                 + counters.rejected
@@ -223,7 +229,7 @@
         Sample {
             answered: counted.answered.saturating_sub(before.answered) as f64,
             succeeded: counted.succeeded.saturating_sub(before.succeeded) as f64,
-            executor_connected: parts.executor.is_up(),
+            executor_connected: request_context.executor.is_up(),
         }
     }
 }
--- a/crates/hazelgrade-server/src/program/serving_document/slot_table.rs
+++ b/crates/hazelgrade-server/src/program/serving_document/slot_table.rs
@@ -1,22 +1,24 @@
-//! Names with their slots in the controller, and the settings that each had last.
+//! Assigns names to slots of the controller, and stores the last settings of each slot.
 
 use hazelgrade::time::{Span, Time};
 use hazelgrade_settings::slots::{NameRequest, Slots, SlotsExhausted};
 
-/// A removed name keeps its slot for a while; there are this many slots for each name that a document may have.
+/// Slots for each name that a document may have: removed names occupy theirs for a while.
 const SLOTS_PER_NAME: usize = 4;
 
 /// Names, their slots, and the settings by slot.
 pub struct SlotTable<T> {
+    /// The slots of the names.
     pub slots: Slots,
-    /// By slot; those of a removed name are as they were.
+    /// The settings by slot; a removed name's slot has the last ones.
     pub settings: Vec<T>,
 }
 
 /// A table after a change of names or settings.
 pub struct RevisedTable<T> {
+    /// The revised table.
     pub table: SlotTable<T>,
-    /// Slots that have another name than before.
+    /// Slots that were assigned to another name.
     pub reused: Vec<usize>,
 }
 
@@ -27,8 +29,8 @@
 }
 
 impl<T: Clone> SlotTable<T> {
-    /// The table for other names with their settings. `quarantine` is how long a name's slot is not reused after its
-    /// removal, `is_busy` whether a job in flight refers to a slot.
+    /// The table for new names and settings. `quarantine` gives how long a name's slot is not reused after the name was
+    /// removed, `is_busy` whether a job in flight refers to a slot.
     pub fn revised(
         &self,
         now: Time,
@@ -44,10 +46,10 @@
         let assignment = self.slots.assign(now, &requests, max_names * SLOTS_PER_NAME, is_busy)?;
         let mut settings = self.settings.clone();
         // New slots are at the end, in the order of their names.
-        for (slot, (_, of_name)) in assignment.slot_of_name.iter().zip(named) {
+        for (slot, (_, new_settings)) in assignment.slot_of_name.iter().zip(named) {
             match settings.get_mut(*slot) {
-                Some(settings) => *settings = of_name.clone(),
-                None => settings.push(of_name.clone()),
+                Some(settings) => *settings = new_settings.clone(),
+                None => settings.push(new_settings.clone()),
             }
         }
         let table = SlotTable { slots: assignment.slots, settings };
--- a/crates/hazelgrade-server/src/program/store.rs
+++ b/crates/hazelgrade-server/src/program/store.rs
@@ -24,7 +24,7 @@
         SharedStore(Err(reason))
     }
 
-    /// What is stored of a kind of document; nothing if it can't be read, which is logged.
+    /// The stored state for a kind of document. If it can't be read, logs an error and returns the default.
     pub fn stored_state(&self, kind: Kind) -> StoredState {
         let bytes = self.0.as_ref().ok().and_then(|store| {
             let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Writes values together, off the serving thread; they are on the disk when it is done.
+    /// Writes values in one transaction on a background thread. They are on disk when the future completes.
     pub fn write(&self, values: Vec<NamedValue>) -> BoxedLocal<Result<(), String>> {
         let store = self.0.clone();
         async move {
--- a/crates/hazelgrade-server/src/program/subscription.rs
+++ b/crates/hazelgrade-server/src/program/subscription.rs
@@ -1,4 +1,4 @@
-//! The subscription of a node to one kind of document, as the control services publish it.
+//! The subscription of a node to one kind of document, which the control services publish.
 
 use super::configuration::Deployment;
 use async_executor::LocalExecutor;
@@ -15,23 +15,28 @@
 
 /// What a subscription starts from.
 pub struct Subscription<'a> {
+    /// The kind of document.
     pub kind: Kind,
+    /// The node's name and seed.
     pub deployment: &'a Deployment,
+    /// The control services.
     pub stream: &'a StreamConfig,
+    /// How a new version is tried.
     pub trial: Trial,
-    /// What the store has of this kind.
+    /// The stored state for this kind.
     pub stored: StoredState,
-    /// The document to start by where nothing is stored.
+    /// The document to start with if nothing is stored.
     pub initial: Option<Document>,
 }
 
-/// A subscription that has started, and what it wants done first.
+/// A subscription that has started, and its first actions.
 pub struct StartedSubscription {
     subscriber: Subscriber,
     first_actions: Vec<Action>,
 }
 
 impl Subscription<'_> {
+    /// Starts the subscription; [`StartedSubscription::follow`] connects it.
     pub fn start(self, now: Time) -> StartedSubscription {
         let Subscription { kind, deployment, stream, trial, stored, initial } = self;
         let start = SubscriberConfig {
@@ -52,7 +57,7 @@
     }
 }
 
-/// Rotates the node's seed by these bits, so that each subscription has random numbers of its own.
+/// The number of bits by which the node's seed is rotated, so that each subscription has its own random numbers.
 fn seed_rotation(kind: Kind) -> u32 {
     match kind {
         Kind::Serving => 32,
@@ -62,7 +67,8 @@
 }
 
 impl StartedSubscription {
-    /// Follows the control services in a task of its own; `draining` tells it that the node is shutting down.
+    /// Spawns a task that receives documents from the control services. `draining` notifies it of
+    /// the drain.
     pub fn follow<H: Host + 'static>(
         self,
         host: H,
@@ -71,12 +77,12 @@
         draining: Rc<Notify>,
     ) {
         let StartedSubscription { subscriber, first_actions } = self;
-        let follow = SubscriberClient {
+        let client = SubscriberClient {
             host: Rc::new(host),
             control_services: stream.control_services.clone(),
             executor: tasks.clone(),
             drain_started: draining,
         };
-        tasks.spawn(async move { follow.run(subscriber, first_actions).await }).detach();
+        tasks.spawn(async move { client.run(subscriber, first_actions).await }).detach();
     }
 }
--- a/crates/hazelgrade-server/src/program/tls.rs
+++ b/crates/hazelgrade-server/src/program/tls.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Takes in the files as they are now: all of it for new connections, revocations for open ones too.
+/// Reads the files again. Their content applies to new connections, revocations to open ones too.
 ///
 /// # Errors
 /// The first file that is wrong, with its field; nothing is changed then.
@@ -66,7 +66,7 @@
     Ok(certificates)
 }
 
-/// Clients may show a certificate and need not: those that show none may still authenticate by a token.
+/// Builds the verifier of client certificates. Certificates are optional: clients may authenticate by a token instead.
 fn client_verifier(
     authorities: &Path,
     revocations: Option<&Path>,
@@ -99,7 +99,7 @@
         revoked_serials.extend(list.serials);
         let now_s = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs() as i64);
         if list.next_update_s.is_some_and(|next_update_s| next_update_s < now_s) {
-            // It still says who was revoked; without it revoked clients would be accepted, or all rejected.
+            // An outdated list is still used: without it revoked clients would be accepted, or all clients rejected.
             tracing::warn!(path = %path.display(), "the list of revoked certificates is past its next update");
         }
     }
--- a/crates/hazelgrade-server/src/protocol/mod.rs
+++ b/crates/hazelgrade-server/src/protocol/mod.rs
@@ -1,7 +1,5 @@
 //! The messages of each peer, decoded once into typed values and encoded once. Names on the wire appear here and
-//! nowhere else. No input, no output.
-
-#![warn(missing_docs)]
+//! nowhere else. No I/O.
 
 pub mod database;
 pub mod executor;
--- a/crates/hazelgrade-server/src/routing/budget_share.rs
+++ b/crates/hazelgrade-server/src/routing/budget_share.rs
@@ -1,5 +1,5 @@
-//! This node's share of the budgets that all nodes share: its leases, on this machine's monotonic clock, and where
-//! they act.
+//! This node's share of the budgets that all nodes share: its leases, on this machine's monotonic clock, and the limits
+//! that they set.
 //!
 //! The controller bounds calls by the lease; right before a call is sent the lease is checked once more, as the
 //! process may have been suspended in between. A tenant's jobs a second and retries are bounded by token buckets; the
@@ -17,17 +17,17 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// The demand of a second is measured with this time constant, in milliseconds. A job that is rejected with no better
-/// estimate is told to come back after it.
+/// Time constant of the measured demand, in milliseconds; also the retry-after where the bucket can't tell when the
+/// next token comes.
 const DEMAND_TIME_CONSTANT_MS: f64 = 1000.0;
-/// The least time that a call may take from the decision to the socket: the node counts it for that much longer.
+/// The least time that a call may take from the decision to the socket.
 const MIN_SEND_TIME: Duration = Duration::from_millis(25);
 
 /// A token bucket that is refilled by this node's share of a budget.
 struct RateLimit {
     budget: String,
     bucket: TokenBucket,
-    /// Jobs that asked for a token, whether they got one or not.
+    /// Attempts to take a token, including failed ones.
     demand: DecayingSum,
     terms: BudgetTerms,
 }
@@ -42,20 +42,20 @@
         }
     }
 
-    /// The limit under new terms; the tokens of one that was there under this budget are kept.
-    fn replace(now: Time, budget: &str, terms: &BudgetTerms, before: Option<RateLimit>) -> RateLimit {
-        match before {
+    /// The limit under new terms. The tokens are those of `previous`, if that was a limit of the same budget.
+    fn with_terms(now: Time, budget: &str, terms: &BudgetTerms, previous: Option<RateLimit>) -> RateLimit {
+        match previous {
             Some(limit) if limit.budget == budget => RateLimit { terms: terms.clone(), ..limit },
             _ => RateLimit::new(now, budget, terms),
         }
     }
 
-    /// Tokens wanted in a second.
+    /// Tokens wanted per second.
     fn wanted(&mut self, now: Time) -> u32 {
         (self.demand.value(now) * 1000.0 / DEMAND_TIME_CONSTANT_MS).ceil() as u32
     }
 
-    /// Takes a token; without one, gives when there may be one.
+    /// Takes a token. The error is the time until one may be available.
     fn take(&mut self, now: Time) -> Result<(), Span> {
         self.demand.add(now, 1.0);
         let taken = self.bucket.try_take(now);
@@ -63,32 +63,33 @@
     }
 }
 
-/// This node's shares, with their own clock.
+/// This node's shares, with a clock of their own.
 pub struct BudgetShare {
-    /// Zero of the clock.
+    /// When the clock showed 0.
     started: Instant,
-    /// How fast this process's clock runs; other than 1 in tests only.
+    /// How fast the clock runs; 1 except in tests.
     clock_rate: f64,
     holder: RefCell<LeaseHolder>,
-    /// The budget of calls in flight, if one is known.
+    /// The name of the budget of calls in flight, if there is one.
     call_budget: RefCell<Option<String>>,
-    /// The limits on jobs a second, by tenant.
+    /// The limits on jobs per second, by tenant.
     tenant_limits: RefCell<BTreeMap<String, RateLimit>>,
     retry_limit: RefCell<Option<RateLimit>>,
     /// Calls in flight or lingering at the dependency after the last round.
     calls_in_flight: Cell<u32>,
     /// How long a call may take from the decision to the socket.
     max_send_time: Duration,
+    /// Notified when a request may be due earlier than before.
     changed: Notify,
-    /// Calls that were not made, as the lease they were decided under had ended.
+    /// Calls that were not made because their lease had expired.
     pub calls_expired: Cell<u64>,
-    /// Jobs rejected as this node's share was used up.
+    /// Jobs rejected because this node's share was used up.
     pub jobs_rejected: Cell<u64>,
 }
 
 impl BudgetShare {
-    /// `holder` must be made with the clock of this share, which starts at 0. Until budgets are set, `call_budget` is
-    /// that of the calls; a call may stay at the dependency for `linger`.
+    /// A share without budgets. `holder` must use the clock of this share, which starts at 0. `call_budget` names the
+    /// budget of calls until budgets are set. A call may stay at the dependency for `linger`.
     pub fn new(
         holder: LeaseHolder,
         call_budget: Option<String>,
@@ -110,35 +111,37 @@
         }
     }
 
-    /// Monotonic.
+    /// The time on the share's monotonic clock.
     fn now(&self) -> Time {
         Time::from_ms(self.started.elapsed().as_secs_f64() * 1000.0 * self.clock_rate)
     }
 
+    /// Converts a time on the share's clock.
     fn instant(&self, at: Time) -> Instant {
         let ms = at.since(Time::from_ms(0.0)).as_ms() / self.clock_rate;
         self.started + Duration::from_secs_f64(ms / 1000.0)
     }
 
-    /// Replaces the budgets that this node is bound by.
+    /// Replaces the budgets that limit this node.
     pub fn set_budgets(&self, budgets: &BTreeMap<String, BudgetTerms>) {
         let now = self.now();
         let mut tenant_limits = self.tenant_limits.borrow_mut();
         let mut retry_limit = self.retry_limit.borrow_mut();
-        let mut tenant_limits_before = std::mem::take(&mut *tenant_limits);
-        let mut retry_limit_before = retry_limit.take();
+        let mut previous_tenant_limits = std::mem::take(&mut *tenant_limits);
+        let mut previous_retry_limit = retry_limit.take();
         for (name, terms) in budgets {
             match (terms.measure, &terms.tenant) {
                 (Measure::ConcurrentCalls, _) => {
                     self.call_budget.replace(Some(name.clone()));
                 }
                 (Measure::Rate { .. }, Some(tenant)) => {
-                    let limit = RateLimit::replace(now, name, terms, tenant_limits_before.remove(tenant));
+                    let limit =
+                        RateLimit::with_terms(now, name, terms, previous_tenant_limits.remove(tenant));
                     tenant_limits.insert(tenant.clone(), limit);
                 }
                 (Measure::Rate { .. }, None) => {}
                 (Measure::Retries { .. }, _) => {
-                    *retry_limit = Some(RateLimit::replace(now, name, terms, retry_limit_before.take()));
+                    *retry_limit = Some(RateLimit::with_terms(now, name, terms, previous_retry_limit.take()));
                 }
             }
         }
@@ -148,50 +151,50 @@
         self.changed.notify();
     }
 
-    /// The lease of calls, on the controller's clock; `None` where no budget of calls is known.
+    /// The lease of calls, on the controller's clock; `None` if there is no budget of calls.
     pub fn call_lease(&self, controller_now: Time) -> Option<CallLease> {
         let now = self.now();
         let call_budget = self.call_budget.borrow();
-        let allowed = self.holder.borrow().entitlement(now, call_budget.as_ref()?);
+        let entitlement = self.holder.borrow().entitlement(now, call_budget.as_ref()?);
         let on_controller_clock = |at: Time| controller_now + at.since(now) * (1.0 / self.clock_rate);
         Some(CallLease {
-            calls: f64::from(allowed.units),
-            expires: allowed.expires_at.map_or(controller_now, on_controller_clock),
-            calls_after_expiry: f64::from(allowed.unleased),
-            max_call_time: allowed.max_use_time,
-            retry_after: allowed.retry_at.map_or(Span::ZERO, |at| at.since(now)),
+            calls: f64::from(entitlement.units),
+            expires: entitlement.expires_at.map_or(controller_now, on_controller_clock),
+            calls_after_expiry: f64::from(entitlement.unleased),
+            max_call_time: entitlement.max_use_time,
+            retry_after: entitlement.retry_at.map_or(Span::ZERO, |at| at.since(now)),
         })
     }
 
-    /// Records the controller's calls after a round, and those that it would make.
+    /// Records the calls that the controller has in flight after a round, and those that it wants.
     pub fn record_call_demand(&self, demand: CallDemand) {
-        let used = demand.in_flight as u32;
-        let wants = demand.wanted.round() as u32;
-        self.calls_in_flight.set(used);
+        let in_use = demand.in_flight as u32;
+        let wanted = demand.wanted.round() as u32;
+        self.calls_in_flight.set(in_use);
         let Some(budget) = self.call_budget.borrow().clone() else { return };
         let now = self.now();
         let mut holder = self.holder.borrow_mut();
-        let request_before = holder.next_request_at();
-        holder.record_usage(now, &budget, Usage { in_use: used, wanted: wants });
-        if holder.next_request_at() < request_before {
+        let previous_request_at = holder.next_request_at();
+        holder.record_usage(now, &budget, Usage { in_use, wanted });
+        if holder.next_request_at() < previous_request_at {
             self.changed.notify();
         }
     }
 
-    /// Checks the lease right before a call is sent: until when the call may be handed to the system, or `None` if it
-    /// may not be sent at all.
+    /// Checks the lease right before a call is sent. Returns the time by which the call must be handed to the system,
+    /// or `None` if it must not be sent.
     pub fn call_expiry(&self) -> Option<Instant> {
         let now = self.now();
         let call_budget = self.call_budget.borrow();
         let expires_at = Instant::now() + self.max_send_time;
         let Some(budget) = &*call_budget else { return Some(expires_at) };
-        let allowed = self.holder.borrow().entitlement(now, budget);
-        let used = self.calls_in_flight.get();
-        if used <= allowed.unleased {
+        let entitlement = self.holder.borrow().entitlement(now, budget);
+        let in_use = self.calls_in_flight.get();
+        if in_use <= entitlement.unleased {
             return Some(expires_at);
         }
-        match allowed.expires_at {
-            Some(until) if used <= allowed.units => Some(expires_at.min(self.instant(until))),
+        match entitlement.expires_at {
+            Some(until) if in_use <= entitlement.units => Some(expires_at.min(self.instant(until))),
             _ => {
                 self.calls_expired.set(self.calls_expired.get() + 1);
                 None
@@ -199,8 +202,9 @@
         }
     }
 
-    /// Takes the tokens of a job that arrived. Gives when there may be more if a budget has none left for it; a token
-    /// that was taken from another budget goes back then.
+    /// Takes the tokens of a job that arrived: one of its tenant's limit, and one of the retry limit if it is a retry.
+    /// If either has none left, takes none and returns the time until there may be one. A first attempt deposits into
+    /// the retry limit.
     pub fn take_tokens(&self, job: &Job, tenant: Option<&str>) -> Option<Span> {
         let now = self.now();
         let mut tenant_limits = self.tenant_limits.borrow_mut();
@@ -225,12 +229,13 @@
         Some(retry_after)
     }
 
+    /// Adjusts the rate of a bucket to this node's current share.
     fn refill(&self, now: Time, limit: &mut RateLimit) {
         let units = self.holder.borrow().entitlement(now, &limit.budget).units;
         limit.bucket.resize(now, limit.terms.measure, limit.terms.total, units);
     }
 
-    /// The request for leases that is due.
+    /// Takes the request for leases, if one is due.
     pub fn due_request(&self) -> Option<LeaseRequest> {
         let now = self.now();
         let mut holder = self.holder.borrow_mut();
@@ -244,10 +249,10 @@
         if let Some(limit) = &mut *self.retry_limit.borrow_mut() {
             demands.push((limit.budget.clone(), limit.wanted(now)));
         }
-        // Nothing of a rate is in flight: a share that is taken away is not used from that moment on.
-        demands.into_iter().for_each(|(budget, wants)| {
-            holder.record_usage(now, &budget, Usage { in_use: 0, wanted: wants })
-        });
+        // Units of a rate are never in use: a share that is withdrawn stops counting at once.
+        demands
+            .into_iter()
+            .for_each(|(budget, wanted)| holder.record_usage(now, &budget, Usage { in_use: 0, wanted }));
         holder.take_request(now)
     }
 
@@ -257,22 +262,22 @@
         controller_now + next.since(self.now()) * (1.0 / self.clock_rate)
     }
 
-    /// Takes a grant of the lessor; `false` if it changes nothing.
+    /// Applies a grant of the lessor; returns `false` if it changes nothing.
     pub fn apply_grant(&self, grant: &LeaseGrant) -> bool {
         self.holder.borrow_mut().on_grant(self.now(), grant)
     }
 
-    /// The lessor asks for a request at once.
-    pub fn nudged(&self) {
+    /// Makes a request due now: the lessor has asked for one.
+    pub fn request_leases_now(&self) {
         self.holder.borrow_mut().on_nudge(self.now());
     }
 
-    /// A connection to the lessor was established.
-    pub fn connected(&self) {
+    /// Handles a new connection to the lessor.
+    pub fn on_connected(&self) {
         self.holder.borrow_mut().on_connected(self.now());
     }
 
-    /// The node drains: from now on it gives back what it does not use.
+    /// From now on the node returns the units that it does not use, as it drains.
     pub fn start_drain(&self) {
         self.holder.borrow_mut().start_drain(self.now());
         self.changed.notify();
--- a/crates/hazelgrade-server/src/routing/callers.rs
+++ b/crates/hazelgrade-server/src/routing/callers.rs
@@ -1,4 +1,4 @@
-//! Identifies callers, and decides whether they may make a request.
+//! Authenticates callers, and decides whether they may make a request.
 
 use crate::protocol::jsonrpc::JobRequest;
 use hazelgrade::time::Time;
@@ -13,11 +13,11 @@
 pub struct Caller {
     /// The address that the connection comes from.
     pub address: IpAddr,
-    /// What the connection is identified by.
+    /// The credentials that identify the caller.
     pub credentials: RefCell<Credentials>,
 }
 
-/// Callers and their rights; off at first, and then every request is allowed.
+/// Authenticates and authorizes callers. Until it is enabled, every request is allowed.
 #[derive(Default)]
 pub struct Callers {
     enabled: Cell<bool>,
@@ -27,18 +27,18 @@
 }
 
 impl Callers {
-    /// From now on every job needs a caller with the right to ask for it; until there is a key set, none has it.
+    /// From now on every job needs a caller with the right to request it. Until there is a key set, all are denied.
     pub fn enable(&self) {
         self.enabled.set(true);
     }
 
-    /// Whether callers are identified.
+    /// Whether callers are authenticated.
     pub fn is_enabled(&self) -> bool {
         self.enabled.get()
     }
 
-    /// Replaces keys, callers and rights from the next job on. With `is_rollback`, `policy` is the one before one
-    /// that failed; what the failed one revoked stays revoked. An error says that no key is valid now, and changes nothing.
+    /// Replaces keys, callers and rights from the next job on. With `is_rollback`, `policy` replaces a later one that
+    /// failed, and what that one revoked stays revoked. If no key is valid now, returns an error and changes nothing.
     pub fn replace(
         &self,
         mut policy: AccessPolicy,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Removes the key set: nobody has any right.
+    /// Removes the key set: all requests are denied.
     pub fn clear(&self) {
         self.authenticator.replace(None);
     }
@@ -69,7 +69,7 @@
         self.revoked_certificates.replace(serials);
     }
 
-    /// The job classes and tenants of the site have changed.
+    /// Applies changed job classes and tenants.
     pub fn settings_changed(&self, settings: &HostSettings) {
         if let Some(authenticator) = &mut *self.authenticator.borrow_mut() {
             let indexes = NameIndexes::new(settings);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Identifies the caller of a connection by a token, and gives its name.
+    /// Authenticates the caller of a connection by a token, and returns its name.
     pub fn authenticate(&self, now: Time, caller: &Caller, token: &str) -> Result<String, DenyReason> {
         let mut authenticator = self.authenticator.borrow_mut();
         let authenticator = authenticator.as_mut().ok_or(DenyReason::UnknownKey)?;
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Decides whether a caller may ask for a job. Fills in the tenant where the request doesn't name one, and
-    /// whether the caller is over its rate limit.
+    /// Decides whether a caller may request a job. Sets the tenant where the request doesn't name one, and whether the
+    /// caller is over its rate limit. A token in the request takes precedence over the connection's credentials.
     pub fn authorize(&self, now: Time, caller: &Caller, request: &mut JobRequest) -> Result<(), DenyReason> {
         if !self.enabled.get() {
             return Ok(());
@@ -113,9 +113,9 @@
             if self.has_revoked_certificate(&credentials) {
                 return Err(DenyReason::Revoked);
             }
-            let by_token = token.map(|token| Credentials { token: Some(token), certificate: None });
-            let by = by_token.as_ref().unwrap_or(&credentials);
-            authenticator.authorize_and_count(now, by, request.job.job_class, tenant, caller.address)
+            let from_token = token.map(|token| Credentials { token: Some(token), certificate: None });
+            let effective = from_token.as_ref().unwrap_or(&credentials);
+            authenticator.authorize_and_count(now, effective, request.job.job_class, tenant, caller.address)
         });
         match decision {
             Ok(Authorization { tenant, over_limit }) => {
@@ -135,17 +135,17 @@
         credentials.certificate.as_ref().is_some_and(|certificate| revoked.contains(&certificate.serial))
     }
 
-    /// Logs the refusals that are due.
+    /// Logs the denials that are due, summed up by caller and reason.
     pub fn audit(&self, now: Time) {
-        let lines = self
+        let records = self
             .authenticator
             .borrow_mut()
             .as_mut()
             .map(|authenticator| authenticator.take_due_audit_records(now))
             .unwrap_or_default();
-        for line in lines {
-            let caller = line.caller.as_deref().unwrap_or("-");
-            tracing::warn!(caller, reason = line.reason.message(), count = line.count, "caller refused");
+        for record in records {
+            let caller = record.caller.as_deref().unwrap_or("-");
+            tracing::warn!(caller, reason = record.reason.message(), count = record.count, "requests denied");
         }
     }
 }
--- a/crates/hazelgrade-server/src/routing/clock.rs
+++ b/crates/hazelgrade-server/src/routing/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that the controller goes by: the Unix clock, but never backwards.
+//! The controller's clock: follows the Unix clock, but never goes backwards.
 
 use hazelgrade::time::{Span, Time};
 use std::cell::Cell;
@@ -10,7 +10,7 @@
     /// By how much the Unix clock was set back since the start.
     offset: Cell<Span>,
     unix: fn() -> Time,
-    /// Set in tests only.
+    /// Set by fault injection in tests only.
     skew: Cell<Option<Skew>>,
 }
 
@@ -44,6 +44,7 @@
         self.skew.set(Some(Skew { since: (self.unix)(), offset_ms, rate }));
     }
 
+    /// The Unix clock, with the skew applied.
     fn read(&self) -> Time {
         let unix = (self.unix)();
         self.skew.get().map_or(unix, |Skew { since, offset_ms, rate }| {
@@ -51,8 +52,8 @@
         })
     }
 
-    /// The time now. When the Unix clock is set back this one goes on from where it was: otherwise everything in flight
-    /// would look young for as long.
+    /// The time now. When the Unix clock is set back, this clock continues from its last time. Otherwise jobs in flight
+    /// would appear younger than they are.
     pub fn now(&self) -> Time {
         let now = self.read() + self.offset.get();
         self.offset.set(self.offset.get() + self.last.get().since(now));
--- a/crates/hazelgrade-server/src/routing/context.rs
+++ b/crates/hazelgrade-server/src/routing/context.rs
@@ -1,4 +1,4 @@
-//! What the way of a request needs: the controller's driver, the in-flight table, the peers and the counters.
+//! The state that request handling shares: the controller's driver, the in-flight table, the peers and the counters.
 
 use super::callers::Callers;
 use super::controller_driver::{ControllerDriver, ControllerEvent};
@@ -16,9 +16,9 @@
 
 /// Shared by all jobs and connections of an instance.
 pub struct RequestContext {
-    /// Runs the controller and takes its decisions.
+    /// Runs the controller and passes on its decisions.
     pub driver: Rc<ControllerDriver>,
-    /// The jobs that were admitted and are not over.
+    /// The jobs that were admitted and have not ended.
     pub in_flight: Rc<InFlightTable>,
     /// Results of keyed jobs, for their retries.
     pub result_cache: Rc<ResultCache>,
@@ -26,11 +26,11 @@
     pub dependency_calls: Rc<DependencyCalls>,
     /// The link to the executor.
     pub executor: Rc<ExecutorLink>,
-    /// The settings that requests are read by from now on; a job that has arrived keeps those it was read by.
+    /// The settings for decoding requests. A change does not affect jobs that have arrived.
     pub settings: RefCell<Rc<HostSettings>>,
-    /// What has become of the jobs.
+    /// Counts how jobs ended.
     pub counters: RefCell<Counters>,
-    /// Who may ask for what.
+    /// Decides who may request what.
     pub callers: Callers,
 }
 
@@ -57,8 +57,8 @@
         responder.connection.close_call(responder.call_id);
     }
 
-    /// Records that the caller of a job no longer waits. The controller is notified first: were the job's task notified
-    /// alone, the controller could still decide to run a job whose task has ended.
+    /// Records that the caller of a job no longer waits. Notifies the controller before the job's task: otherwise
+    /// the controller could still start the run of a job whose task has ended.
     pub fn caller_disconnected(&self, id: &JobId) {
         if let Some(responder) = self.in_flight.take_responder(id) {
             self.counters.borrow_mut().callers_disconnected += 1;
@@ -68,15 +68,15 @@
         }
     }
 
-    /// Marks the connection of a job's caller as trusted: the executor has run a job of it.
+    /// Marks the connection of a job's caller as trusted, as the executor has run the job.
     pub fn trust_caller(&self, id: &JobId) {
         if let Some(connection) = self.in_flight.caller(id) {
             connection.mark_trusted();
         }
     }
 
-    /// Counts a job that the executor does not know, against its caller too.
-    pub fn unknown_to_executor(&self, id: &JobId) {
+    /// Counts a job that the executor does not know, as a violation of its caller too.
+    pub fn count_unknown_to_executor(&self, id: &JobId) {
         let mut counters = self.counters.borrow_mut();
         counters.unknown_to_executor += 1;
         if counters.unknown_to_executor.is_power_of_two() {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Sends a command to the executor; it is dropped while there is no link.
+    /// Sends a command to the executor. While there is no link the command is dropped.
     pub fn send_command(&self, command: &Command) {
         self.executor.send(&encode(command));
     }
--- a/crates/hazelgrade-server/src/routing/controller_driver.rs
+++ b/crates/hazelgrade-server/src/routing/controller_driver.rs
@@ -1,5 +1,5 @@
-//! Drives the controller: gathers events, runs a round at most once a tick and whenever a timer is due, and passes each
-//! decision on to the task of its job.
+//! Drives the controller: collects events, runs a round when there are any but at most once a tick, and passes each
+//! decision to the task of its job. A timer that is due counts as an event.
 
 use super::budget_share::BudgetShare;
 use super::clock::Clock;
@@ -20,12 +20,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What the controller is notified of in its next round.
+/// An event for the controller's next round.
 #[derive(Debug)]
 pub enum ControllerEvent {
     /// A job was admitted.
     JobArrived {
-        /// As it was read.
+        /// The job as it was decoded.
         job: Job,
     },
     /// A run is over.
@@ -60,36 +60,36 @@
     DrainStarted(Time),
     /// A timer is due.
     TimerFired {
-        /// As the controller gave it.
+        /// The token that the controller set the timer with.
         token: u64,
-        /// The part of the cores in use, where the executor reported it in time.
+        /// The fraction of the cores in use, if the executor reported it in time.
         core_use: Option<f64>,
     },
-    /// This node has another lease of the calls that all nodes share.
+    /// This node's lease of calls has changed.
     LeaseUpdated(CallLease),
 }
 
-/// The controller and what it is driven by.
+/// The controller, its clock, timers and pending events.
 pub struct ControllerDriver {
     controller: RefCell<Controller>,
-    /// The clock that the controller goes by.
+    /// The controller's clock.
     pub clock: Clock,
     /// The shortest time between two rounds.
     tick: Duration,
     events: RefCell<Vec<ControllerEvent>>,
     event_added: Notify,
-    /// The executor is up, or the instance drains.
+    /// Whether rounds may run: the executor is up, or the instance drains.
     started: Cell<bool>,
     timers: Timers,
     liveness: Liveness,
-    /// The executor has received every command that was sent before this.
+    /// The executor has received every command sent before this time.
     commands_confirmed_until: Cell<Instant>,
     load_signal: Cell<Option<f64>>,
     controller_healthy: Cell<bool>,
-    /// There are settings to serve by.
+    /// Whether there are settings to serve with.
     ready: Cell<bool>,
     health_changed: Notify,
-    /// This node's share of the budgets, where they are on.
+    /// This node's share of the budgets, if budgets are enabled.
     budget_share: RefCell<Option<Rc<BudgetShare>>>,
     in_flight: Rc<InFlightTable>,
     result_cache: Rc<ResultCache>,
@@ -133,14 +133,14 @@
         }
     }
 
-    /// Passes an event to the next round.
+    /// Queues an event for the next round.
     pub fn notify(&self, event: ControllerEvent) {
         self.events.borrow_mut().push(event);
         self.event_added.notify();
     }
 
-    /// Allows rounds from now on: the executor is up, or the instance drains. The controller's clock starts with the
-    /// first round, so there is none before.
+    /// Allows rounds from now on, once the executor is up or the instance drains. The controller's time starts with the
+    /// first round, so none may run earlier.
     pub fn start_rounds(&self) {
         self.started.set(true);
         self.event_added.notify();
@@ -151,24 +151,24 @@
         self.load_signal.get()
     }
 
-    /// Whether the instance is healthy: the controller says so, and there are settings to serve by.
+    /// Whether the instance is healthy: the controller says so, and there are settings to serve with.
     pub fn is_healthy(&self) -> bool {
         self.controller_healthy.get() && self.ready.get()
     }
 
-    /// Sets whether there are settings to serve by.
+    /// Sets whether there are settings to serve with.
     pub fn set_ready(&self, ready: bool) {
         if self.ready.replace(ready) != ready {
             self.health_changed.notify();
         }
     }
 
-    /// Replaces the controller's settings from the next round on; `false` if they can't be taken.
+    /// Replaces the controller's settings from the next round on; returns `false` if it does not accept them.
     pub fn update_settings(&self, update: SettingsUpdate) -> bool {
         self.controller.borrow_mut().update_settings(self.clock.now(), update)
     }
 
-    /// From now on calls are bounded by this node's share of the budget.
+    /// Limits calls to this node's share of the budget from now on.
     pub fn set_budget_share(&self, share: Rc<BudgetShare>) {
         if let Some(lease) = share.call_lease(self.clock.now()) {
             self.notify(ControllerEvent::LeaseUpdated(lease));
@@ -176,7 +176,7 @@
         self.budget_share.replace(Some(share));
     }
 
-    /// This node's share of the budgets, where they are on.
+    /// This node's share of the budgets, if budgets are enabled.
     pub fn budget_share(&self) -> Option<Rc<BudgetShare>> {
         self.budget_share.borrow().clone()
     }
@@ -186,17 +186,18 @@
         self.health_changed.notified().await;
     }
 
-    /// Has a heartbeat sent at once.
+    /// Requests a heartbeat at once.
     pub fn request_heartbeat(&self) {
         self.health_changed.notify();
     }
 
-    /// Records that the process runs. Gives when it was last seen to run; shortly after a pause, when that began.
+    /// Records that the process is running. Returns when it was last seen running, or shortly after
+    /// a pause, when the pause began.
     pub fn record_liveness(&self) -> Time {
         self.liveness.record(self.clock.now())
     }
 
-    /// The executor has received every command that was sent before this.
+    /// The time before which every command sent has been received by the executor.
     pub fn commands_confirmed_until(&self) -> Instant {
         self.commands_confirmed_until.get()
     }
@@ -207,7 +208,7 @@
     }
 
     /// Fires the timer that waits for these gauges.
-    pub fn gauges_received(&self, ticket: &str, core_use: Option<f64>) {
+    pub fn on_gauges(&self, ticket: &str, core_use: Option<f64>) {
         let Ok(token) = ticket.parse() else { return };
         if let Some(requested) = self.timers.take_with_gauges(token) {
             self.confirm_commands_until(requested);
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Runs rounds for good.
+    /// Runs rounds until the future is dropped.
     pub async fn run(&self) {
         while !self.started.get() {
             self.event_added.notified().await;
@@ -224,14 +225,15 @@
             self.round();
             let next_round = Instant::now() + self.tick;
             while self.events.borrow().is_empty() {
-                self.wait().await;
+                self.wait_for_event_or_timer().await;
             }
             Timer::at(next_round).await;
         }
     }
 
-    /// Waits until an event was added or a timer is due; for that one the gauges are requested, and waited for next.
-    async fn wait(&self) {
+    /// Waits until an event is added, or the next step of a timer is due: requests the gauges for one that is due, or
+    /// fires one whose gauges have timed out.
+    async fn wait_for_event_or_timer(&self) {
         let now = self.clock.now();
         if let Some(token) = self.timers.take_due(now) {
             let ticket = token.to_string();
@@ -245,10 +247,10 @@
         let timer_due = self.timers.next_due().map(|at| Instant::now() + until(at));
         match timer_due.into_iter().chain(self.timers.next_gauges_timeout()).min() {
             Some(at) => {
-                let slept = async {
+                let timeout = async {
                     Timer::at(at).await;
                 };
-                or(self.event_added.notified(), slept).await;
+                or(self.event_added.notified(), timeout).await;
             }
             None => self.event_added.notified().await,
         }
@@ -282,7 +284,7 @@
     }
 }
 
-/// Passes the decisions of one round on.
+/// Passes on the decisions of one round.
 struct DecisionDispatcher<'a> {
     driver: &'a ControllerDriver,
     now: Time,
@@ -353,6 +355,6 @@
     }
 
     fn log(&mut self, text: &str) {
-        tracing::debug!(text, "controller note");
+        tracing::debug!(text, "controller log");
     }
 }
--- a/crates/hazelgrade-server/src/routing/counters.rs
+++ b/crates/hazelgrade-server/src/routing/counters.rs
@@ -1,4 +1,4 @@
-//! What has become of the jobs that were read, counted.
+//! Counts how the jobs that were read have ended.
 
 /// Counts since the start of the process.
 #[derive(Clone, Copy, Debug, Default)]
@@ -19,7 +19,7 @@
     pub not_served: u64,
     /// Requests of callers that lack the right to make them.
     pub denied: u64,
-    /// Of those in `denied`, the ones that failed by the key set: these show a wrong set, and no revocation.
+    /// The requests in `denied` that the key set could not verify: they suggest a wrong key set.
     pub unverified: u64,
     /// Jobs that the executor did not know.
     pub unknown_to_executor: u64,
--- a/crates/hazelgrade-server/src/routing/dependency_calls.rs
+++ b/crates/hazelgrade-server/src/routing/dependency_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the database, by job: on which connection each was made, so that a reply reaches only the call it is for.
+//! Calls to the database, by job. Records the connection of each call, so that a reply reaches only its own call.
 
 use super::in_flight::{InFlightTable, JobEvent};
 use super::outcome::CallEnd;
@@ -14,13 +14,13 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The calls of a job in flight.
+/// The calls of one job in flight.
 #[derive(Default)]
 struct JobCalls {
     /// The connection of the call in flight.
     current: Option<u64>,
-    /// The connections of all its calls. A reply names the job only: one that comes twice or late would pass for the
-    /// reply to the next call if that went over the same connection.
+    /// The connections of all its calls; no two calls use the same one. A reply names only the job: on a shared
+    /// connection a late or duplicate reply could be taken for the reply to the next call.
     used_connections: Vec<u64>,
 }
 
@@ -30,7 +30,7 @@
     jobs: RefCell<BTreeMap<JobId, JobCalls>>,
     in_flight: Rc<InFlightTable>,
     tasks: Rc<LocalExecutor<'static>>,
-    /// Replies to no call in flight on their connection, since the start.
+    /// Replies that match no call in flight on their connection, since the start.
     pub unknown_replies: Cell<u64>,
     /// Lines that could not be decoded, since the start.
     pub malformed_lines: Cell<u64>,
@@ -39,7 +39,7 @@
 }
 
 impl DependencyCalls {
-    /// Without a database every call ends as unreachable.
+    /// No calls yet. Without a database every call ends as unreachable.
     pub fn new(
         database: Option<Database>,
         in_flight: Rc<InFlightTable>,
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Makes a call; its end comes to the job as [`JobEvent::CallEnded`]. One that can't be handed to the system before
-    /// `expires_at` is not sent. The database is given `timeout` for it.
+    /// Starts a call; its end is sent to the job as [`JobEvent::CallEnded`]. A call that can't be handed to the
+    /// system before `expires_at` is not sent. The database has `timeout` to reply.
     pub fn start(self: &Rc<Self>, id: &JobId, timeout: Span, body: &[u8], expires_at: Option<Instant>) {
         let Some(database) = &self.database else {
             return self.in_flight.send(id, JobEvent::CallEnded(CallEnd::NO_DATABASE));
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Cancels the call of a job to which no reply came in time: its connection takes no further calls.
+    /// Cancels the call of a job that timed out. Its connection takes no further calls.
     pub fn cancel_timed_out(&self, id: &JobId) {
         if let Some((connection, database)) = self.send_cancel(id) {
             database.retire(connection);
@@ -92,13 +92,13 @@
         Some((connection, database))
     }
 
-    /// Forgets a job that makes no more calls; one in flight is cancelled.
+    /// Removes a job that has ended; cancels its call, if one is in flight.
     pub fn remove_job(&self, id: &JobId) {
         self.cancel(id);
         self.jobs.borrow_mut().remove(id);
     }
 
-    /// Calls go to this address from now on.
+    /// Sends calls to this address from now on.
     pub fn set_address(&self, address: SocketAddr) {
         if let Some(database) = &self.database {
             database.set_address(address);
--- a/crates/hazelgrade-server/src/routing/front_end.rs
+++ b/crates/hazelgrade-server/src/routing/front_end.rs
@@ -1,5 +1,5 @@
-//! The front end: admits what clients send. It starts the tasks of jobs, notices callers that disconnect, and answers
-//! health checks and invalid messages itself.
+//! The front end: decodes and admits what clients send. It starts the tasks of jobs, detects callers that disconnect,
+//! and answers health checks and invalid messages itself.
 
 use super::callers::Caller;
 use super::context::RequestContext;
@@ -19,15 +19,15 @@
 use std::net::{IpAddr, Ipv4Addr, TcpStream};
 use std::rc::Rc;
 
-/// By how much the time at which a job reached the machine may lie ahead of this process's clock, in milliseconds.
+/// How far in the future a job's time of receipt may lie by this process's clock, in milliseconds.
 const MAX_CLOCK_SKEW_MS: f64 = 1000.0;
 
-/// A rejection at the front end: nothing ran, and other servers may run it at once.
+/// A rejection at the front end: the job did not run, and other servers may run it at once.
 const REJECTED: Answer = Answer::Rejected { not_elsewhere: false, retry_after: Span::ZERO };
 
-/// The connections of clients, and what is done with their messages.
+/// The connections of clients and the handling of their messages.
 pub struct FrontEnd {
-    /// Where jobs go.
+    /// The state shared with the tasks of jobs.
     pub context: Rc<RequestContext>,
     /// All connections of clients.
     pub connections: ClientConnections<JobId>,
@@ -35,7 +35,7 @@
     pub tasks: Rc<LocalExecutor<'static>>,
     /// Messages that broke the protocol, since the start.
     pub invalid_messages: Cell<u64>,
-    /// Encrypts connections, if it is on.
+    /// Encrypts connections, if TLS is configured.
     pub tls: Rc<Tls>,
 }
 
@@ -46,29 +46,29 @@
         self.tasks.spawn(self.clone().serve(accepting, stream)).detach();
     }
 
-    /// Serves one connection until it ends; the callers of its open calls are disconnected then.
+    /// Serves one connection until it ends, then records the callers of its open calls as disconnected.
     async fn serve(self: Rc<Self>, accepting: Accepting, stream: Async<TcpStream>) {
-        let unknown = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
-        let address = stream.get_ref().peer_addr().map_or(unknown, |peer| peer.ip());
+        let unknown_address = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
+        let address = stream.get_ref().peer_addr().map_or(unknown_address, |peer| peer.ip());
         let accepted = match self.tls.accept(stream, self.context.driver.clock.now()).await {
             Ok(accepted) => accepted,
             Err(end) => {
                 return tracing::debug!(?end, "handshake failed");
             }
         };
-        let known = Credentials { token: None, certificate: accepted.certificate };
-        let caller = Caller { address, credentials: RefCell::new(known) };
+        let credentials = Credentials { token: None, certificate: accepted.certificate };
+        let caller = Caller { address, credentials: RefCell::new(credentials) };
         let on_line = async |connection: &Rc<ClientConnection<JobId>>, line: &[u8]| {
             self.handle_line(connection, &caller, line).await;
         };
-        let (end, open) = self
+        let (end, open_calls) = self
             .connections
             .serve(&self.tasks, accepting, accepted.stream, jsonrpc::LONGEST_LINE, on_line, closing_line)
             .await;
-        if !open.is_empty() {
-            tracing::debug!(?end, jobs = open.len(), "connection ended with open calls");
+        if !open_calls.is_empty() {
+            tracing::debug!(?end, jobs = open_calls.len(), "connection ended with open calls");
         }
-        open.iter().for_each(|id| self.context.caller_disconnected(id));
+        open_calls.iter().for_each(|id| self.context.caller_disconnected(id));
     }
 
     async fn handle_line(&self, connection: &Rc<ClientConnection<JobId>>, caller: &Caller, line: &[u8]) {
@@ -80,7 +80,7 @@
                 self.handle_hello(connection, caller, call_id, &token);
             }
             Ok(ClientMessage::HealthCheck { call_id }) => self.handle_health_check(connection, call_id),
-            Err(error) => self.handle_error(connection, &error),
+            Err(error) => self.handle_invalid_message(connection, &error),
         }
     }
 
@@ -94,11 +94,11 @@
         let now = self.context.driver.clock.now();
         match self.context.callers.authorize(now, caller, &mut request) {
             Ok(()) => self.admit(connection, request),
-            Err(refused) => self.deny(connection, request.call_id, refused),
+            Err(reason) => self.deny(connection, request.call_id, reason),
         }
     }
 
-    /// A connection can abort only what it asked for itself.
+    /// Disconnects the caller of a job. A connection can abort only its own calls.
     fn handle_abort(
         &self,
         connection: &ClientConnection<JobId>,
@@ -117,7 +117,7 @@
         if authenticated.is_err() {
             connection.count_violation();
         }
-        let name = authenticated.as_deref().map_err(|refused| refused.message());
+        let name = authenticated.as_deref().map_err(|reason| reason.message());
         connection.send(&jsonrpc::encode_hello(call_id, name));
     }
 
@@ -127,14 +127,14 @@
         connection.send(&jsonrpc::encode_check(call_id, driver.is_healthy(), driver.load_signal()));
     }
 
-    fn handle_error(&self, connection: &ClientConnection<JobId>, error: &RequestError) {
+    fn handle_invalid_message(&self, connection: &ClientConnection<JobId>, error: &RequestError) {
         match error.call_id.filter(|_| error.not_served) {
             Some(call_id) => {
                 self.context.counters.borrow_mut().not_served += 1;
                 self.answer(connection, call_id, &REJECTED);
                 connection.count_rejection();
             }
-            None => self.refuse(connection, error),
+            None => self.answer_violation(connection, error),
         }
     }
 
@@ -143,33 +143,34 @@
         connection.send(&jsonrpc::encode(call_id, answer, self.context.driver.load_signal()));
     }
 
-    /// Answers a call that its caller has no right to make: it did not run, and would run nowhere.
-    fn deny(&self, connection: &ClientConnection<JobId>, call_id: u64, refused: DenyReason) {
+    /// Answers a call that its caller has no right to make. The job did not run, and no other server would run it.
+    fn deny(&self, connection: &ClientConnection<JobId>, call_id: u64, reason: DenyReason) {
         let mut counters = self.context.counters.borrow_mut();
         counters.denied += 1;
-        counters.unverified += u64::from(refused.suggests_wrong_policy());
-        self.answer(connection, call_id, &Answer::Denied(refused.message()));
+        counters.unverified += u64::from(reason.suggests_wrong_policy());
+        self.answer(connection, call_id, &Answer::Denied(reason.message()));
         // The connection is read more slowly, like one whose jobs are rejected and never run.
         connection.count_rejection();
     }
 
-    fn refuse(&self, connection: &ClientConnection<JobId>, error: &RequestError) {
+    /// Answers a message that breaks the protocol, and counts it as a violation.
+    fn answer_violation(&self, connection: &ClientConnection<JobId>, error: &RequestError) {
         self.invalid_messages.set(self.invalid_messages.get() + 1);
         connection.send(&jsonrpc::encode_error(error));
         connection.count_violation();
     }
 
-    /// Checks a job that its caller may ask for, and starts its task.
+    /// Checks a job whose caller was authorized, and starts its task.
     fn admit(&self, connection: &Rc<ClientConnection<JobId>>, mut request: JobRequest) {
         let context = &self.context;
         let id = request.job.id.clone();
         let call_id = request.call_id;
         if connection.open_call(call_id).is_some() {
-            return self.refuse(connection, &jsonrpc::call_id_in_use());
+            return self.answer_violation(connection, &jsonrpc::call_id_in_use());
         }
         let fingerprint = JobFingerprint::new(&request);
         if let Some(is_same) = context.in_flight.is_same(&id, &fingerprint) {
-            // Another job under an id in flight did not run; of the same one nothing is known yet.
+            // A different job under an id in flight does not run. The outcome of the same job is not known yet.
             let answer = if is_same { Answer::Failed } else { REJECTED };
             self.answer(connection, call_id, &answer);
             return connection.count_violation();
@@ -188,7 +189,7 @@
         let key = idempotency_key
             .map(|key| context.result_cache.job_key(job.job_class, job.tenant, key, &request.body));
         if let Some(finished) = context.result_cache.finished(&id) {
-            // While a job that is over is known by this id, it does not run again, and no other under its id runs.
+            // While the finished job is stored, no job runs under its id: neither the same one again nor another.
             let stored = finished.result.map_or(Answer::Failed, Answer::Succeeded);
             let answer = if key.as_ref() == Some(&finished.key) { stored } else { REJECTED };
             self.answer(connection, call_id, &answer);
@@ -202,10 +203,10 @@
         context.counters.borrow_mut().arrived += 1;
         let responder = Responder { connection: connection.clone(), call_id };
         let events = context.in_flight.insert(id, fingerprint, responder);
-        self.tasks.spawn(job::serve(request, events, context.clone())).detach();
+        self.tasks.spawn(job::run(request, events, context.clone())).detach();
     }
 
-    /// Answers a job that is past its deadline or comes from the future; `false` then.
+    /// Answers a job whose deadline has passed or whose time of receipt lies in the future; returns `false` for these.
     fn check_age(
         &self,
         connection: &ClientConnection<JobId>,
@@ -216,20 +217,19 @@
         let now = self.context.driver.clock.now();
         let expired = received_at + deadline < now;
         if expired && connection.is_trusted() {
-            // It was not read for so long because this process was suspended, which is no fault of its caller. It did
-            // not run.
+            // It stayed unread because this process was suspended, which is not the caller's fault. It did not run.
             self.context.counters.borrow_mut().rejected += 1;
             self.answer(connection, request.call_id, &REJECTED);
             return false;
         }
         if expired || request.job.received_at > now + Span::from_ms(MAX_CLOCK_SKEW_MS) {
-            self.refuse(connection, &jsonrpc::invalid_time(request.call_id));
+            self.answer_violation(connection, &jsonrpc::invalid_time(request.call_id));
             return false;
         }
         true
     }
 
-    /// Takes a job's tokens from the budgets that all nodes share, where they are on.
+    /// Takes a job's tokens from the budgets that all nodes share, if budgets are enabled.
     fn take_tokens(&self, request: &mut JobRequest) {
         if let Some(share) = self.context.driver.budget_share() {
             let settings = self.context.settings.borrow();
@@ -239,7 +239,7 @@
     }
 }
 
-/// What a peer is sent before its connection is closed for this cause.
+/// The line that a peer is sent before its connection is closed for this reason.
 fn closing_line(end: ConnectionEnd) -> Option<String> {
     match end {
         ConnectionEnd::TooLong => Some(jsonrpc::encode_error(&jsonrpc::line_too_long())),
--- a/crates/hazelgrade-server/src/routing/in_flight.rs
+++ b/crates/hazelgrade-server/src/routing/in_flight.rs
@@ -1,4 +1,4 @@
-//! The jobs in flight, by their ids: where the events of each go, and which of them still have to be answered.
+//! The jobs in flight, by id: routes events to their tasks, and tracks which of them still have to be answered.
 
 use super::outcome::CallEnd;
 use crate::protocol::Body;
@@ -13,10 +13,10 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Events that may wait for a job's task; it takes them in order and waits for nothing else.
+/// Events that may be queued for a job's task, which handles them in order and waits for nothing else.
 const EVENT_QUEUE_LENGTH: usize = 16;
 
-/// What may happen to a job once it has arrived.
+/// An event for a job that has arrived.
 #[derive(Debug)]
 pub enum JobEvent {
     // Decided by the controller:
@@ -26,10 +26,10 @@
     Answer(Answer),
     /// Make the call that the run waits for.
     StartCall {
-        /// After this time without a reply the call has timed out.
+        /// The time that the database has to reply.
         timeout: Span,
     },
-    /// Let the run go on without the call that it waits for.
+    /// Let the run continue without the call that it waits for.
     SkipCall,
     /// Cancel the run.
     CancelRun,
@@ -40,7 +40,7 @@
     CallRequested {
         /// Number of the executor's event, by which the call can be skipped.
         cursor: u64,
-        /// What the database is to be sent.
+        /// The request for the database.
         body: Body,
     },
     /// The run is over.
@@ -52,7 +52,7 @@
         /// Its result; empty where it has none.
         body: Body,
     },
-    /// The executor does not know the job that it was to start.
+    /// The executor did not start the run, as it does not know the job.
     StartRefused,
     /// The link is up again; commands sent in this interval may have been lost with the old one.
     LinkRestored {
@@ -78,13 +78,13 @@
 /// Where the answer to a job goes.
 #[derive(Clone)]
 pub struct Responder {
-    /// The connection that the job came by.
+    /// The connection that the job came from.
     pub connection: Rc<ClientConnection<JobId>>,
     /// The id of the call on that connection.
     pub call_id: u64,
 }
 
-/// What two jobs under one id are told apart by.
+/// Distinguishes two jobs with the same id.
 #[derive(PartialEq)]
 pub struct JobFingerprint {
     job_class: usize,
@@ -96,7 +96,7 @@
 }
 
 impl JobFingerprint {
-    /// The fingerprint of a request as it was read.
+    /// The fingerprint of a request as it was decoded.
     pub fn new(request: &JobRequest) -> JobFingerprint {
         let job = &request.job;
         JobFingerprint {
@@ -112,7 +112,7 @@
 
 struct Entry {
     events: Sender<JobEvent>,
-    /// Taken by whoever answers.
+    /// `None` once the job has been answered.
     responder: Option<Responder>,
     fingerprint: JobFingerprint,
 }
@@ -121,12 +121,12 @@
 #[derive(Default)]
 pub struct InFlightTable {
     jobs: RefCell<BTreeMap<JobId, Entry>>,
-    /// Events for jobs that are over or were never here, since the start.
+    /// Events for jobs that have ended or never arrived, since the start.
     pub unknown_jobs: Cell<u64>,
 }
 
 impl InFlightTable {
-    /// Inserts a job and gives the events for its task.
+    /// Inserts a job and returns the receiver of its events.
     pub fn insert(&self, id: JobId, fingerprint: JobFingerprint, responder: Responder) -> Receiver<JobEvent> {
         let (sender, events) = bounded(EVENT_QUEUE_LENGTH);
         let entry = Entry { events: sender, responder: Some(responder), fingerprint };
@@ -139,7 +139,7 @@
         self.jobs.borrow_mut().remove(id);
     }
 
-    /// Whether a predicate on job class and tenant holds for a job in flight.
+    /// Whether any job in flight matches a predicate on job class and tenant.
     pub fn any(&self, matches: impl Fn(usize, usize) -> bool) -> bool {
         let jobs = self.jobs.borrow();
         jobs.values().any(|entry| matches(entry.fingerprint.job_class, entry.fingerprint.tenant))
@@ -165,18 +165,18 @@
         self.jobs.borrow().get(id)?.responder.as_ref().map(|responder| responder.connection.clone())
     }
 
-    /// Takes the right to answer a job: it is given once.
+    /// Takes the responder of a job, so that the job is answered at most once.
     pub fn take_responder(&self, id: &JobId) -> Option<Responder> {
         self.jobs.borrow_mut().get_mut(id)?.responder.take()
     }
 
-    /// Whether the job in flight under this id is the same one; `None` if there is none. The first caller keeps the
-    /// right to the answer: otherwise a stranger who has seen the id could take it.
+    /// Whether the job in flight under this id has this fingerprint; `None` if there is none. The answer still goes to
+    /// the first caller: otherwise anyone who has seen the id could receive it.
     pub fn is_same(&self, id: &JobId, fingerprint: &JobFingerprint) -> Option<bool> {
         self.jobs.borrow().get(id).map(|entry| entry.fingerprint == *fingerprint)
     }
 
-    /// Sends an event to the task of a job; one for a job that is not in flight is counted.
+    /// Sends an event to the task of a job. Events for jobs that are not in flight are counted.
     pub fn send(&self, id: &JobId, event: JobEvent) {
         match self.jobs.borrow().get(id) {
             Some(entry) if entry.events.try_send(event).is_ok() => {}
--- a/crates/hazelgrade-server/src/routing/job.rs
+++ b/crates/hazelgrade-server/src/routing/job.rs
@@ -1,7 +1,7 @@
 //! The task of one job, from its arrival to the end of its run.
 //!
-//! A job is queued, then runs, and is finished; a run that was cancelled while the job is unanswered puts it back into
-//! the queue. Each event takes the job from one phase to the next, in one method.
+//! A job is queued, then running, then finished. If its run is cancelled before the answer, it is queued again.
+//! There is one method for each phase, which handles an event and returns the next phase.
 
 use super::context::RequestContext;
 use super::controller_driver::ControllerEvent;
@@ -18,20 +18,20 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A call has timed out this long after the time that the database was given for it: the database reports a time-out
-/// itself, and its reply takes a few milliseconds.
+/// How long after the database's timeout a call times out here: the database reports its own timeouts, and that reply
+/// takes a few milliseconds.
 const REPLY_GRACE: Duration = Duration::from_millis(25);
 
-/// After a pause of the process, replies that wait in the sockets are read first, within this time.
+/// Further delay before a call times out: after a pause of the process, replies in the sockets are read first.
 const UNREAD_GRACE: Duration = Duration::from_millis(5);
 
-/// Where a job stands.
+/// The phase of a job.
 enum Phase {
-    /// It waits for the controller's decision, or for the result of the job that it repeats.
+    /// The job waits for the controller's decision, or for the result of the job that it repeats.
     Queued,
     /// The executor runs it.
     Running(Run),
-    /// It is over, with its result if it succeeded.
+    /// The job has ended, with its result if it succeeded.
     Finished { result: Option<Body> },
 }
 
@@ -50,13 +50,14 @@
     started_at: Time,
     /// The last command that the executor may not have received.
     unconfirmed: Option<UnconfirmedCommand>,
+    /// When it was sent.
     unconfirmed_sent_at: Instant,
     cancelled: bool,
     /// The call that the run waits for.
     call: Option<RequestedCall>,
 }
 
-/// A command that is sent again after the link has broken.
+/// A command that is sent again if it may have been lost with the link.
 enum UnconfirmedCommand {
     StartRun,
     CallReply(Body),
@@ -64,7 +65,7 @@
 }
 
 impl Run {
-    fn unconfirmed(&mut self, command: UnconfirmedCommand) {
+    fn set_unconfirmed(&mut self, command: UnconfirmedCommand) {
         self.unconfirmed = Some(command);
         self.unconfirmed_sent_at = Instant::now();
     }
@@ -72,15 +73,18 @@
 
 /// A call that a run waits for.
 struct RequestedCall {
+    /// Number of the executor's event, by which the call can be skipped.
     cursor: u64,
     body: Body,
     /// Set while the call is in flight.
     sent: Option<SentCall>,
 }
 
+/// A call in flight.
 #[derive(Clone, Copy)]
 struct SentCall {
-    at: Time,
+    started_at: Time,
+    /// When the call times out.
     deadline: Instant,
 }
 
@@ -94,8 +98,8 @@
     context: Rc<RequestContext>,
 }
 
-/// Admits a job to the controller and handles its events until it is over.
-pub async fn serve(request: JobRequest, events: Receiver<JobEvent>, context: Rc<RequestContext>) {
+/// Passes a job to the controller and handles its events until it has ended.
+pub async fn run(request: JobRequest, events: Receiver<JobEvent>, context: Rc<RequestContext>) {
     let JobRequest { job, body, .. } = request;
     let job_class = context.settings.borrow().job_classes[job.job_class].name.clone();
     let task = JobTask { id: job.id.clone(), job_class, body, retry_of: job.retry_of.clone(), context };
@@ -115,7 +119,7 @@
     task.finish(result);
 }
 
-/// The next event of a job; past the deadline of its call, the time-out of the call.
+/// Waits for the next event of a job; after the deadline of its call, that is the timeout of the call.
 async fn next_event(events: &Receiver<JobEvent>, call_deadline: Option<Instant>) -> Option<JobEvent> {
     let Some(deadline) = call_deadline else { return events.recv().await.ok() };
     let timeout = async {
@@ -141,6 +145,7 @@
         self.context.driver.notify(ControllerEvent::JobArrived { job });
     }
 
+    /// Handles an event while the job is queued.
     fn handle_while_queued(&self, event: JobEvent) -> Phase {
         match event {
             JobEvent::StartRun => Phase::Running(self.start_run()),
@@ -166,7 +171,7 @@
         }
     }
 
-    /// The job may be answered before its run has ended; the result of the run is dropped then.
+    /// Handles an event while the job runs. If the job is answered before its run ends, the run's result is dropped.
     fn handle_while_running(&self, mut run: Run, event: JobEvent) -> Phase {
         match event {
             JobEvent::CallRequested { cursor, body } => self.call_requested(&mut run, cursor, body),
@@ -183,7 +188,7 @@
                 return self.run_ended(end, elapsed, body);
             }
             JobEvent::StartRefused if matches!(run.unconfirmed, Some(UnconfirmedCommand::StartRun)) => {
-                self.context.unknown_to_executor(&self.id);
+                self.context.count_unknown_to_executor(&self.id);
                 return self.run_ended(RunEnd::Superseded, Span::ZERO, "".into());
             }
             JobEvent::ExecutorRestarted => {
@@ -199,7 +204,7 @@
         Phase::Running(run)
     }
 
-    /// Registers for the result of the job that this one repeats; one that is known already comes as an event at once.
+    /// Waits for the result of the job that this one repeats. If it is known already, an event is sent at once.
     fn await_original(&self) {
         let original = self.retry_of.as_ref().unwrap_or(&self.id);
         if let Some(result) = self.context.result_cache.await_result(&self.id, original) {
@@ -230,7 +235,7 @@
         }
     }
 
-    /// The run has reached a call, so every command before it has arrived.
+    /// Handles the request for a call. It confirms every command that was sent before.
     fn call_requested(&self, run: &mut Run, cursor: u64, body: Body) {
         self.context.trust_caller(&self.id);
         tracing::trace!(job = &*self.id, cursor, "call requested");
@@ -243,8 +248,10 @@
         let Some(call) = &mut run.call else { return };
         tracing::trace!(job = &*self.id, timeout_ms = timeout.as_ms(), "call started");
         let until_deadline = Duration::from_secs_f64(timeout.as_ms() / 1000.0) + REPLY_GRACE;
-        call.sent =
-            Some(SentCall { at: self.context.driver.clock.now(), deadline: Instant::now() + until_deadline });
+        call.sent = Some(SentCall {
+            started_at: self.context.driver.clock.now(),
+            deadline: Instant::now() + until_deadline,
+        });
         let Ok(expires_at) = self.call_expiry() else {
             return self.end_call_unsent(CallEnd::EXPIRED_UNSENT);
         };
@@ -254,12 +261,11 @@
         }
     }
 
-    /// Until when a call may be handed to the system. The process may have been suspended since the controller
-    /// decided on the call, and this node's share of the budget may belong to another node by now: then there is
-    /// none.
-    fn call_expiry(&self) -> Result<Option<Instant>, BudgetShareExpired> {
+    /// The time by which a call must be handed to the system; `Ok(None)` without a budget. The process may have been
+    /// suspended since the controller's decision, so that the lease has expired and another node may hold the units.
+    fn call_expiry(&self) -> Result<Option<Instant>, LeaseExpired> {
         match self.context.driver.budget_share() {
-            Some(share) => share.call_expiry().map(Some).ok_or(BudgetShareExpired),
+            Some(share) => share.call_expiry().map(Some).ok_or(LeaseExpired),
             None => Ok(None),
         }
     }
@@ -274,7 +280,7 @@
             self.context.dependency_calls.cancel_timed_out(&self.id);
         }
         let outcome = outcome::of_call(&end);
-        let elapsed = self.context.driver.clock.now().since(sent.at);
+        let elapsed = self.context.driver.clock.now().since(sent.started_at);
         tracing::trace!(job = &*self.id, ?outcome, elapsed_ms = elapsed.as_ms(), "call ended");
         if let CallEnd::Replied { body, .. } = end
             && outcome == Outcome::Completed
@@ -282,7 +288,7 @@
             let reply = from_bytes(&body);
             self.send_call_reply(&reply);
             run.call = None;
-            run.unconfirmed(UnconfirmedCommand::CallReply(reply));
+            run.set_unconfirmed(UnconfirmedCommand::CallReply(reply));
         }
         self.context.driver.notify(ControllerEvent::CallEnded { id: self.id.clone(), outcome, elapsed });
     }
@@ -291,17 +297,17 @@
         let Some(RequestedCall { cursor, .. }) = run.call.take() else { return };
         tracing::trace!(job = &*self.id, "call skipped");
         self.send_skip_call(cursor);
-        run.unconfirmed(UnconfirmedCommand::SkipCall { cursor });
+        run.set_unconfirmed(UnconfirmedCommand::SkipCall { cursor });
     }
 
     fn cancel_run(&self, run: &mut Run) {
         run.cancelled = true;
         tracing::trace!(job = &*self.id, "run cancelled");
-        self.send_stop();
+        self.send_cancel_run();
     }
 
-    /// Only a command that was sent while the link may have been broken is sent again: after a reply that did arrive,
-    /// the run may wait for its next call.
+    /// Sends the unconfirmed command again, but only if it may have been lost: if it has arrived, the run may already
+    /// wait for its next call.
     fn resend_lost_commands(&self, run: &Run, lost_from: Instant, lost_until: Instant) {
         let may_be_lost = lost_from <= run.unconfirmed_sent_at && run.unconfirmed_sent_at < lost_until;
         match run.unconfirmed.as_ref().filter(|_| may_be_lost) {
@@ -311,11 +317,12 @@
             None => {}
         }
         if run.cancelled {
-            self.send_stop();
+            self.send_cancel_run();
         }
     }
 
-    /// The run is over, and its call with it. A job whose run was cancelled before the answer is queued again.
+    /// Handles the end of the run, and cancels its call. If the run was cancelled before the answer, the job is queued
+    /// again.
     fn run_ended(&self, end: RunEnd, elapsed: Span, body: Body) -> Phase {
         self.context.dependency_calls.cancel(&self.id);
         let outcome = outcome::of_run(end);
@@ -334,7 +341,7 @@
         }
     }
 
-    /// Leaves the tables, and passes the result on to the retries that wait for it.
+    /// Removes the job from the tables, and passes its result to the retries that wait for it.
     fn finish(self, result: Option<Body>) {
         self.context.in_flight.remove(&self.id);
         self.context.dependency_calls.remove_job(&self.id);
@@ -357,10 +364,10 @@
         self.context.send_command(&Command::SkipCall { id: &self.id, cursor });
     }
 
-    fn send_stop(&self) {
+    fn send_cancel_run(&self) {
         self.context.send_command(&Command::CancelRun { id: &self.id });
     }
 }
 
-/// This node's share of the budget ended between the decision and the call.
-struct BudgetShareExpired;
+/// The lease expired between the controller's decision and the call.
+struct LeaseExpired;
--- a/crates/hazelgrade-server/src/routing/mod.rs
+++ b/crates/hazelgrade-server/src/routing/mod.rs
@@ -1,10 +1,7 @@
-//! The way of a request: from the client's connection through the controller to the executor and the database, and
-//! back.
+//! Request handling: from the client's connection through the controller to the executor and the database, and back.
 //!
-//! `front_end` admits what clients send; each admitted job is a task of its own (`job`), driven by events that
-//! `controller_driver`, `executor_events` and `dependency_calls` send it by way of the `in_flight` table.
-
-#![warn(missing_docs)]
+//! `front_end` admits what clients send; each admitted job has its own task (`job`), driven by events that
+//! `controller_driver`, `executor_events` and `dependency_calls` send it through the `in_flight` table.
 
 pub mod budget_share;
 pub mod callers;
--- a/crates/hazelgrade-server/src/routing/outcome.rs
+++ b/crates/hazelgrade-server/src/routing/outcome.rs
@@ -1,4 +1,4 @@
-//! Maps the ends of runs, calls and connections to outcomes for the controller; nothing else does.
+//! Maps how runs, calls and connections ended to outcomes for the controller. This is the only place that does.
 
 use crate::protocol::database::Reply;
 use crate::protocol::executor::RunEnd;
@@ -10,9 +10,9 @@
 pub enum CallEnd {
     /// The database replied.
     Replied {
-        /// What the database replied.
+        /// The kind of the reply.
         reply: Reply,
-        /// The body of the reply; empty where there is none.
+        /// The body of the reply; empty if there is none.
         body: Vec<u8>,
     },
     /// No reply came in time.
@@ -59,7 +59,7 @@
     }
 }
 
-/// Only where it is certain that nothing was sent may the call count as never made.
+/// A call counts as never made only if it is certain that nothing was sent.
 fn of_lost_connection(end: ConnectionEnd) -> Outcome {
     match end {
         ConnectionEnd::Unreachable | ConnectionEnd::Unsent => Outcome::Unreachable,
--- a/crates/hazelgrade-server/src/routing/result_cache.rs
+++ b/crates/hazelgrade-server/src/routing/result_cache.rs
@@ -1,4 +1,4 @@
-//! Results of keyed jobs, for their retries: which job a retry repeats, and the result that it is answered with. The
+//! Results of keyed jobs, for their retries: finds the job that a retry repeats, and the result that answers it. The
 //! controller decides which records are stored and for how long.
 
 use crate::protocol::Body;
@@ -8,21 +8,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{BuildHasher, RandomState};
 
-/// What makes two requests attempts at one job: job class, tenant, idempotency key, and body. The key alone is no
-/// proof: whoever has seen it could ask for the result with another body, or take its place with a job that nobody
-/// asked for.
+/// Identifies a keyed job across retries: job class, tenant, idempotency key, and body. The idempotency key alone is
+/// not enough: anyone who has seen it could obtain the result with another body, or store another job under it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobKey {
     job_class: usize,
     tenant: usize,
     idempotency_key: String,
-    /// A digest that no client can choose, in place of the body, which may have kilobytes.
+    /// A keyed hash of the body, which may have kilobytes; clients can't construct collisions.
     body_digest: u64,
 }
 
-/// A keyed job that is over, as far as it is known by its id.
+/// A keyed job that has ended and is still stored.
 pub struct FinishedJob {
-    /// What was asked for.
+    /// Identifies what was requested.
     pub key: JobKey,
     /// Its result, if it succeeded and the result is still stored.
     pub result: Option<Body>,
@@ -37,21 +36,21 @@
 /// A keyed job, while it is in flight or a retry may still name it.
 struct KeyedJob {
     key: JobKey,
-    /// A retry that came before its record expired may stay unread for so long.
+    /// How long a retry may stay unread: one that came before the record expired may be read this much later.
     max_unread_time: Span,
     in_flight: bool,
-    /// It waits for the result of another job, and never runs.
+    /// It waits for the result of another job, and does not run.
     awaits_original: bool,
     record_expires: Option<Time>,
-    /// Set once it is over; `Some(None)` without a result.
+    /// Set once it has ended; `Some(None)` if there is no result, or it was dropped.
     result: Option<Option<Body>>,
     /// Retries that wait for its result.
     waiting: Vec<JobId>,
 }
 
 impl KeyedJob {
-    /// When it is forgotten, once it is over.
-    fn forgotten_at(&self) -> Option<Time> {
+    /// When it is removed after its end; `None` if it has no record.
+    fn removed_at(&self) -> Option<Time> {
         self.record_expires.map(|expires| expires + self.max_unread_time)
     }
 
@@ -66,33 +65,34 @@
     jobs: BTreeMap<JobId, KeyedJob>,
     /// The jobs in flight, in the order of their arrival.
     in_flight: BTreeMap<JobKey, Vec<JobId>>,
-    /// The jobs that are over, by when they are forgotten; and those of them with a result.
+    /// The jobs that have ended, by the time at which they are removed.
     finished: BTreeSet<(Time, JobId)>,
+    /// Those of them with a stored result.
     with_result: BTreeSet<(Time, JobId)>,
     result_bytes: usize,
     max_result_bytes: usize,
 }
 
 impl Tables {
-    fn add_finished(&mut self, id: &JobId, forgotten_at: Time) {
+    fn add_finished(&mut self, id: &JobId, removed_at: Time) {
         let bytes = self.jobs.get(id).map_or(0, KeyedJob::result_bytes);
-        self.finished.insert((forgotten_at, id.clone()));
+        self.finished.insert((removed_at, id.clone()));
         if bytes > 0 {
-            self.with_result.insert((forgotten_at, id.clone()));
+            self.with_result.insert((removed_at, id.clone()));
             self.result_bytes += bytes;
         }
     }
 
-    fn release_result(&mut self, forgotten_at: Time, id: &JobId) {
-        if self.with_result.remove(&(forgotten_at, id.clone())) {
+    fn release_result(&mut self, removed_at: Time, id: &JobId) {
+        if self.with_result.remove(&(removed_at, id.clone())) {
             let bytes = self.jobs.get(id).map_or(0, KeyedJob::result_bytes);
             self.result_bytes = self.result_bytes.saturating_sub(bytes);
         }
     }
 
-    /// Forgets a job that is over.
-    fn forget(&mut self, id: &JobId) {
-        if let Some(at) = self.jobs.get(id).and_then(KeyedJob::forgotten_at) {
+    /// Removes a job that has ended, and its record.
+    fn remove_finished(&mut self, id: &JobId) {
+        if let Some(at) = self.jobs.get(id).and_then(KeyedJob::removed_at) {
             self.release_result(at, id);
             self.finished.remove(&(at, id.clone()));
         }
@@ -117,13 +117,13 @@
         }
     }
 
-    fn forget_expired(&mut self, now: Time) {
+    fn remove_expired(&mut self, now: Time) {
         while let Some((_, id)) = self.finished.first().filter(|(at, _)| *at <= now).cloned() {
-            self.forget(&id);
+            self.remove_finished(&id);
         }
     }
 
-    /// Drops the results that would be forgotten first, until the rest fits.
+    /// Drops results, in the order of their removal times, until the rest fits.
     fn drop_excess_results(&mut self) {
         let is_over = |tables: &Tables| tables.result_bytes > tables.max_result_bytes;
         while let Some((at, id)) = self.with_result.first().filter(|_| is_over(self)).cloned() {
@@ -135,15 +135,15 @@
     }
 }
 
-/// All keyed jobs that are in flight or may still be retried.
+/// The keyed jobs that are in flight or may still be retried.
 pub struct ResultCache {
     tables: RefCell<Tables>,
     digests: RandomState,
 }
 
 impl ResultCache {
-    /// Stores results of at most `max_result_bytes` in all, in base64; past it the one that would be forgotten first is
-    /// dropped.
+    /// An empty cache for results of at most `max_result_bytes` in all, in base64. Beyond that the results that would
+    /// expire first are dropped.
     pub fn new(max_result_bytes: usize) -> ResultCache {
         let tables = RefCell::new(Tables { max_result_bytes, ..Tables::default() });
         ResultCache { tables, digests: RandomState::new() }
@@ -154,15 +154,15 @@
         JobKey { job_class, tenant, idempotency_key, body_digest: self.digests.hash_one(body) }
     }
 
-    /// The job that is over and known by this id.
+    /// The finished job that is stored under this id.
     pub fn finished(&self, id: &JobId) -> Option<FinishedJob> {
         let tables = self.tables.borrow();
         let job = tables.jobs.get(id).filter(|job| !job.in_flight)?;
         Some(FinishedJob { key: job.key.clone(), result: job.result.clone().flatten() })
     }
 
-    /// Adds a keyed job that arrives under an id that no other one has, and gives the job that it repeats, if that is
-    /// known. A retry may stay unread for `max_unread_time`.
+    /// Adds a keyed job whose id is not in use, and returns the job that it repeats, if that is known. A retry may stay
+    /// unread for `max_unread_time`.
     pub fn arrived(
         &self,
         id: &JobId,
@@ -208,12 +208,12 @@
                 let key = job.key.clone();
                 tables.remove_record(&key, id);
             }
-            _ => tables.forget(id),
+            _ => tables.remove_finished(id),
         }
     }
 
     /// The result that a retry is answered with: `None` while the original is in flight, then the retry waits for
-    /// [`ResultCache::finish`]; `Some(None)` if there is none to be had.
+    /// [`ResultCache::finish`]; `Some(None)` if there is no result.
     pub fn await_result(&self, id: &JobId, original: &JobId) -> Option<Option<Body>> {
         let mut tables = self.tables.borrow_mut();
         if let Some(job) = tables.jobs.get_mut(id) {
@@ -227,7 +227,7 @@
         Some(job.result.clone().flatten())
     }
 
-    /// Records that a job is over, with its result if it succeeded, and gives the retries that wait for it.
+    /// Records that a job has ended, with its result if it succeeded. Returns the retries that wait for it.
     pub fn finish(&self, id: &JobId, now: Time, result: Option<Body>) -> Vec<JobId> {
         let mut tables = self.tables.borrow_mut();
         let Some(job) = tables.jobs.get_mut(id).filter(|job| job.in_flight) else { return Vec::new() };
@@ -235,13 +235,13 @@
         job.in_flight = false;
         job.result = Some(result);
         let key = job.key.clone();
-        let forgotten_at = job.forgotten_at();
+        let removed_at = job.removed_at();
         tables.remove_in_flight(&key, id);
-        match forgotten_at {
+        match removed_at {
             Some(at) => tables.add_finished(id, at),
-            None => tables.forget(id),
+            None => tables.remove_finished(id),
         }
-        tables.forget_expired(now);
+        tables.remove_expired(now);
         tables.drop_excess_results();
         waiting
     }
--- a/crates/hazelgrade-server/src/routing/timers.rs
+++ b/crates/hazelgrade-server/src/routing/timers.rs
@@ -1,14 +1,14 @@
-//! The controller's timers. Before one fires, the executor is asked for its gauges, and it fires with their values, or
-//! without them if they take too long.
+//! The controller's timers. When one is due, the gauges are requested from the executor; the timer fires with their
+//! values, or without them after a timeout.
 
 use hazelgrade::time::Time;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// How long the gauges may take.
+/// How long to wait for the gauges.
 const GAUGES_TIMEOUT: Duration = Duration::from_millis(25);
-/// Timers that may be set at once; past it the latest is dropped, as the controller needs the earliest only.
+/// Timers that may be set at once. Beyond that the latest is dropped, as the controller needs only the earliest.
 const MAX_TIMERS: usize = 256;
 
 /// Timers by the token that the controller gave each.
@@ -34,7 +34,7 @@
         self.scheduled.borrow().first().map(|(at, _)| *at)
     }
 
-    /// Takes the earliest timer if it is due. From now on it waits for the gauges, which are to be requested.
+    /// Takes the earliest timer if it is due. From now on it waits for the gauges, which the caller must request.
     pub fn take_due(&self, now: Time) -> Option<u64> {
         let mut scheduled = self.scheduled.borrow_mut();
         let (at, token) = scheduled.first().copied().filter(|(at, _)| *at <= now)?;
@@ -52,12 +52,12 @@
         Some(token)
     }
 
-    /// Takes the timer that waits for these gauges; gives when they were requested.
+    /// Takes the timer that waits for these gauges; returns when they were requested.
     pub fn take_with_gauges(&self, token: u64) -> Option<Instant> {
         self.awaiting_gauges.borrow_mut().remove(&token)
     }
 
-    /// When the wait for gauges next times out.
+    /// When a wait for gauges times out next.
     pub fn next_gauges_timeout(&self) -> Option<Instant> {
         self.awaiting_gauges.borrow().values().min().map(|requested| *requested + GAUGES_TIMEOUT)
     }
--- a/crates/hazelgrade-server/src/transport/clients/reader.rs
+++ b/crates/hazelgrade-server/src/transport/clients/reader.rs
@@ -9,6 +9,7 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
+/// The read buffer of one connection, in bytes.
 const READ_BUFFER_BYTES: usize = 4096;
 /// With more messages than this waiting beside the answers to open calls, a connection is not read until its peer takes
 /// what it was sent.
--- a/crates/hazelgrade-server/src/transport/clients/table.rs
+++ b/crates/hazelgrade-server/src/transport/clients/table.rs
@@ -110,7 +110,7 @@
     }
 
     /// Closes some idle connections to make room for another one.
-    pub fn make_room(&self) {
+    pub fn evict_idle(&self) {
         let connections: Vec<_> = self.connections.borrow().values().cloned().collect();
         evict_idle(&connections, self.accepting.get());
     }
--- a/crates/hazelgrade-server/src/transport/executor.rs
+++ b/crates/hazelgrade-server/src/transport/executor.rs
@@ -14,6 +14,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+/// The capacity of the write queue, in bytes.
 const WRITE_QUEUE_BYTES: usize = 4 * 1024 * 1024;
 /// The pause before the link is opened again.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
--- a/crates/hazelgrade-server/src/transport/listener.rs
+++ b/crates/hazelgrade-server/src/transport/listener.rs
@@ -27,7 +27,7 @@
 ) {
     loop {
         while connections.count() >= connections.max_connections {
-            connections.make_room();
+            connections.evict_idle();
             Timer::after(RETRY_DELAY).await;
         }
         match listener.accept().await {
@@ -38,7 +38,7 @@
             }
             Err(error) => {
                 tracing::debug!(%error, "accept failed");
-                connections.make_room();
+                connections.evict_idle();
                 Timer::after(RETRY_DELAY).await;
             }
         }
--- a/crates/hazelgrade-server/src/transport/mod.rs
+++ b/crates/hazelgrade-server/src/transport/mod.rs
@@ -1,6 +1,4 @@
-//! Sockets: bytes, lines of bounded length, time limits, reconnects. What the bytes mean is not known here.
-
-#![warn(missing_docs)]
+//! Sockets: bytes, lines of bounded length, time limits, reconnects. This module does not interpret the bytes.
 
 pub mod clients;
 pub mod database;
--- a/crates/hazelgrade-server/tests/instance/crossings.rs
+++ b/crates/hazelgrade-server/tests/instance/crossings.rs
@@ -96,7 +96,7 @@
 
     /// Makes room once, and gives the indexes of those that were closed for it.
     async fn ended(&self, of: &[&TcpStream]) -> Vec<usize> {
-        self.clients.make_room();
+        self.clients.evict_idle();
         // No time passes here but what the tasks take to run.
         for _ in 0..200 {
             yield_now().await;
@@ -127,11 +127,11 @@
         Timer::after(IDLE).await;
         // The message is with the system as the close is asked for; the reader has not been woken yet.
         far.write_all(b"early\n").expect("it is open");
-        harness.clients.make_room();
+        harness.clients.evict_idle();
         wait_until(|| read(&far).is_ok_and(|bytes| bytes == b"answer\n")).await;
         assert_eq!(harness.lines(), ["early"]);
         Timer::after(IDLE).await;
-        harness.clients.make_room();
+        harness.clients.evict_idle();
         wait_until(|| read(&far) == Ok(Vec::new())).await;
         // Half-closed: what crosses is read and dropped, and resets nothing.
         for line in [b"late\n", b"last\n"] {
@@ -153,17 +153,17 @@
     block_on(harness.tasks.run(async {
         let idle = [harness.connect(), harness.connect()];
         Timer::after(IDLE).await;
-        harness.clients.make_room();
+        harness.clients.evict_idle();
         wait_until(|| idle.iter().all(|far| read(far) == Ok(Vec::new()))).await;
         // No time passes here but what the tasks take to run.
-        harness.clients.make_room();
+        harness.clients.evict_idle();
         for _ in 0..100 {
             yield_now().await;
         }
         assert_eq!(harness.clients.count(), 0);
         let _stays = harness.connect();
         Timer::after(IDLE).await;
-        harness.clients.make_room();
+        harness.clients.evict_idle();
         wait_until(|| harness.clients.count() == 0).await;
     }));
 }
@@ -240,7 +240,7 @@
         far.write_all(b"one\ntwo\n").expect("it is open");
         let lines = harness.lines.clone();
         wait_until(|| {
-            harness.clients.make_room();
+            harness.clients.evict_idle();
             harness.clients.close_idle();
             lines.borrow().len() == 2
         })
