--- a/crates/hazelgrade-net/src/connection_end.rs
+++ b/crates/hazelgrade-net/src/connection_end.rs
@@ -20,7 +20,7 @@
     /// It ended before any of the queued messages was handed to the system: none of them can have had an effect.
     #[error("ended before anything was sent")]
     Unsent,
-    /// A message did not come, did not end, or was not taken by the peer in time.
+    /// A message was not received, not completed, or not written to the peer in time.
     #[error("timed out")]
     TimedOut,
     /// The peer sent more invalid messages than it may.
--- a/crates/hazelgrade-net/src/lib.rs
+++ b/crates/hazelgrade-net/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every connection of the project is built on: lines and bodies of bounded length, writes through a bounded
-//! queue, connecting within a time limit, and one type for how a connection ends.
+//! Building blocks of all connections of the project: reading lines and bodies of bounded length, writing through a
+//! bounded queue, connecting within a time limit, and one type for how a connection ends.
 
 #![warn(missing_docs)]
 
--- a/crates/hazelgrade-net/src/lines.rs
+++ b/crates/hazelgrade-net/src/lines.rs
@@ -3,7 +3,7 @@
 use crate::connection_end::ConnectionEnd;
 use futures_lite::io::{AsyncBufRead, AsyncBufReadExt, AsyncReadExt};
 
-/// Memory that a line buffer keeps between two lines, in bytes.
+/// The capacity that a line buffer retains between two lines, in bytes.
 const RETAINED_CAPACITY_BYTES: usize = 4096;
 
 /// Reads the next line into `line`, its line feed included: at most `max_bytes`.
--- a/crates/hazelgrade-net/src/notify.rs
+++ b/crates/hazelgrade-net/src/notify.rs
@@ -2,8 +2,8 @@
 
 use async_channel::{Receiver, Sender, bounded};
 
-/// Holds at most one notification: several calls of [`Notify::notify`] before the next [`Notify::notified`] count as
-/// one, and one that comes while nobody waits is kept for the next waiter.
+/// Stores at most one notification: several calls of [`Notify::notify`] before the next [`Notify::notified`] count as
+/// one, and one that comes while nobody waits is stored for the next waiter.
 pub struct Notify {
     sender: Sender<()>,
     receiver: Receiver<()>,
--- a/crates/hazelgrade-net/src/stream.rs
+++ b/crates/hazelgrade-net/src/stream.rs
@@ -10,11 +10,11 @@
 
 /// The two halves of a connection, and the socket that carries them.
 pub struct SplitStream {
-    /// What the peer sends, decrypted.
+    /// Reads what the peer sends, decrypted.
     pub reader: Box<dyn AsyncRead + Unpin>,
-    /// What is sent to the peer; encrypted on the way where the connection is.
+    /// Writes to the peer; encrypts if the connection is encrypted.
     pub writer: Box<dyn AsyncWrite + Unpin>,
-    /// The socket below both halves, for options and shutdown.
+    /// The socket of both halves, for options and shutdown.
     pub socket: Rc<Async<TcpStream>>,
 }
 
--- a/crates/hazelgrade-net/src/write_queue.rs
+++ b/crates/hazelgrade-net/src/write_queue.rs
@@ -1,5 +1,4 @@
-//! A bounded queue of bytes between those that send messages on a connection and the one task that writes them, so that
-//! no sender waits for the peer.
+//! A bounded queue of messages for one connection, written by one task, so that no sender waits for the peer.
 
 use crate::connection_end::ConnectionEnd;
 use crate::notify::Notify;
@@ -21,7 +20,7 @@
     pushed: Notify,
     flushed: Notify,
     overflowed: Cell<bool>,
-    /// When the first of the queued messages expires.
+    /// When the first queued message expires.
     expires_at: Cell<Option<Instant>>,
     /// When the write in progress began.
     write_started: Cell<Option<Instant>>,
@@ -42,7 +41,7 @@
         }
     }
 
-    /// Queues a message. One that doesn't fit is lost, so the connection ends with [`ConnectionEnd::WriteQueueFull`].
+    /// Queues a message. If it doesn't fit, the connection ends with [`ConnectionEnd::WriteQueueFull`].
     pub fn push(&self, message: &[u8]) {
         let mut queued = self.queued.borrow_mut();
         if queued.len() + message.len() > self.max_bytes {
@@ -54,8 +53,8 @@
         self.pushed.notify();
     }
 
-    /// Queues a message that must not be written at `expires_at` or later: if that comes first, the connection ends
-    /// with [`ConnectionEnd::Unsent`], and everything queued is lost with it. `None` sets no limit.
+    /// Queues a message that must not be written at `expires_at` or later: if it is still queued then, the connection
+    /// ends with [`ConnectionEnd::Unsent`], and everything queued is lost with it. `None` sets no limit.
     pub fn push_with_expiry(&self, message: &[u8], expires_at: Option<Instant>) {
         self.expires_at.set(self.expires_at.get().into_iter().chain(expires_at).min());
         self.push(message);
--- a/crates/hazelgrade-server/src/program/configuration.rs
+++ b/crates/hazelgrade-server/src/program/configuration.rs
@@ -50,7 +50,7 @@
     pub seed: u64,
     /// From SIGTERM until the platform kills the process.
     pub stop: Duration,
-    /// File descriptors that the process may hold.
+    /// File descriptors that the process may have open.
     pub sockets: usize,
     /// Memory that the process may take, in MiB.
     pub memory_mb: f64,
--- a/crates/hazelgrade-server/src/program/serve.rs
+++ b/crates/hazelgrade-server/src/program/serve.rs
@@ -217,8 +217,8 @@
             default_limits,
             calls_dependency: context.settings.borrow().calls_dependency,
         };
-        let (started, host) = initial.start(stream, &self.deployment, serving_context);
-        started.follow(host, stream, tasks, self.drain_notifiers.serving.clone());
+        let subscription = initial.start(stream, &self.deployment, serving_context);
+        subscription.started.follow(subscription.host, stream, tasks, self.drain_notifiers.serving.clone());
     }
 
     /// Starts the link to the executor, and the rounds of the controller.
--- a/crates/hazelgrade-server/src/program/serving_document.rs
+++ b/crates/hazelgrade-server/src/program/serving_document.rs
@@ -27,6 +27,14 @@
     document: Option<Document>,
 }
 
+/// A subscription to serving documents that has started, and the host for it.
+pub struct ServingSubscription {
+    /// The subscription, not followed yet.
+    pub started: StartedSubscription,
+    /// Applies the documents.
+    pub host: ServingHost,
+}
+
 impl InitialConfiguration {
     /// Opens the store and reads the document. A store that can't be used is left as it is, and the node starts with
     /// its document. In tests, the process kills itself at change number `kill_at` of the store.
@@ -88,7 +96,7 @@
         stream: &StreamConfig,
         deployment: &Deployment,
         context: ServingContext,
-    ) -> (StartedSubscription, ServingHost) {
+    ) -> ServingSubscription {
         context.request_context.driver.set_ready(false);
         let subscription = Subscription {
             kind: Kind::Serving,
@@ -99,6 +107,7 @@
             initial: self.document,
         };
         let started = subscription.start(context.request_context.driver.clock.now());
-        (started, ServingHost::new(context, self.store, self.unreadable))
+        let host = ServingHost::new(context, self.store, self.unreadable);
+        ServingSubscription { started, host }
     }
 }
--- a/crates/hazelgrade-server/src/program/serving_document/host.rs
+++ b/crates/hazelgrade-server/src/program/serving_document/host.rs
@@ -83,8 +83,8 @@
         let settings = self.settings_of(document);
         let job_classes = self.revised_job_classes(now, &settings)?;
         let tenants = self.revised_tenants(now, &settings)?;
-        // The addresses are the last step that may fail: the controller accepts all settings that keep the slots, as these
-        // do.
+        // The addresses are the last step that may fail: the controller accepts all settings that remove no slot, and
+        // slots are never removed.
         let addresses = document.map(|document| document.addresses_for(&context.node)).unwrap_or_default();
         context.reload.set_streamed(addresses).map_err(|error| error.to_string())?;
         if !request_context.driver.update_settings(settings_update(settings.limits, &job_classes, &tenants)) {
--- a/crates/hazelgrade-server/src/protocol/database.rs
+++ b/crates/hazelgrade-server/src/protocol/database.rs
@@ -1,12 +1,12 @@
-//! Calls to the database and its replies: lines that end with CR LF, bodies as they are.
+//! Calls to the database and its replies: lines that end with CR LF, followed by raw bodies.
 
 use hazelgrade::api::JobId;
 use hazelgrade::time::Span;
 
 /// The longest line of a reply, in bytes.
-pub const LONGEST_LINE: usize = 512;
+pub const MAX_LINE_BYTES: usize = 512;
 /// The longest body of a reply, in bytes.
-pub const LONGEST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// What the database replies to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,7 +17,7 @@
     Overloaded,
     /// It ran and failed.
     Failed,
-    /// It did not end in the time that it was given.
+    /// It did not end within its timeout.
     TimedOut,
     /// No run waits for this call.
     NoSuchRun,
@@ -26,9 +26,9 @@
 /// The first line of a reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplyHead {
-    /// The job whose call it is for.
+    /// The job that made the call.
     pub id: JobId,
-    /// What it says.
+    /// The kind of the reply.
     pub reply: Reply,
     /// The length in bytes of the body that follows, if one does.
     pub body_length: Option<usize>,
@@ -46,7 +46,7 @@
     /// The second word is no reply.
     #[error("an unknown reply")]
     UnknownReply,
-    /// The length is no number, or above [`LONGEST_BODY`].
+    /// The length is no number, or above [`MAX_BODY_BYTES`].
     #[error("a wrong length")]
     InvalidLength,
     /// A reply with rows has no length.
@@ -57,7 +57,7 @@
     TooManyWords,
 }
 
-/// The call of a job: the database has `timeout` for it, rounded up to whole milliseconds and at least one.
+/// Encodes the call of a job. The timeout is rounded up to whole milliseconds, at least one.
 pub fn encode_call(id: &str, timeout: Span, body: &[u8]) -> Vec<u8> {
     let timeout_ms = timeout.as_ms().ceil().max(1.0) as u64;
     let mut bytes = format!("Q {id} {timeout_ms} {}\r\n", body.len()).into_bytes();
@@ -66,7 +66,7 @@
     bytes
 }
 
-/// Cancels the call of a job.
+/// Encodes the cancellation of a job's call.
 pub fn encode_cancel(id: &str) -> String {
     format!("X {id}\r\n")
 }
@@ -100,5 +100,5 @@
 }
 
 fn decode_length(word: &str) -> Result<usize, DecodeError> {
-    word.parse().ok().filter(|length| *length <= LONGEST_BODY).ok_or(DecodeError::InvalidLength)
+    word.parse().ok().filter(|length| *length <= MAX_BODY_BYTES).ok_or(DecodeError::InvalidLength)
 }
--- a/crates/hazelgrade-server/src/protocol/executor.rs
+++ b/crates/hazelgrade-server/src/protocol/executor.rs
@@ -5,16 +5,16 @@
 use hazelgrade::time::Span;
 use serde_json::{Value, json};
 
-/// The longest line of the executor, in bytes: a result of 4 KiB in base64, with room to spare.
-pub const LONGEST_LINE: usize = 64 * 1024;
+/// The longest line of the executor, in bytes: a result of 4 KiB in base64 fits well.
+pub const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// The name of the gauge that tells the part of the cores in use.
+/// The name of the gauge for the fraction of the cores in use.
 pub const CORE_USE_GAUGE: &str = "core_use";
 
 /// A command to the executor.
 #[derive(Debug)]
 pub enum Command<'a> {
-    /// The first command on a link: asks for all events after the cursor.
+    /// The first command on a link: requests all events after the cursor.
     Join {
         /// Number of the last event that was handled.
         cursor: u64,
@@ -25,7 +25,7 @@
         id: &'a str,
         /// The name of its class.
         job_class: &'a str,
-        /// What its caller sent.
+        /// The input from its caller.
         body: &'a str,
     },
     /// Cancels the run of a job.
@@ -40,7 +40,7 @@
         /// The reply.
         body: &'a str,
     },
-    /// Lets a run go on without the call that it waits for.
+    /// Lets a run continue without the call that it waits for.
     SkipCall {
         /// The job.
         id: &'a str,
@@ -63,7 +63,7 @@
     Failed,
     /// It was cancelled or preempted.
     Cancelled,
-    /// Nothing was started: the job was over.
+    /// Nothing was started: the job had ended.
     Superseded,
 }
 
@@ -72,12 +72,12 @@
 pub enum Event {
     /// The first event on a link.
     Welcome {
-        /// The executor has no runs of an earlier link.
+        /// Whether the executor has no runs of an earlier link.
         is_new: bool,
         /// How long the executor has been up.
         uptime: Span,
     },
-    /// A run is over.
+    /// A run has ended.
     RunEnded {
         /// Number of the event.
         cursor: u64,
@@ -96,7 +96,7 @@
         cursor: u64,
         /// The job.
         id: JobId,
-        /// What the database is to be sent.
+        /// The request for the database.
         body: Body,
     },
     /// The gauges that were requested.
@@ -106,9 +106,9 @@
         /// The values, in the order of the settings; NaN for one that is no number.
         values: Vec<f64>,
     },
-    /// A command was not carried out.
+    /// The executor refused a command.
     CommandRefused {
-        /// It was to start a run: the executor does not know the job.
+        /// Whether it was to start a run: then the executor does not know the job.
         is_start: bool,
         /// The command's name on the wire, for the log.
         command: String,
@@ -142,7 +142,7 @@
     InvalidField(&'static str),
 }
 
-/// The line of a command.
+/// Encodes a command as a line.
 pub fn encode(command: &Command) -> String {
     let value = match command {
         Command::Join { cursor } => json!({"event": "JOIN", "cursor": cursor}),
--- a/crates/hazelgrade-server/src/protocol/jsonrpc/error.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a message of a client.
+//! The errors of a client's message.
 
 use std::borrow::Cow;
 
@@ -27,13 +27,13 @@
     }
 }
 
-/// Why a message is not accepted. The text is that of the answer.
+/// Why a message is not accepted. The answer contains its text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Reason {
     /// The line can't be parsed.
     #[error("the line is not a JSON value in UTF-8")]
     NotJson,
-    /// It is JSON, and no object.
+    /// It is JSON, but not an object.
     #[error("expected one JSON object; batches are not taken")]
     NotAnObject,
     /// A field of the request itself.
@@ -78,7 +78,7 @@
 pub struct RequestError {
     /// The id of the call, where the message has one that can be answered.
     pub call_id: Option<u64>,
-    /// It asks for what this instance does not serve, or no longer: others may serve it, and asking is no violation.
+    /// Whether it names a job class that this instance does not serve. Others may serve it, so it is no violation.
     pub not_served: bool,
     /// What is wrong.
     pub reason: Reason,
@@ -96,7 +96,7 @@
     RequestError::new(Some(call_id), Reason::InvalidParam(field))
 }
 
-/// The id of a call is that of an open one. The answer carries no id, as it would pass for that of the open call.
+/// The id of a call is that of an open one. The answer has no id, as it would be taken for the open call's.
 pub fn call_id_in_use() -> RequestError {
     RequestError::new(None, Reason::CallIdInUse)
 }
--- a/crates/hazelgrade-server/src/protocol/jsonrpc/mod.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc/mod.rs
@@ -1,4 +1,4 @@
-//! JSON-RPC 2.0, one message a line: what clients send, and what they are answered.
+//! JSON-RPC 2.0, one message a line: the messages of clients, and the answers to them.
 
 mod error;
 mod request;
@@ -7,5 +7,5 @@
 pub use error::{
     InvalidField, Reason, RequestError, call_id_in_use, invalid_time, line_too_long, too_many_violations,
 };
-pub use request::{ClientMessage, JobRequest, LONGEST_LINE, decode};
+pub use request::{ClientMessage, JobRequest, MAX_LINE_BYTES, decode};
 pub use response::{Answer, DRAINING, encode, encode_check, encode_error, encode_hello};
--- a/crates/hazelgrade-server/src/protocol/jsonrpc/request.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc/request.rs
@@ -1,4 +1,4 @@
-//! Decodes what clients send.
+//! Decodes messages from clients.
 
 use super::error::{InvalidField, Reason, RequestError};
 use crate::protocol::{Body, is_body};
@@ -8,18 +8,18 @@
 use hazelgrade_settings::HostSettings;
 use serde_json::{Map, Value};
 
-/// The longest line of a client, in bytes: a body of 2 KiB in base64, every character of it escaped, and room for the
-/// rest.
-pub const LONGEST_LINE: usize = 24 * 1024;
+/// The longest line of a client, in bytes: a body of 2 KiB in base64, every character of it escaped, and the other
+/// fields.
+pub const MAX_LINE_BYTES: usize = 24 * 1024;
 /// The longest body of a job, in bytes before base64.
-const LONGEST_BODY: usize = 2048;
+const MAX_BODY_BYTES: usize = 2048;
 /// The longest name, id or key, in bytes.
-const LONGEST_NAME: usize = 256;
+const MAX_NAME_BYTES: usize = 256;
 
 /// A message from a client.
 #[derive(Debug)]
 pub enum ClientMessage {
-    /// Asks for a job.
+    /// Requests a job.
     Job(Box<JobRequest>),
     /// A caller no longer waits, for the call with this id on its connection or for this job.
     Abort {
@@ -28,7 +28,7 @@
         /// The job, if the message names one.
         job_id: Option<JobId>,
     },
-    /// Asks whether the instance is healthy.
+    /// Requests the health of the instance.
     HealthCheck {
         /// The id of the call.
         call_id: u64,
@@ -42,20 +42,20 @@
     },
 }
 
-/// A job as a client asks for it.
+/// A job as a client requests it.
 #[derive(Debug)]
 pub struct JobRequest {
     /// The id of the call on its connection.
     pub call_id: u64,
-    /// What the controller is notified of.
+    /// The job for the controller.
     pub job: Job,
-    /// What the run is passed.
+    /// The input of the run.
     pub body: Body,
-    /// Identifies the retries of a keyed job; for an idempotent one, what is read.
+    /// Identifies a keyed job across retries; for an idempotent one, the subject that it reads.
     pub idempotency_key: Option<String>,
     /// Identifies the caller, if it is sent with the job.
     pub token: Option<String>,
-    /// The tenant is named; otherwise it is the only one that the caller may ask for.
+    /// Whether the request names the tenant. Otherwise the caller's rights determine it.
     pub names_tenant: bool,
 }
 
@@ -65,7 +65,7 @@
 impl Params {
     fn text(&mut self, field: &'static str, expected: &'static str) -> Result<String, InvalidField> {
         match self.0.remove(field) {
-            Some(Value::String(text)) if !text.is_empty() && text.len() <= LONGEST_NAME => Ok(text),
+            Some(Value::String(text)) if !text.is_empty() && text.len() <= MAX_NAME_BYTES => Ok(text),
             _ => Err(InvalidField::new(field, expected)),
         }
     }
@@ -117,7 +117,7 @@
 
     fn body(&mut self) -> Result<Body, InvalidField> {
         match self.0.remove("body") {
-            Some(Value::String(body)) if is_body(&body, LONGEST_BODY) => Ok(body.into()),
+            Some(Value::String(body)) if is_body(&body, MAX_BODY_BYTES) => Ok(body.into()),
             _ => Err(InvalidField::new("body", "base64 for 2048 bytes at most")),
         }
     }
@@ -131,14 +131,14 @@
     }
 }
 
-/// A request before its method is looked at.
+/// A request before its method is decoded.
 struct Request {
     call_id: Option<u64>,
     method: String,
     params: Params,
 }
 
-/// Decodes a line. `settings` gives the job classes and tenants that a job may name.
+/// Decodes a line. `settings` has the job classes and tenants that a job may name.
 pub fn decode(line: &[u8], settings: &HostSettings) -> Result<ClientMessage, RequestError> {
     let Request { call_id, method, mut params } = decode_request(line)?;
     if method == "abort" {
@@ -188,7 +188,7 @@
     Ok(Request { call_id, method, params })
 }
 
-/// Names the call by its id among the parameters, or by that of the message where no job is named.
+/// Decodes an abort. The call is named by an id in the parameters, or by the message's own id if no job is named.
 fn decode_abort(message_id: Option<u64>, params: &mut Params) -> ClientMessage {
     let job_id = params.optional_text("req", "a job's id").unwrap_or_default();
     let named = params.0.get("id").and_then(Value::as_u64);
@@ -196,8 +196,8 @@
     ClientMessage::Abort { call_id, job_id: job_id.map(JobId::from) }
 }
 
-/// The index of the job class that a method names. One that is out of use here, or any while this instance has
-/// nothing to serve, may be served by others.
+/// The index of the job class that a method names. A class that is not in use here, or any class while this instance
+/// serves none, may be served by others.
 fn find_job_class(call_id: u64, method: &str, settings: &HostSettings) -> Result<usize, RequestError> {
     match settings.job_class(method) {
         Some((job_class, true)) => Ok(job_class),
@@ -247,7 +247,7 @@
     Ok(JobRequest { call_id, job, body, idempotency_key, token, names_tenant })
 }
 
-/// The index of a tenant. No name is needed where there are no named tenants, or where the caller tells the tenant.
+/// The index of a tenant. No name is needed if no tenant has one, or if the caller's rights determine it.
 fn find_tenant(name: Option<&str>, settings: &HostSettings) -> Result<usize, InvalidField> {
     let named =
         name.and_then(|name| settings.tenants.iter().position(|tenant| tenant.as_deref() == Some(name)));
--- a/crates/hazelgrade-server/src/protocol/jsonrpc/response.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc/response.rs
@@ -1,4 +1,4 @@
-//! Encodes what clients are sent.
+//! Encodes messages to clients.
 
 use super::error::{INVALID_PARAMS, RequestError};
 use crate::protocol::Body;
@@ -10,7 +10,7 @@
 /// The job has failed.
 const FAILED: i64 = -32000;
 
-/// Tells a client that the instance drains.
+/// The notification that the instance drains.
 pub const DRAINING: &str = "{\"jsonrpc\":\"2.0\",\"method\":\"draining\"}\n";
 
 /// The final answer to a job.
@@ -20,14 +20,14 @@
     Succeeded(Body),
     /// It did not run, and may be sent again.
     Rejected {
-        /// Other instances are no better a place for it.
+        /// Whether the job should not be sent to other instances either.
         not_elsewhere: bool,
-        /// After this time; zero for at once.
+        /// When it may be sent again; zero for at once.
         retry_after: Span,
     },
-    /// Its caller has no right to it, for this reason: it did not run, and would run nowhere.
+    /// Its caller has no right to it, for this reason. It did not run, and no other instance would run it.
     Denied(&'static str),
-    /// It may have had its effect, or a retry would be in vain.
+    /// It may have had its effect, or a retry would not succeed.
     Failed,
 }
 
@@ -48,7 +48,7 @@
     format!("{value}\n")
 }
 
-/// The line that answers a call; with it the caller is sent the load signal, if there is one.
+/// Encodes the answer to a call, with the load signal if there is one.
 pub fn encode(call_id: u64, answer: &Answer, load_signal: Option<f64>) -> String {
     let mut fields = Map::new();
     if let Some(load_signal) = load_signal {
@@ -82,7 +82,7 @@
     line(&json!({"jsonrpc": "2.0", "id": call_id, "error": error}))
 }
 
-/// The answer to a `hello`: the name of the caller, or why it was not identified.
+/// Encodes the answer to a `hello`: the name of the caller, or why it was not identified.
 pub fn encode_hello(call_id: u64, caller: Result<&str, &str>) -> String {
     match caller {
         Ok(name) => line(&json!({"jsonrpc": "2.0", "id": call_id, "result": {"caller": name}})),
@@ -93,7 +93,7 @@
     }
 }
 
-/// The answer to a health check.
+/// Encodes the answer to a health check.
 pub fn encode_check(call_id: u64, healthy: bool, load_signal: Option<f64>) -> String {
     let mut result = json!({"up": healthy});
     if let Some(load_signal) = load_signal {
@@ -102,7 +102,7 @@
     line(&json!({"jsonrpc": "2.0", "id": call_id, "result": result}))
 }
 
-/// The answer to a message that is not accepted.
+/// Encodes the answer to a message that is not accepted.
 pub fn encode_error(error: &RequestError) -> String {
     let body = json!({"code": error.reason.code(), "message": error.reason.to_string()});
     line(&json!({"jsonrpc": "2.0", "id": error.call_id, "error": body}))
--- a/crates/hazelgrade-server/src/routing/controller_driver.rs
+++ b/crates/hazelgrade-server/src/routing/controller_driver.rs
@@ -28,7 +28,7 @@
         /// The job as it was decoded.
         job: Job,
     },
-    /// A run is over.
+    /// A run has ended.
     RunEnded {
         /// The job that ran.
         id: JobId,
@@ -42,7 +42,7 @@
         /// The job that runs.
         id: JobId,
     },
-    /// A call is over.
+    /// A call has ended.
     CallEnded {
         /// The job that made it.
         id: JobId,
@@ -151,7 +151,7 @@
         self.load_signal.get()
     }
 
-    /// Whether the instance is healthy: the controller says so, and there are settings to serve with.
+    /// Whether the instance is healthy: the controller reports it healthy, and there are settings to serve with.
     pub fn is_healthy(&self) -> bool {
         self.controller_healthy.get() && self.ready.get()
     }
--- a/crates/hazelgrade-server/src/routing/executor_events.rs
+++ b/crates/hazelgrade-server/src/routing/executor_events.rs
@@ -75,7 +75,7 @@
 
     /// Keeps the link open until the future is dropped.
     pub async fn run(&self, tasks: &LocalExecutor<'static>) {
-        self.link.run(tasks, executor::LONGEST_LINE, self).await;
+        self.link.run(tasks, executor::MAX_LINE_BYTES, self).await;
     }
 
     fn handle(&self, event: Event) -> Result<(), ConnectionEnd> {
--- a/crates/hazelgrade-server/src/routing/front_end.rs
+++ b/crates/hazelgrade-server/src/routing/front_end.rs
@@ -5,8 +5,9 @@
 use super::context::RequestContext;
 use super::in_flight::{JobFingerprint, Responder};
 use super::job;
+use super::result_cache::JobKey;
 use crate::protocol::jsonrpc::{self, Answer, ClientMessage, JobRequest, RequestError};
-use crate::transport::clients::{Accepting, ClientConnection, ClientConnections};
+use crate::transport::clients::{Accepting, ClientConnection, ClientConnections, EndedConnection};
 use crate::transport::tls::Tls;
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -61,9 +62,9 @@
         let on_line = async |connection: &Rc<ClientConnection<JobId>>, line: &[u8]| {
             self.handle_line(connection, &caller, line).await;
         };
-        let (end, open_calls) = self
+        let EndedConnection { end, open_calls } = self
             .connections
-            .serve(&self.tasks, accepting, accepted.stream, jsonrpc::LONGEST_LINE, on_line, closing_line)
+            .serve(&self.tasks, accepting, accepted.stream, jsonrpc::MAX_LINE_BYTES, on_line, closing_line)
             .await;
         if !open_calls.is_empty() {
             tracing::debug!(?end, jobs = open_calls.len(), "connection ended with open calls");
@@ -169,11 +170,8 @@
             return self.answer_violation(connection, &jsonrpc::call_id_in_use());
         }
         let fingerprint = JobFingerprint::new(&request);
-        if let Some(is_same) = context.in_flight.is_same(&id, &fingerprint) {
-            // A different job under an id in flight does not run. The outcome of the same job is not known yet.
-            let answer = if is_same { Answer::Failed } else { REJECTED };
-            self.answer(connection, call_id, &answer);
-            return connection.count_violation();
+        if self.answer_if_in_flight(connection, &request, &fingerprint) {
+            return;
         }
         let received_at = context.driver.clock.to_monotonic(request.job.received_at);
         let (deadline, is_keyed) = {
@@ -188,12 +186,8 @@
         let job = &mut request.job;
         let key = idempotency_key
             .map(|key| context.result_cache.job_key(job.job_class, job.tenant, key, &request.body));
-        if let Some(finished) = context.result_cache.finished(&id) {
-            // While the finished job is stored, no job runs under its id: neither the same one again nor another.
-            let stored = finished.result.map_or(Answer::Failed, Answer::Succeeded);
-            let answer = if key.as_ref() == Some(&finished.key) { stored } else { REJECTED };
-            self.answer(connection, call_id, &answer);
-            return connection.count_violation();
+        if self.answer_if_finished(connection, call_id, &id, key.as_ref()) {
+            return;
         }
         connection.add_call(call_id, id.clone());
         job.received_at = received_at;
@@ -206,6 +200,40 @@
         self.tasks.spawn(job::run(request, events, context.clone())).detach();
     }
 
+    /// Answers a job whose id is in flight, and counts it as a violation; returns whether it did.
+    fn answer_if_in_flight(
+        &self,
+        connection: &ClientConnection<JobId>,
+        request: &JobRequest,
+        fingerprint: &JobFingerprint,
+    ) -> bool {
+        let Some(is_same) = self.context.in_flight.is_same(&request.job.id, fingerprint) else {
+            return false;
+        };
+        // A different job under an id in flight does not run. The outcome of the same job is not known yet.
+        let answer = if is_same { Answer::Failed } else { REJECTED };
+        self.answer(connection, request.call_id, &answer);
+        connection.count_violation();
+        true
+    }
+
+    /// Answers a job whose id is that of a stored finished job, and counts it as a violation; returns whether it did.
+    /// While the finished job is stored, no job runs under its id: neither the same one again nor another.
+    fn answer_if_finished(
+        &self,
+        connection: &ClientConnection<JobId>,
+        call_id: u64,
+        id: &JobId,
+        key: Option<&JobKey>,
+    ) -> bool {
+        let Some(finished) = self.context.result_cache.finished(id) else { return false };
+        let stored = finished.result.map_or(Answer::Failed, Answer::Succeeded);
+        let answer = if key == Some(&finished.key) { stored } else { REJECTED };
+        self.answer(connection, call_id, &answer);
+        connection.count_violation();
+        true
+    }
+
     /// Answers a job whose deadline has passed or whose time of receipt lies in the future; returns `false` for these.
     fn check_age(
         &self,
--- a/crates/hazelgrade-server/src/routing/in_flight.rs
+++ b/crates/hazelgrade-server/src/routing/in_flight.rs
@@ -43,7 +43,7 @@
         /// The request for the database.
         body: Body,
     },
-    /// The run is over.
+    /// The run has ended.
     RunEnded {
         /// How it ended.
         end: RunEnd,
@@ -64,9 +64,9 @@
     /// The executor was restarted: no earlier run is running.
     ExecutorRestarted,
     // Reported by others:
-    /// The call is over.
+    /// The call has ended.
     CallEnded(CallEnd),
-    /// The job that this one repeats is over.
+    /// The job that this one repeats has ended.
     OriginalEnded {
         /// Its result, if it succeeded.
         result: Option<Body>,
@@ -134,7 +134,7 @@
         events
     }
 
-    /// Removes a job that is over.
+    /// Removes a job that has ended.
     pub fn remove(&self, id: &JobId) {
         self.jobs.borrow_mut().remove(id);
     }
--- a/crates/hazelgrade-server/src/routing/timers.rs
+++ b/crates/hazelgrade-server/src/routing/timers.rs
@@ -11,7 +11,7 @@
 /// Timers that may be set at once. Beyond that the latest is dropped, as the controller needs only the earliest.
 const MAX_TIMERS: usize = 256;
 
-/// Timers by the token that the controller gave each.
+/// Timers, identified by the tokens that the controller set them with.
 #[derive(Default)]
 pub struct Timers {
     scheduled: RefCell<BTreeSet<(Time, u64)>>,
--- a/crates/hazelgrade-server/src/transport/clients/connection.rs
+++ b/crates/hazelgrade-server/src/transport/clients/connection.rs
@@ -1,4 +1,4 @@
-//! The state of one connection: its open calls, what its peer has shown itself to be, and what it waits for.
+//! The state of one connection: its open calls, how far its peer is trusted, and what it waits for.
 
 use hazelgrade_net::connection_end::ConnectionEnd;
 use hazelgrade_net::notify::Notify;
@@ -10,20 +10,20 @@
 
 /// Calls that a client may have open on one connection.
 pub const MAX_OPEN_CALLS: usize = 32;
-/// The same before a job of it has run: so many connections with all of these open fit the smallest memory.
+/// The same before a job of it has run. With this limit all connections fit into the smallest memory limit.
 const MAX_OPEN_CALLS_UNTRUSTED: usize = 16;
-/// Room for the answers to all open calls, at 4 KiB in base64 each, and some health checks.
+/// Capacity for the answers to all open calls, at 4 KiB in base64 each, and some health checks; in bytes.
 const WRITE_QUEUE_BYTES: usize = 256 * 1024;
 /// How long a message may take from its first byte to its last, and the first message from the start of the connection.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a connection may stay without an open call: clients close idle ones earlier, or keep them for good.
+/// How long a connection may stay without an open call: clients either close idle ones earlier or never.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Invalid messages that are answered; with the next one the connection is closed.
+/// Violations that are tolerated; at the next one the connection is closed.
 const MAX_VIOLATIONS: u32 = 4;
-/// Rejections after which an untrusted connection is read more slowly.
+/// Rejections that an untrusted connection may have before it is read more slowly.
 const MAX_FAST_REJECTIONS: u32 = 8;
 
-/// A connection of a client. Its calls are told apart by their ids; `T` is what is known of an open one.
+/// A connection of a client. Open calls are identified by their ids; `T` is the value stored for each.
 pub struct ClientConnection<T> {
     pub(super) write_queue: Rc<WriteQueue>,
     open: RefCell<BTreeMap<u64, T>>,
@@ -34,20 +34,21 @@
     health_checks: Cell<u32>,
     violations: Cell<u32>,
     rejections: Cell<u32>,
-    /// When a message began that has not ended yet; the start of the connection until the first message has come.
+    /// When the message that is being read began; until the first one, when the connection was opened.
     pub(super) message_started: Cell<Option<Instant>>,
-    /// The message was found overdue once: after a pause of the process, what came meanwhile is read first.
+    /// Whether the last check found the message overdue. It takes two checks: after a pause of the process, messages
+    /// that came meanwhile are read first.
     overdue_before: Cell<bool>,
-    /// Its reader waits for bytes: everything that came has been handled.
+    /// Whether its reader waits for bytes: everything that came has been handled.
     pub(super) reader_waits: Cell<bool>,
-    /// Why it is to be closed, once it is idle.
+    /// Why it must be closed once it is idle.
     pub(super) close_reason: Cell<Option<ConnectionEnd>>,
     close_requested: Notify,
-    /// The peer was sent the end of the stream; what it still sends is read and dropped.
+    /// Whether the peer was sent the end of the stream. What it still sends is read and dropped.
     pub(super) half_closed: Cell<bool>,
     /// Ends the wait for the peer's close.
     pub(super) linger_aborted: Notify,
-    /// The peer takes nothing of what it is sent.
+    /// Notified when a write to the peer has blocked for too long.
     pub(super) write_stalled: Notify,
 }
 
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Queues a message for the peer. After the half-close no answer is due, and nothing can be sent.
+    /// Queues a message for the peer. After the half-close it is dropped: no answer is due any more.
     pub fn send(&self, message: &str) {
         self.last_used.set(Instant::now());
         if !self.half_closed.get() {
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Opens a call; `false` if one with its id is open already.
+    /// Opens a call; returns `false` if one with its id is open already.
     pub fn add_call(&self, call_id: u64, call: T) -> bool {
         self.last_used.set(Instant::now());
         self.open.borrow_mut().insert(call_id, call).is_none()
@@ -108,12 +109,12 @@
         self.calls_changed.notify();
     }
 
-    /// Closes all calls and gives those that were open.
+    /// Closes all calls and returns those that were open.
     pub(super) fn take_open_calls(&self) -> Vec<T> {
         self.open.take().into_values().collect()
     }
 
-    /// Waits while it has as many calls open as it may.
+    /// Waits while it has the maximum number of open calls.
     pub async fn wait_for_free_call(&self) {
         let max_open = || if self.trusted.get() { MAX_OPEN_CALLS } else { MAX_OPEN_CALLS_UNTRUSTED };
         while self.open.borrow().len() >= max_open() && !self.has_too_many_violations() {
@@ -132,7 +133,7 @@
         self.trusted.get()
     }
 
-    /// Counts a health check that the peer asked for.
+    /// Counts a health check of the peer.
     pub fn count_health_check(&self) {
         self.health_checks.set(self.health_checks.get().saturating_add(1));
     }
@@ -141,8 +142,8 @@
         self.health_checks.get()
     }
 
-    /// The peer came back for another health check, so it is likely to decide by them whether clients are sent here.
-    /// One that asked once and stays is as idle as one that never asked.
+    /// Whether the peer repeats health checks, as a load balancer does. One that made a single check is as idle as one
+    /// that made none.
     pub(super) fn watches_health(&self) -> bool {
         !self.trusted.get() && self.health_checks.get() > 1
     }
@@ -176,29 +177,29 @@
         self.last_used.get()
     }
 
-    /// Nothing is outstanding: all that was read has been handled, no call is open, every answer was handed to the
-    /// system.
+    /// Whether nothing is outstanding: everything that came has been handled, no call is open, and every answer was
+    /// handed to the system.
     pub fn is_idle(&self) -> bool {
         self.reader_waits.get() && !self.has_open_calls() && self.write_queue.pending() == 0
     }
 
-    /// It is idle and not half-closed yet.
+    /// Whether it is idle and not half-closed yet.
     pub(super) fn can_close(&self) -> bool {
         self.is_idle() && !self.half_closed.get()
     }
 
-    /// It can be closed to make room: no message of a trusted peer has begun.
+    /// Whether it may be evicted: it can be closed, and no message of a trusted peer has begun.
     pub(super) fn can_be_evicted(&self) -> bool {
         self.can_close() && !(self.trusted.get() && self.message_started.get().is_some())
     }
 
-    /// Asks its reader to close it. What has come by then is read first, and a connection that is in use stays.
+    /// Requests its reader to close it. Messages that came before are read first, and a connection in use stays open.
     pub(super) fn request_close(&self, reason: ConnectionEnd) {
         self.close_reason.set(Some(reason));
         self.close_requested.notify();
     }
 
-    /// Waits until it is to be closed, for the reader; polled only when there is nothing to read.
+    /// Waits until it must be closed. The reader polls this only when there is nothing to read.
     pub(super) async fn close_requested(&self) -> Result<(), ConnectionEnd> {
         self.reader_waits.set(true);
         loop {
@@ -211,7 +212,7 @@
         }
     }
 
-    /// The time limit that has passed, if any, for a periodic check: a message counts as overdue at the second one.
+    /// For a periodic check: the time limit that has passed, if any. A message times out if two checks find it overdue.
     pub(super) fn expired_timeout(&self) -> Option<ConnectionEnd> {
         let overdue = self.message_started.get().is_some_and(|since| since.elapsed() >= MESSAGE_TIMEOUT);
         if self.is_idle() && self.overdue_before.replace(overdue) && overdue {
--- a/crates/hazelgrade-server/src/transport/clients/eviction.rs
+++ b/crates/hazelgrade-server/src/transport/clients/eviction.rs
@@ -1,30 +1,30 @@
-//! Which connections are closed when there is no room for another one.
+//! Chooses the connections to close when the limit on connections is reached.
 
 use super::connection::ClientConnection;
 use hazelgrade_net::connection_end::ConnectionEnd;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A younger connection may have its first call on the way.
+/// A connection that was used more recently is not closed: its next call may be in transit.
 const MIN_IDLE: Duration = Duration::from_millis(250);
-/// Connections that are closed at once; also, how many may watch health before they count as a flood.
+/// Connections that are closed at once. Also how many may watch health; with more, all of these count as strangers.
 const BATCH: usize = 16;
 
-/// What kind of peer a connection has, in the order in which connections are closed.
+/// The kinds of peers, in the order in which their connections are closed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Rank {
-    /// It has shown nothing, or is one of a flood of health checks.
+    /// No job of it has run, and it does not watch health, or too many do.
     Stranger,
-    /// It comes back for health checks.
+    /// It repeats health checks.
     WatchesHealth,
-    /// Its jobs have run.
+    /// A job of it has run.
     Trusted,
 }
 
-/// Closes some idle connections, those that were idle for longest: first of strangers, then of those that watch this
-/// instance's health, last of trusted ones. While some of a rank are only too young they are waited for, which is
-/// short; with more than a few that watch health all of these count as strangers. `accepting` connections are
-/// expected to be strangers.
+/// Closes some idle connections of the lowest [`Rank`] present: up to [`BATCH`] strangers, or one of another rank.
+/// Those with the fewest health checks go first, among these the longest idle. If all of that rank were used within
+/// [`MIN_IDLE`], none is closed, and the caller tries again. Also ends the linger of half-closed connections. These and
+/// the `accepting` ones count as strangers: while there are any, no higher rank is closed.
 pub(super) fn evict_idle<T: Clone + PartialEq>(connections: &[Rc<ClientConnection<T>>], accepting: usize) {
     let half_closed = connections.iter().filter(|connection| connection.half_closed.get());
     let closing = half_closed.map(|connection| connection.linger_aborted.notify()).count();
--- a/crates/hazelgrade-server/src/transport/clients/mod.rs
+++ b/crates/hazelgrade-server/src/transport/clients/mod.rs
@@ -1,6 +1,6 @@
-//! The connections of clients: each has a reader and a writer of its own, so that none delays another. What a peer
-//! may cost is bounded for each connection; one whose jobs have run is trusted: it may have more calls open, and is
-//! the last to be closed when connections run out.
+//! The connections of clients: each has its own reader and writer, so that none delays another. The resources that a
+//! peer may use are bounded for each connection. A connection becomes trusted once a job of it has run: it may have
+//! more calls open, and is the last to be closed when connections run out.
 
 mod connection;
 mod eviction;
@@ -8,4 +8,4 @@
 mod table;
 
 pub use connection::{ClientConnection, MAX_OPEN_CALLS};
-pub use table::{Accepting, ClientConnections};
+pub use table::{Accepting, ClientConnections, EndedConnection};
--- a/crates/hazelgrade-server/src/transport/clients/reader.rs
+++ b/crates/hazelgrade-server/src/transport/clients/reader.rs
@@ -1,4 +1,4 @@
-//! The reader of one connection: message after message, and the one way in which a connection is closed from this side.
+//! The reader of one connection: reads its messages, and closes it from this side.
 
 use super::connection::{ClientConnection, MAX_OPEN_CALLS};
 use async_io::{Async, Timer};
@@ -11,21 +11,20 @@
 
 /// The read buffer of one connection, in bytes.
 const READ_BUFFER_BYTES: usize = 4096;
-/// With more messages than this waiting beside the answers to open calls, a connection is not read until its peer takes
-/// what it was sent.
+/// Messages that may be pending to the peer besides the answers to open calls. With more, the connection is not read
+/// until they are written.
 const MAX_EXTRA_PENDING_MESSAGES: usize = 64;
-/// The pause between two messages of a connection that is read slowly: its peer may retry at once, and reading it would
-/// keep others waiting.
+/// The pause between two messages of a throttled connection: a peer that retries at once must not delay others.
 const THROTTLE_PAUSE: Duration = Duration::from_millis(25);
 /// How long a connection is still read after its half-close, so that its peer receives what it was sent: closing a
 /// socket with unread bytes resets it.
 const LINGER: Duration = Duration::from_millis(300);
-/// How many bytes are read then; a peer that sends more is reset.
+/// How many bytes are read after the half-close; a peer that sends more is reset.
 const LINGER_BYTES: usize = 128 * 1024;
 
 impl<T: Clone + PartialEq> ClientConnection<T> {
-    /// Reads messages of at most `max_line_bytes` and passes each to `on_line`, until the connection ends or is to be
-    /// closed. A peer that is to be told why is sent what `closing_line` gives.
+    /// Reads messages of at most `max_line_bytes` and passes each to `on_line`, until the connection ends or must be
+    /// closed. `closing_line` returns the line that a peer is sent before the close, if any.
     pub(super) async fn read(
         &self,
         source: impl AsyncRead + Unpin,
@@ -77,12 +76,12 @@
             if self.has_too_many_violations() {
                 return ConnectionEnd::ProtocolViolation;
             }
-            // A connection that always has more to read lets the other tasks run.
+            // Other tasks run between two messages, even if there is always more to read.
             yield_now().await;
         }
     }
 
-    /// Reads one message. It may take its time to begin, but not to end.
+    /// Reads one message, and records when its first byte came.
     async fn read_message(
         &self,
         source: &mut BufReader<impl AsyncRead + Unpin>,
@@ -96,8 +95,8 @@
         read_line(source, line, max_line_bytes).await
     }
 
-    /// Waits until every open call is answered and every answer is handed to the system. The calls of an untrusted peer
-    /// that broke the protocol are not waited for.
+    /// Waits until every open call is answered and every answer is handed to the system. Does not wait for the calls of
+    /// an untrusted peer that broke the protocol.
     async fn finish_calls(&self, end: ConnectionEnd) {
         let broke_protocol = matches!(end, ConnectionEnd::TooLong | ConnectionEnd::ProtocolViolation);
         while self.has_open_calls() && (!broke_protocol || self.is_trusted()) {
@@ -106,8 +105,8 @@
         self.write_queue.flushed().await;
     }
 
-    /// After the half-close: reads and drops what the peer still sends, until it closes, sends too much, takes too
-    /// long, or there is no room for further connections.
+    /// After the half-close: reads and drops what the peer still sends, until it closes, sends more than
+    /// [`LINGER_BYTES`], [`LINGER`] has passed, or the connection is evicted.
     async fn linger(&self, source: &mut BufReader<impl AsyncRead + Unpin>) {
         let drop_rest = async {
             let mut bytes_left = LINGER_BYTES;
--- a/crates/hazelgrade-server/src/transport/clients/table.rs
+++ b/crates/hazelgrade-server/src/transport/clients/table.rs
@@ -14,12 +14,12 @@
 
 /// How often time limits are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a peer may take none of what it is sent; after that its connection is dropped.
+/// How long a write to a peer may block; after that its connection is dropped.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A connection that was used within this time may have a message on the way that crosses its close.
+/// A connection that was used within this time is not closed: a message of its peer may be in transit.
 const MIN_IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(50);
 
-/// A connection that was accepted and is not in the table yet; it counts as one until this is dropped.
+/// Counts a connection that was accepted and is not in the table yet, until this is dropped.
 #[must_use = "the connection counts until this is dropped"]
 pub struct Accepting(Rc<Cell<usize>>);
 
@@ -36,22 +36,30 @@
     }
 }
 
-/// All connections of clients; `T` is what is known of an open call.
+/// A connection that has ended.
+pub struct EndedConnection<T> {
+    /// Why it ended.
+    pub end: ConnectionEnd,
+    /// The calls that were still open.
+    pub open_calls: Vec<T>,
+}
+
+/// All connections of clients; `T` identifies an open call.
 pub struct ClientConnections<T> {
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection<T>>>>,
     last_number: Cell<u64>,
-    /// Accepted, and not in the table yet.
+    /// Connections that were accepted and are not in the table yet.
     accepting: Rc<Cell<usize>>,
     /// Connections that may be open at once.
     pub max_connections: usize,
-    /// What each new connection is sent first.
+    /// The first message to each new connection.
     greeting: RefCell<Option<String>>,
     /// Connections closed because the peer broke the protocol or a time limit, since the start.
     pub closed_for_violation: Cell<u64>,
 }
 
 impl<T: Clone + PartialEq> ClientConnections<T> {
-    /// No connection yet, and room for `max_connections`.
+    /// An empty table for at most `max_connections`.
     pub fn new(max_connections: usize) -> ClientConnections<T> {
         ClientConnections {
             connections: RefCell::default(),
@@ -63,7 +71,7 @@
         }
     }
 
-    /// The number of connections, counted from their accept.
+    /// The number of connections, including those just accepted.
     pub fn count(&self) -> usize {
         self.connections.borrow().len() + self.accepting.get()
     }
@@ -85,8 +93,8 @@
         self.accepting.get() == 0 && connections.values().all(|connection| connection.is_idle())
     }
 
-    /// Closes all idle connections, whose peers were told that the instance drains. One that was just opened may have
-    /// its message on the way.
+    /// Closes all idle connections when the instance drains. One that was just used stays open: a message may be in
+    /// transit.
     pub fn close_idle(&self) {
         for connection in self.connections.borrow().values() {
             if connection.idle_for() >= MIN_IDLE_BEFORE_CLOSE && connection.can_close() {
@@ -95,7 +103,7 @@
         }
     }
 
-    /// Closes connections past a time limit, for good.
+    /// Closes connections that exceed a time limit, until the future is dropped.
     pub async fn enforce_timeouts(&self) {
         loop {
             Timer::after(CHECK_INTERVAL).await;
@@ -109,14 +117,14 @@
         }
     }
 
-    /// Closes some idle connections to make room for another one.
+    /// Closes some idle connections, so that others can be accepted.
     pub fn evict_idle(&self) {
         let connections: Vec<_> = self.connections.borrow().values().cloned().collect();
         evict_idle(&connections, self.accepting.get());
     }
 
-    /// Serves a connection that was counted as accepted until it ends; gives why it ended and the calls that were open.
-    /// `closing_line` gives the line that a peer is sent before its connection is closed from this side.
+    /// Serves a connection that was counted as accepted until it ends. `closing_line` returns the line that a peer is
+    /// sent before its connection is closed from this side.
     pub async fn serve(
         &self,
         tasks: &LocalExecutor<'static>,
@@ -125,7 +133,7 @@
         max_line_bytes: usize,
         on_line: impl AsyncFn(&Rc<ClientConnection<T>>, &[u8]),
         closing_line: impl Fn(ConnectionEnd) -> Option<String>,
-    ) -> (ConnectionEnd, Vec<T>) {
+    ) -> EndedConnection<T> {
         let SplitStream { reader, writer, socket } = stream;
         let _ = socket.get_ref().set_nodelay(true);
         let number = self.last_number.get() + 1;
@@ -136,7 +144,7 @@
         }
         self.connections.borrow_mut().insert(number, connection.clone());
         drop(accepting);
-        // A peer that takes nothing can't be told that its connection is closed.
+        // A peer that reads nothing can't be sent a closing line.
         let stalled = async {
             connection.write_stalled.notified().await;
             ConnectionEnd::TimedOut
@@ -153,6 +161,6 @@
             self.closed_for_violation.set(self.closed_for_violation.get() + 1);
         }
         self.connections.borrow_mut().remove(&number);
-        (end, connection.take_open_calls())
+        EndedConnection { end, open_calls: connection.take_open_calls() }
     }
 }
--- a/crates/hazelgrade-server/src/transport/database.rs
+++ b/crates/hazelgrade-server/src/transport/database.rs
@@ -1,5 +1,5 @@
-//! Connections to the database: a small set, opened as calls need them. Calls are spread over them, so that a
-//! connection that breaks or can't be decoded loses few calls, as a rule one. Whose calls they are is not known here.
+//! A small set of connections to the database, opened as calls need them. Calls are spread over them, so that few
+//! calls, usually one, are lost with a connection. This module does not know which jobs the calls belong to.
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -18,15 +18,15 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Connections at most, including those that take no further calls but still carry some: past this the oldest of these
-/// is closed. Half of them take calls: as many calls as that have one each; more share them.
+/// The maximum number of connections. Half of them may take new calls: up to that many calls have one each, and more
+/// share them. The rest is for retired connections with calls in flight; at the maximum the oldest of these is closed.
 pub const MAX_CONNECTIONS: usize = 32;
-/// Room for the calls of all jobs at 4 KiB each.
+/// The capacity of a write queue, in bytes: the calls of all jobs at 4 KiB each.
 const WRITE_QUEUE_BYTES: usize = 1024 * 1024;
-/// How long a reply may take from its first byte to its last: the database writes replies whole.
+/// How long a reply may take from its first byte to its last. The database writes each reply at once.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Handles what comes on the connections, which are told apart by their numbers.
+/// Decodes and handles replies. Connections are identified by their numbers.
 pub trait ReplyHandler {
     /// The first line of a reply, decoded.
     type Head;
@@ -34,7 +34,7 @@
     fn decode_head(&self, line: &[u8]) -> Result<Self::Head, ConnectionEnd>;
     /// The length in bytes of the body that follows, if one does.
     fn body_length(&self, head: &Self::Head) -> Option<usize>;
-    /// Takes a reply; `body` is empty where there is none.
+    /// Handles a reply; `body` is empty if there is none.
     fn reply(&self, connection: u64, head: Self::Head, body: Vec<u8>);
     /// The connection has ended, or could not be opened.
     fn ended(&self, connection: u64, end: ConnectionEnd);
@@ -44,9 +44,9 @@
     write_queue: Rc<WriteQueue>,
     calls_in_flight: Cell<usize>,
     last_used: Cell<Instant>,
-    /// It takes no new calls, and is closed when those on it are over.
+    /// Whether it takes no new calls; it is closed when those in flight have ended.
     retired: Cell<bool>,
-    /// The last call on it is over, or it is to be closed now.
+    /// Notified when the connection may have to be closed.
     check_idle: Notify,
 }
 
@@ -66,15 +66,15 @@
 pub struct Database {
     address: Cell<SocketAddr>,
     max_connections: usize,
-    /// After so long without a call a connection is closed: the database would close or forget it, and a call that
-    /// crosses that is lost.
+    /// A connection is closed after this long without a call: otherwise the database would close it itself, and a call
+    /// sent at that moment would be lost.
     idle_timeout: Duration,
     connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
     last_number: Cell<u64>,
 }
 
 impl Database {
-    /// No connection yet; `max_connections` at most, each closed after `idle_timeout` without a call.
+    /// No connection yet. There are at most `max_connections`, each closed after `idle_timeout` without a call.
     pub fn new(address: SocketAddr, max_connections: usize, idle_timeout: Duration) -> Database {
         Database {
             address: Cell::new(address),
@@ -85,7 +85,7 @@
         }
     }
 
-    /// New calls go to this address; those in flight may finish where they are.
+    /// Sends new calls to this address. Calls in flight may finish on their connections.
     pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             let numbers: Vec<u64> = self.connections.borrow().keys().copied().collect();
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Sends a call on a connection that is none of `excluded`, and gives its number. A call that can't be handed to
-    /// the system before `expires_at` is not sent.
+    /// Sends a call on a connection other than those in `excluded`, and returns the connection's number. A call that
+    /// can't be handed to the system before `expires_at` is not sent.
     pub fn call<T: ReplyHandler + 'static>(
         self: &Rc<Self>,
         tasks: &Rc<LocalExecutor<'static>>,
@@ -113,7 +113,7 @@
         number
     }
 
-    /// The connection with the fewest calls, among these the one used last; `None` if a new one is to be opened.
+    /// The connection with the fewest calls, among these the one used last; `None` if a new one must be opened.
     fn choose(&self, excluded: &[u64]) -> Option<(u64, Rc<Connection>)> {
         let connections = self.connections.borrow();
         let open = || connections.iter().filter(|(_, connection)| !connection.retired.get());
@@ -162,7 +162,7 @@
         }
     }
 
-    /// A call on this connection is over.
+    /// Records that a call on this connection has ended.
     pub fn call_ended(&self, number: u64) {
         if let Some(connection) = self.connections.borrow().get(&number) {
             connection.calls_in_flight.set(connection.calls_in_flight.get().saturating_sub(1));
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Sends no further calls on this connection: the database was silent on it, or has moved.
+    /// Sends no further calls on this connection: a call on it timed out, or the address has changed.
     pub fn retire(&self, number: u64) {
         if let Some(connection) = self.connections.borrow().get(&number) {
             connection.retired.set(true);
@@ -190,7 +190,7 @@
         }
     }
 
-    /// The number of connections, those counted that are being opened.
+    /// The number of connections, including those being opened.
     pub fn count(&self) -> usize {
         self.connections.borrow().len()
     }
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Calls of which none was handed to the system can't have had an effect.
+    /// Distinguishes [`ConnectionEnd::Unsent`]: if no call was handed to the system, none can have had an effect.
     fn classify_end(&self, end: ConnectionEnd) -> ConnectionEnd {
         let pending = self.write_queue.pending();
         let sent_none = pending > 0 && pending >= self.calls_in_flight.get();
@@ -265,7 +265,7 @@
     }
 }
 
-/// Reads one reply. It may take its time to begin, but not to end.
+/// Reads one reply. Waits for its first byte without a limit, then at most [`REPLY_TIMEOUT`] for the rest.
 async fn read_reply<T: ReplyHandler>(
     source: &mut (impl AsyncBufRead + Unpin),
     handler: &T,
@@ -273,7 +273,7 @@
     source.fill_buf().await.map_err(|error| ConnectionEnd::from_io_error(&error))?;
     let mut reply = pin!(async {
         let mut line = Vec::new();
-        read_line(source, &mut line, crate::protocol::database::LONGEST_LINE).await?;
+        read_line(source, &mut line, crate::protocol::database::MAX_LINE_BYTES).await?;
         let head = handler.decode_head(&line)?;
         let body = match handler.body_length(&head) {
             Some(length) => read_body(source, length).await?,
@@ -281,7 +281,7 @@
         };
         Ok((head, body))
     });
-    // Nearly always all of it is there, and no timer is needed.
+    // Usually the whole reply is available, and no timer is needed.
     if let Some(reply) = poll_once(&mut reply).await {
         return reply;
     }
--- a/crates/hazelgrade-server/src/transport/executor.rs
+++ b/crates/hazelgrade-server/src/transport/executor.rs
@@ -18,18 +18,17 @@
 const WRITE_QUEUE_BYTES: usize = 4 * 1024 * 1024;
 /// The pause before the link is opened again.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
-/// When the executor has moved, the old link is left once the executor has confirmed all that was sent on it, or after
-/// this time; the executor keeps it open for longer.
+/// How long a link to an old address waits for the executor's confirmation of everything sent on it. The executor keeps
+/// the link open for longer.
 const OLD_LINK_TIMEOUT: Duration = Duration::from_millis(200);
-/// A link that has been up is broken if nothing comes for so long after something was sent. A new one replaces it,
-/// and the runs go on.
+/// How long a link may be without any answer after something was sent. After that it is replaced, and runs continue.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What is sent and received on the link.
+/// Provides the first and last line on a link, and handles the lines received.
 pub trait LinkHandler {
     /// The first line on each new link.
     fn first_line(&self) -> String;
-    /// The last line on a link that is left for another address.
+    /// The last line on a link that is replaced because the address has changed.
     fn last_line(&self) -> String;
     /// Handles a line; an error ends the link.
     fn line(&self, line: &[u8]) -> Result<(), ConnectionEnd>;
@@ -44,7 +43,7 @@
     write_queue: RefCell<Option<Rc<WriteQueue>>>,
     address_changed: Notify,
     old_link_done: Notify,
-    /// Since when something that was sent has been without any answer.
+    /// When the first line was sent since the last line received.
     unanswered_since: Cell<Option<Instant>>,
 }
 
@@ -67,17 +66,17 @@
         }
     }
 
-    /// Whether there is a link, as far as is known.
+    /// Whether the link is established, as far as is known.
     pub fn is_up(&self) -> bool {
         self.write_queue.borrow().is_some()
     }
 
-    /// The executor has confirmed all that was sent on the link that is left.
+    /// Ends the wait for the old link: the executor has confirmed everything that was sent on it.
     pub fn old_link_done(&self) {
         self.old_link_done.notify();
     }
 
-    /// Queues a line. While there is no link it is dropped, and whoever sent it sends it again later.
+    /// Queues a line. While there is no link it is dropped, and its sender must send it again later.
     pub fn send(&self, line: &str) {
         if let Some(write_queue) = &*self.write_queue.borrow() {
             write_queue.push(line.as_bytes());
@@ -85,7 +84,7 @@
         }
     }
 
-    /// Keeps the link open for good. Lines have at most `max_line_bytes`.
+    /// Keeps the link open until the future is dropped. Lines may have at most `max_line_bytes`.
     pub async fn run(
         &self,
         tasks: &LocalExecutor<'static>,
@@ -121,10 +120,10 @@
         *self.write_queue.borrow_mut() = Some(write_queue.clone());
         let was_up = Cell::new(false);
         let read = self.read_lines(&stream, max_line_bytes, handler, &was_up);
-        let left = self.leave_for_new_address(address, &write_queue, handler);
+        let moved = self.leave_for_new_address(address, &write_queue, handler);
         let silent = self.detect_silence(&was_up);
         let write = write_queue.clone().spawn_writer(tasks, stream.clone());
-        or(or(or(read, left), silent), write).await
+        or(or(or(read, moved), silent), write).await
     }
 
     async fn read_lines(
@@ -148,7 +147,7 @@
         }
     }
 
-    /// Waits until the executor has another address, and then for the end of what was sent on this link.
+    /// Waits until the executor has another address, and then for the confirmation of everything sent on this link.
     async fn leave_for_new_address(
         &self,
         address: SocketAddr,
@@ -158,7 +157,7 @@
         while self.address.get() == address {
             self.address_changed.notified().await;
         }
-        // What is sent from here on waits for the new link, so that nothing has to be sent twice.
+        // From now on lines are dropped, and sent again on the new link: none is sent on both.
         *self.write_queue.borrow_mut() = None;
         write_queue.push(handler.last_line().as_bytes());
         let timeout = async {
@@ -168,6 +167,7 @@
         ConnectionEnd::Moved
     }
 
+    /// Waits until the executor has not answered for [`SILENCE_TIMEOUT`] on a link that has been up.
     async fn detect_silence(&self, was_up: &Cell<bool>) -> ConnectionEnd {
         let is_silent = |since: Instant| since.elapsed() >= SILENCE_TIMEOUT;
         loop {
--- a/crates/hazelgrade-server/src/transport/listener.rs
+++ b/crates/hazelgrade-server/src/transport/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections. When descriptors run out it slows down and makes room, and closes nothing that is in use.
+//! Accepts connections. At the limit on connections it evicts idle ones and waits; connections in use stay open.
 
 use super::clients::ClientConnections;
 use async_io::{Async, Timer};
@@ -7,12 +7,12 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Connections that the system may hold before they are accepted here.
+/// Connections that the system may queue before they are accepted here.
 const BACKLOG: i32 = 1024;
-/// The pause before the next attempt when there is no room.
+/// The pause before the next attempt at the limit on connections, or after an error.
 const RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Listens on `address`, which may still have connections of an earlier process. Fails with the system's error.
+/// Listens on `address`, even if connections of an earlier process remain there. Fails with the system's error.
 pub fn bind(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     let listener = Async::<TcpListener>::bind(address)?;
     rustix::net::listen(&listener, BACKLOG)?;
@@ -33,7 +33,7 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 on_stream(stream);
-                // However many connections come, the other tasks run in between.
+                // Other tasks run between two accepts.
                 yield_now().await;
             }
             Err(error) => {
@@ -45,8 +45,8 @@
     }
 }
 
-/// Takes the connections that the system has accepted already, as far as there is room, without waiting for more;
-/// `true` once there are none left.
+/// Accepts the connections in the backlog, up to the limit on connections, without waiting for more. Returns `true`
+/// once the backlog is empty.
 pub fn take_backlog<T: Clone + PartialEq>(
     listener: &Async<TcpListener>,
     connections: &ClientConnections<T>,
--- a/crates/hazelgrade-server/src/transport/registry.rs
+++ b/crates/hazelgrade-server/src/transport/registry.rs
@@ -1,12 +1,12 @@
-//! Datagrams to the registry. It may be down; that changes nothing here.
+//! Datagrams to the registry. Nothing here depends on whether it is up.
 
 use async_io::Async;
 use std::cell::Cell;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 
-/// Sends to the registry. The socket is not connected: an address that can't be reached now does not stop the start,
-/// and the error of an earlier datagram does not stop a later one.
+/// Sends datagrams to the registry. The socket is not connected, so that an unreachable registry neither prevents the
+/// start nor, after an error for one datagram, the next one.
 pub struct Registry {
     socket: Async<UdpSocket>,
     address: Cell<SocketAddr>,
@@ -19,7 +19,7 @@
         Ok(Registry { socket: Async::<UdpSocket>::bind(any)?, address: Cell::new(address) })
     }
 
-    /// Sends to another address from now on; `false` if it is of another family than the socket, and nothing changes.
+    /// Sends to another address from now on. Returns `false` and changes nothing if its family is not the socket's.
     pub fn set_address(&self, address: SocketAddr) -> bool {
         let same_family = self.address.get().is_ipv4() == address.is_ipv4();
         if same_family {
@@ -28,7 +28,7 @@
         same_family
     }
 
-    /// Sends at once or not at all.
+    /// Sends a datagram without waiting; it is dropped on any error.
     pub fn send(&self, text: &str) {
         if let Err(error) = self.socket.get_ref().send_to(text.as_bytes(), self.address.get()) {
             tracing::debug!(%error, "heartbeat not sent");
--- a/crates/hazelgrade-server/src/transport/tls.rs
+++ b/crates/hazelgrade-server/src/transport/tls.rs
@@ -1,5 +1,5 @@
 //! TLS on the connections of clients: handshakes bounded in number, time and bytes, and a configuration that is
-//! replaced while connections are open. While there is none, connections are plain.
+//! replaced while connections are open. Without a configuration, connections are plain.
 
 use async_channel::{Receiver, Sender, bounded};
 use async_io::{Async, Timer};
@@ -22,12 +22,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a handshake may take. An ordinary one takes two round trips; a message that has begun may take as long.
+/// How long a handshake may take: as long as a message of a client. An ordinary one takes two round trips.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An accepted connection.
 pub struct Accepted {
-    /// What is read and written, encrypted where TLS is on.
+    /// The connection, encrypted if TLS is configured.
     pub stream: SplitStream,
     /// The client's certificate, if it has sent one.
     pub certificate: Option<Rc<ClientCertificate>>,
@@ -37,7 +37,7 @@
 pub struct Tls {
     config: RefCell<Option<Arc<ServerConfig>>>,
     handshakes: RefCell<HandshakeLimiter>,
-    /// What ends each handshake, to make room for others.
+    /// Aborts the handshakes in progress.
     aborts: RefCell<BTreeMap<HandshakeId, Sender<()>>>,
 }
 
@@ -59,14 +59,14 @@
         self.config.replace(Some(config));
     }
 
-    /// Handshakes that failed or were ended, since the start.
+    /// Handshakes that failed or were aborted, since the start.
     pub fn failed_handshakes(&self) -> u64 {
         self.handshakes.borrow().ended_early()
     }
 
-    /// Performs the handshake, if TLS is on.
+    /// Performs the handshake, if TLS is configured.
     ///
-    /// Ends with [`ConnectionEnd::TimedOut`] past the time limit or when the handshake was ended to make room, with
+    /// Ends with [`ConnectionEnd::TimedOut`] past the time limit or when the handshake was aborted for another, with
     /// [`ConnectionEnd::Malformed`] for a certificate that can't be parsed, and as the connection ends otherwise.
     pub async fn accept(&self, stream: Async<TcpStream>, now: Time) -> Result<Accepted, ConnectionEnd> {
         let Some(config) = self.config.borrow().clone() else {
@@ -75,7 +75,7 @@
         let _ = stream.get_ref().set_nodelay(true);
         let (mut handshake, aborted) = self.begin_handshake(now);
         let socket = Rc::new(stream);
-        let stream = shake_hands(config, &socket, aborted).await?;
+        let stream = perform_handshake(config, &socket, aborted).await?;
         handshake.succeeded = true;
         drop(handshake);
         let certificate = read_certificate(&stream)?;
@@ -84,21 +84,21 @@
         Ok(Accepted { stream, certificate })
     }
 
-    /// Adds a handshake; with too many in progress the slowest is ended. What it gives second
-    /// is notified when this one is to end.
+    /// Adds a handshake. With too many in progress the slowest is aborted. The receiver is notified when this one is
+    /// aborted.
     fn begin_handshake(&self, now: Time) -> (HandshakeGuard<'_>, Receiver<()>) {
         let StartedHandshake { id, evicted, .. } = self.handshakes.borrow_mut().begin(now);
         let (abort, aborted) = bounded(1);
         self.aborts.borrow_mut().insert(id, abort);
         if let Some(slowest) = evicted.and_then(|slowest| self.aborts.borrow_mut().remove(&slowest)) {
-            // Full or closed means that it is over already.
+            // Full or closed means that it has ended already.
             let _ = slowest.try_send(());
         }
         (HandshakeGuard { tls: self, id, succeeded: false }, aborted)
     }
 }
 
-/// A handshake in progress; it is over when this is dropped.
+/// A handshake in progress; it ends when this is dropped.
 struct HandshakeGuard<'a> {
     tls: &'a Tls,
     id: HandshakeId,
@@ -112,7 +112,7 @@
     }
 }
 
-async fn shake_hands(
+async fn perform_handshake(
     config: Arc<ServerConfig>,
     socket: &Rc<Async<TcpStream>>,
     aborted: Receiver<()>,
