--- a/crates/hazelgrade-server/src/program/budgets.rs
+++ b/crates/hazelgrade-server/src/program/budgets.rs
@@ -3,7 +3,7 @@
 use super::configuration::Deployment;
 use super::documents;
 use super::serving_document::InitialConfiguration;
-use super::store::SharedStore;
+use super::store::{NamedValue, SharedStore};
 use super::subscription::{StartedSubscription, Subscription};
 use crate::routing::budget_share::BudgetShare;
 use crate::routing::context::RequestContext;
@@ -111,7 +111,7 @@
     }
 
     fn store(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
-        self.store.write(vec![(stored::store_key(Kind::Budgets), bytes)])
+        self.store.write(vec![NamedValue { name: stored::store_key(Kind::Budgets), bytes }])
     }
 
     fn apply(&self, document: Option<&Document>, _is_rollback: bool) -> Result<(), String> {
--- a/crates/hazelgrade-server/src/program/command/budget/report.rs
+++ b/crates/hazelgrade-server/src/program/command/budget/report.rs
@@ -36,14 +36,14 @@
 }
 
 fn site_line(site: &Value) -> String {
-    let heard = match &site["heard_ms_ago"] {
+    let last_report = match &site["heard_ms_ago"] {
         Value::Null => "not heard of since the start".into(),
         heard_ms_ago => format!("heard {} ago", seconds(heard_ms_ago)),
     };
     let lost = if site["lost"] == true { ", declared lost" } else { "" };
     let safe = seconds(&site["safe_in_ms"]);
     let name = text(&site["site"]);
-    format!("site {name}: {heard}{lost}; if it is gone, nothing of it is in use in {safe}\n")
+    format!("site {name}: {last_report}{lost}; if it is gone, nothing of it is in use in {safe}\n")
 }
 
 fn budget_line(name: &str, budget: &Value) -> String {
@@ -73,7 +73,7 @@
 }
 
 fn holder_row(holder: &Value) -> [String; HOLDER_COLUMNS.len()] {
-    let heard = seconds(&holder["heard_ms_ago"]);
+    let last_report = seconds(&holder["heard_ms_ago"]);
     [
         text(&holder["holder"]),
         text(&holder["run"]).chars().take(8).collect(),
@@ -83,7 +83,7 @@
         text(&holder["wants"]),
         text(&holder["target"]),
         text(&holder["alone"]),
-        if holder["connected"] == true { heard } else { format!("{heard}, gone") },
+        if holder["connected"] == true { last_report } else { format!("{last_report}, gone") },
         seconds(&holder["back_in_ms"]),
         seconds(&holder["since_ms"]),
     ]
--- a/crates/hazelgrade-server/src/program/command/control.rs
+++ b/crates/hazelgrade-server/src/program/command/control.rs
@@ -45,7 +45,7 @@
 
     /// Runs until SIGTERM or SIGINT. Nodes continue with their last documents after that.
     pub fn run(self) -> Result<(), String> {
-        let (log, _) = logging::start(self.log_level);
+        let log = logging::start(self.log_level);
         let ended = run_until_signal(self.config);
         drop(log);
         ended
--- a/crates/hazelgrade-server/src/program/command/serve.rs
+++ b/crates/hazelgrade-server/src/program/command/serve.rs
@@ -56,11 +56,11 @@
                 "field for_tests_only: refused together with PROXY_CONFIG, the platform's start".into()
             );
         }
-        let (log, handle) = logging::start(self.log_level);
-        let log_level = LogLevel { handle, default: self.log_level };
+        let log = logging::start(self.log_level);
+        let log_level = LogLevel { handle: log.level, default: self.log_level };
         let all_written =
             serve::serve(ServeOptions { deployment, configuration_path, operator, log_level, signals });
-        drop(log);
+        drop(log.guard);
         Ok(if all_written? { ExitCode::SUCCESS } else { ExitCode::FAILURE })
     }
 }
--- a/crates/hazelgrade-server/src/program/identity.rs
+++ b/crates/hazelgrade-server/src/program/identity.rs
@@ -3,7 +3,7 @@
 use super::configuration::Deployment;
 use super::documents;
 use super::serving_document::InitialConfiguration;
-use super::store::SharedStore;
+use super::store::{NamedValue, SharedStore};
 use super::subscription::{StartedSubscription, Subscription};
 use crate::routing::context::RequestContext;
 use async_io::Timer;
@@ -113,7 +113,7 @@
     }
 
     fn store(&self, bytes: Vec<u8>) -> BoxedLocal<Result<(), String>> {
-        self.store.write(vec![(stored::store_key(Kind::Identity), bytes)])
+        self.store.write(vec![NamedValue { name: stored::store_key(Kind::Identity), bytes }])
     }
 
     fn apply(&self, document: Option<&Document>, is_rollback: bool) -> Result<(), String> {
--- a/crates/hazelgrade-server/src/program/logging.rs
+++ b/crates/hazelgrade-server/src/program/logging.rs
@@ -13,8 +13,16 @@
 /// Changes the level while the program runs.
 pub type LevelHandle = reload::Handle<LevelFilter, Registry>;
 
-/// Logs at this level until the guard is dropped, which writes the remaining lines.
-pub fn start(level: LevelFilter) -> (WorkerGuard, LevelHandle) {
+/// A log that has started.
+pub struct StartedLog {
+    /// Writes the remaining lines when it is dropped.
+    pub guard: WorkerGuard,
+    /// Changes the level.
+    pub level: LevelHandle,
+}
+
+/// Logs at this level until the guard is dropped.
+pub fn start(level: LevelFilter) -> StartedLog {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
         .buffered_lines_limit(MAX_BUFFERED_LINES)
@@ -23,5 +31,5 @@
     let lines = tracing_subscriber::fmt::layer().with_writer(writer).with_ansi(false).with_target(false);
     // Fails only if a log was started before, which continues then.
     let _ = tracing_subscriber::registry().with(filter).with(lines).try_init();
-    (guard, handle)
+    StartedLog { guard, level: handle }
 }
--- a/crates/hazelgrade-server/src/program/serving_document/host.rs
+++ b/crates/hazelgrade-server/src/program/serving_document/host.rs
@@ -3,7 +3,7 @@
 use super::slot_table::{RevisedTable, SlotTable};
 use crate::program::logging::LevelHandle;
 use crate::program::reload::Reload;
-use crate::program::store::SharedStore;
+use crate::program::store::{NamedValue, SharedStore};
 use crate::routing::context::RequestContext;
 use futures_lite::future::{BoxedLocal, FutureExt};
 use hazelgrade::api::{ClassSlot, JobClass, ServiceLimits, SettingsUpdate, Tenant};
@@ -198,9 +198,9 @@
         let store = self.store.clone();
         let unreadable = self.unreadable.clone();
         async move {
-            let mut values = vec![(stored::store_key(Kind::Serving), bytes)];
+            let mut values = vec![NamedValue { name: stored::store_key(Kind::Serving), bytes }];
             let preserved = unreadable.borrow().clone();
-            values.extend(preserved.map(|bytes| (UNREADABLE_NAME, bytes)));
+            values.extend(preserved.map(|bytes| NamedValue { name: UNREADABLE_NAME, bytes }));
             let written = store.write(values).await;
             if written.is_ok() {
                 unreadable.replace(None);
--- a/crates/hazelgrade-server/src/program/store.rs
+++ b/crates/hazelgrade-server/src/program/store.rs
@@ -10,8 +10,13 @@
 #[derive(Clone)]
 pub struct SharedStore(Result<Arc<Mutex<Store>>, String>);
 
-/// A name and its new value.
-pub type NamedValue = (&'static str, Vec<u8>);
+/// A value to write.
+pub struct NamedValue {
+    /// The name of the value in the store.
+    pub name: &'static str,
+    /// Its new content.
+    pub bytes: Vec<u8>,
+}
 
 impl SharedStore {
     /// Shares a store that is open.
@@ -47,7 +52,7 @@
             blocking::unblock(move || {
                 let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
                 let changes: Vec<_> =
-                    values.iter().map(|(name, value)| (*name, Some(value.as_slice()))).collect();
+                    values.iter().map(|value| (value.name, Some(value.bytes.as_slice()))).collect();
                 store.commit(&changes).map_err(|error| error.to_string())
             })
             .await
--- a/crates/hazelgrade-server/src/protocol/jsonrpc/request.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc/request.rs
@@ -201,8 +201,8 @@
 fn find_job_class(call_id: u64, method: &str, settings: &HostSettings) -> Result<usize, RequestError> {
     match settings.job_class(method) {
         Some((job_class, true)) => Ok(job_class),
-        known => {
-            let not_served = known.is_some() || !settings.serves();
+        found => {
+            let not_served = found.is_some() || !settings.serves();
             let error = RequestError::new(Some(call_id), Reason::UnknownMethod);
             Err(RequestError { not_served, ..error })
         }
--- a/crates/hazelgrade-server/src/routing/budget_share.rs
+++ b/crates/hazelgrade-server/src/routing/budget_share.rs
@@ -63,6 +63,10 @@
     }
 }
 
+/// The lease of calls expired between the controller's decision and the call, which must not be sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LeaseExpired;
+
 /// This node's shares, with a clock of their own.
 pub struct BudgetShare {
     /// When the clock showed 0.
@@ -181,23 +185,23 @@
         }
     }
 
-    /// Checks the lease right before a call is sent. Returns the time by which the call must be handed to the system,
-    /// or `None` if it must not be sent.
-    pub fn call_expiry(&self) -> Option<Instant> {
+    /// Checks the lease right before a call is sent: the process may have been suspended since the controller's
+    /// decision. Returns the time by which the call must be handed to the system.
+    pub fn call_expiry(&self) -> Result<Instant, LeaseExpired> {
         let now = self.now();
         let call_budget = self.call_budget.borrow();
         let expires_at = Instant::now() + self.max_send_time;
-        let Some(budget) = &*call_budget else { return Some(expires_at) };
+        let Some(budget) = &*call_budget else { return Ok(expires_at) };
         let entitlement = self.holder.borrow().entitlement(now, budget);
         let in_use = self.calls_in_flight.get();
         if in_use <= entitlement.unleased {
-            return Some(expires_at);
+            return Ok(expires_at);
         }
         match entitlement.expires_at {
-            Some(until) if in_use <= entitlement.units => Some(expires_at.min(self.instant(until))),
+            Some(until) if in_use <= entitlement.units => Ok(expires_at.min(self.instant(until))),
             _ => {
                 self.calls_expired.set(self.calls_expired.get() + 1);
-                None
+                Err(LeaseExpired)
             }
         }
     }
@@ -210,14 +214,14 @@
         let mut tenant_limits = self.tenant_limits.borrow_mut();
         let mut tenant_limit = tenant.and_then(|tenant| tenant_limits.get_mut(tenant));
         if let Some(limit) = &mut tenant_limit {
-            self.refill(now, limit);
+            self.resize_bucket(now, limit);
             if let Err(retry_after) = limit.take(now) {
                 return Some(retry_after);
             }
         }
         let mut retry_limit = self.retry_limit.borrow_mut();
         let limit = retry_limit.as_mut()?;
-        self.refill(now, limit);
+        self.resize_bucket(now, limit);
         if !job.is_retry {
             limit.bucket.deposit();
             return None;
@@ -230,7 +234,7 @@
     }
 
     /// Adjusts the rate of a bucket to this node's current share.
-    fn refill(&self, now: Time, limit: &mut RateLimit) {
+    fn resize_bucket(&self, now: Time, limit: &mut RateLimit) {
         let units = self.holder.borrow().entitlement(now, &limit.budget).units;
         limit.bucket.resize(now, limit.terms.measure, limit.terms.total, units);
     }
--- a/crates/hazelgrade-server/src/routing/job.rs
+++ b/crates/hazelgrade-server/src/routing/job.rs
@@ -3,6 +3,7 @@
 //! A job is queued, then running, then finished. If its run is cancelled before the answer, it is queued again.
 //! There is one method for each phase, which handles an event and returns the next phase.
 
+use super::budget_share::LeaseExpired;
 use super::context::RequestContext;
 use super::controller_driver::ControllerEvent;
 use super::in_flight::JobEvent;
@@ -261,11 +262,10 @@
         }
     }
 
-    /// The time by which a call must be handed to the system; `Ok(None)` without a budget. The process may have been
-    /// suspended since the controller's decision, so that the lease has expired and another node may hold the units.
+    /// The time by which a call must be handed to the system; `Ok(None)` if budgets are not enabled.
     fn call_expiry(&self) -> Result<Option<Instant>, LeaseExpired> {
         match self.context.driver.budget_share() {
-            Some(share) => share.call_expiry().map(Some).ok_or(LeaseExpired),
+            Some(share) => share.call_expiry().map(Some),
             None => Ok(None),
         }
     }
@@ -368,6 +368,3 @@
         self.context.send_command(&Command::CancelRun { id: &self.id });
     }
 }
-
-/// The lease expired between the controller's decision and the call.
-struct LeaseExpired;
