--- a/crates/hazelgrade-server/src/program/serve/reports.rs
+++ b/crates/hazelgrade-server/src/program/serve/reports.rs
@@ -66,8 +66,8 @@
             calls_lost = context.dependency_calls.lost.get(),
             unknown_call_replies = context.dependency_calls.unknown_replies.get(),
             unknown_jobs = context.in_flight.unknown_jobs.get(),
-            malformed_lines = front_end.invalid_messages.get(),
-            clients_evicted = front_end.connections.closed_for_violation.get(),
+            invalid_messages = front_end.invalid_messages.get(),
+            closed_for_violation = front_end.connections.closed_for_violation.get(),
             handshakes_failed = front_end.tls.failed_handshakes(),
             "summary"
         );
--- a/crates/hazelgrade-server/src/routing/front_end.rs
+++ b/crates/hazelgrade-server/src/routing/front_end.rs
@@ -207,7 +207,7 @@
         request: &JobRequest,
         fingerprint: &JobFingerprint,
     ) -> bool {
-        let Some(is_same) = self.context.in_flight.is_same(&request.job.id, fingerprint) else {
+        let Some(is_same) = self.context.in_flight.has_fingerprint(&request.job.id, fingerprint) else {
             return false;
         };
         // A different job under an id in flight does not run. The outcome of the same job is not known yet.
--- a/crates/hazelgrade-server/src/routing/in_flight.rs
+++ b/crates/hazelgrade-server/src/routing/in_flight.rs
@@ -172,7 +172,7 @@
 
     /// Whether the job in flight under this id has this fingerprint; `None` if there is none. The answer still goes to
     /// the first caller: otherwise anyone who has seen the id could receive it.
-    pub fn is_same(&self, id: &JobId, fingerprint: &JobFingerprint) -> Option<bool> {
+    pub fn has_fingerprint(&self, id: &JobId, fingerprint: &JobFingerprint) -> Option<bool> {
         self.jobs.borrow().get(id).map(|entry| entry.fingerprint == *fingerprint)
     }
 
