--- a/crates/hazelgrade-server/src/program/store.rs
+++ b/crates/hazelgrade-server/src/program/store.rs
@@ -10,8 +10,13 @@
 #[derive(Clone)]
 pub struct SharedStore(Result<Arc<Mutex<Store>>, String>);
 
-/// A name and its new value.
-pub type NamedValue = (&'static str, Vec<u8>);
+/// A value to write.
+pub struct NamedValue {
+    /// The name of the value in the store.
+    pub name: &'static str,
+    /// Its new content.
+    pub bytes: Vec<u8>,
+}
 
 impl SharedStore {
     /// Shares a store that is open.
@@ -24,7 +29,7 @@
         SharedStore(Err(reason))
     }
 
-    /// What is stored of a kind of document; nothing if it can't be read, which is logged.
+    /// The stored state for a kind of document. If it can't be read, logs an error and returns the default.
     pub fn stored_state(&self, kind: Kind) -> StoredState {
         let bytes = self.0.as_ref().ok().and_then(|store| {
             let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
@@ -39,7 +44,7 @@
         }
     }
 
-    /// Writes values together, off the serving thread; they are on the disk when it is done.
+    /// Writes values in one transaction on a background thread. They are on disk when the future completes.
     pub fn write(&self, values: Vec<NamedValue>) -> BoxedLocal<Result<(), String>> {
         let store = self.0.clone();
         async move {
@@ -47,7 +52,7 @@
             blocking::unblock(move || {
                 let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
                 let changes: Vec<_> =
-                    values.iter().map(|(name, value)| (*name, Some(value.as_slice()))).collect();
+                    values.iter().map(|value| (value.name, Some(value.bytes.as_slice()))).collect();
                 store.commit(&changes).map_err(|error| error.to_string())
             })
             .await
