--- a/crates/hazelgrade/src/api/decisions.rs
+++ b/crates/hazelgrade/src/api/decisions.rs
@@ -7,18 +7,18 @@
 pub trait Decisions {
     /// Starts the run of a queued job.
     fn start_run(&mut self, id: &JobId);
-    /// Answers a job that has had no effect: it may be sent again after `retry_after`, and with `not_elsewhere` other
-    /// servers are no better a place for it.
+    /// Answers a job that has had no effect: it may be sent again after `retry_after`; `not_elsewhere`
+    /// says that other servers seem to have no room for it either.
     fn reject(&mut self, id: &JobId, not_elsewhere: bool, retry_after: Span);
-    /// Answers a job with an error: it may have had its effect, or a retry would be in vain.
+    /// Answers a job with an error: it may have had its effect, or a retry would not help.
     fn fail(&mut self, id: &JobId);
     /// Makes the call that a run waits for; without a reply after `timeout` it has timed out.
     fn start_call(&mut self, id: &JobId, timeout: Span);
-    /// Lets a run go on without the call that it waits for.
+    /// Continues a run without the call that it waits for.
     fn skip_call(&mut self, id: &JobId);
     /// Cancels a run.
     fn cancel_run(&mut self, id: &JobId);
-    /// Has a retry wait for the result of the job that it repeats.
+    /// Makes a retry wait for the result of the job that it repeats.
     fn await_original(&mut self, id: &JobId);
     /// Stores the idempotency record of a keyed job for a time, in place of an earlier one.
     fn store_record(&mut self, id: &JobId, lifetime: Span);
@@ -32,6 +32,7 @@
     fn set_timer(&mut self, at: Time, token: u64);
     /// Writes a line to the host's log.
     fn log(&mut self, text: &str);
-    /// The next decision on this job is due to the lease of calls that all servers share, not to a full queue.
+    /// Comes before the decision on a job that is limited by the lease of calls that all servers share, rather than by
+    /// a full queue.
     fn limited_by_lease(&mut self, _id: &JobId) {}
 }
--- a/crates/hazelgrade/src/api/job.rs
+++ b/crates/hazelgrade/src/api/job.rs
@@ -17,9 +17,9 @@
     pub tenant: usize,
     /// When it reached the machine, which may be long before it was read.
     pub received_at: Time,
-    /// When its caller stops waiting, where callers tell; otherwise the deadline of its class holds.
+    /// When its caller stops waiting, if the caller states it; otherwise the deadline of its class applies.
     pub caller_deadline: Option<Time>,
-    /// Time on a standard core that it is expected to take, where that is told.
+    /// Expected time on a standard core, if the caller states it.
     pub expected_work: Option<Span>,
     /// Memory that it takes while queued, in kilobytes.
     pub queued_kb: f64,
@@ -31,9 +31,9 @@
     pub retry_of: Option<JobId>,
     /// A job of its caller has run before, so what it sends is evidence of the load.
     pub from_known_caller: bool,
-    /// Its caller asks for more than its rate limit, where it has one: its priority weight is reduced.
+    /// Its caller is over its rate limit, so the job's priority weight is reduced.
     pub over_caller_limit: bool,
-    /// A budget that all servers share has nothing left for it: when there may be more.
+    /// Set if a budget that all servers share has nothing left for it: the time until there may be more.
     pub lease_retry_after: Option<Span>,
 }
 
@@ -46,7 +46,7 @@
     Failed,
     /// The dependency rejected it before it ran.
     Rejected,
-    /// No reply came in its time; it may have had its effect.
+    /// No reply came in time; it may have had its effect.
     TimedOut,
     /// No connection could be made: nothing ran.
     Unreachable,
--- a/crates/hazelgrade/src/api/lease.rs
+++ b/crates/hazelgrade/src/api/lease.rs
@@ -13,7 +13,7 @@
     pub calls_after_expiry: f64,
     /// A call made under the lease must be over after this time, its linger at the dependency included.
     pub max_call_time: Span,
-    /// About when there may be more.
+    /// Approximate time until there may be more.
     pub retry_after: Span,
 }
 
@@ -29,6 +29,7 @@
 pub struct CallDemand {
     /// Calls in flight or lingering at the dependency.
     pub in_flight: f64,
-    /// Calls that would be in flight if the lease allowed it, at most the permits of the call limiter more.
+    /// Calls that would be in flight if the lease allowed it: those in flight, and at most as many more as the call
+    /// limiter has permits.
     pub wanted: f64,
 }
--- a/crates/hazelgrade/src/api/settings.rs
+++ b/crates/hazelgrade/src/api/settings.rs
@@ -32,7 +32,7 @@
     pub latency_objective: Span,
     /// The latency objective grows by this ratio of the job's expected work.
     pub objective_per_work: f64,
-    /// A final answer is due within this time of the job's receipt, where the caller tells no deadline.
+    /// A final answer is due within this time of the job's receipt, where the caller states no deadline.
     pub deadline: Span,
     /// What a success is worth, in any unit common to all classes.
     pub priority_weight: f64,
@@ -48,7 +48,7 @@
     pub weight_ratio_without_call: f64,
 }
 
-/// Whom jobs are run for.
+/// A customer that jobs are run for.
 #[derive(Clone, Debug)]
 pub struct Tenant {
     /// Jobs a second over the whole fleet that have full weight.
@@ -66,7 +66,7 @@
     pub running_memory_ratio: f64,
     /// Memory of an idempotency record, in kilobytes.
     pub record_kb: f64,
-    /// It has just started and is slow until it has warmed up.
+    /// Whether it has just started, and is slow until it has warmed up.
     pub cold: bool,
     /// What cancelling a run does.
     pub cancellation: Cancellation,
@@ -85,7 +85,7 @@
     Requeues,
 }
 
-/// The figures behind the service's rules.
+/// The figures that the service's rules are based on.
 #[derive(Clone, Debug)]
 pub struct ServiceLimits {
     /// How long after its deadline an answer still counts.
@@ -96,16 +96,16 @@
     pub warm_up: Span,
     /// Jobs that are received within this time of the drain's notice may still be admitted.
     pub drain_grace: Span,
-    /// Jobs a core that a warm machine withstands, in the mean of some seconds; 1 or more.
+    /// Jobs per core that a warm machine withstands, averaged over some seconds; 1 or more.
     pub max_jobs_per_core: f64,
 }
 
 /// What jobs call.
 #[derive(Clone, Debug)]
 pub struct Dependency {
-    /// Calls that this server may have in flight there, in the mean of `max_calls_window`, where it is told.
+    /// Calls that this server may have in flight there, averaged over `max_calls_window`; `None` where no limit is set.
     pub max_calls: Option<f64>,
-    /// Time over which the mean of calls in flight counts.
+    /// Time over which calls in flight are averaged.
     pub max_calls_window: Span,
     /// How long a call that was given up may stay there.
     pub linger: Span,
@@ -120,11 +120,11 @@
     Level,
     /// Each keeps at most that many jobs in flight here.
     Credit,
-    /// The probability that one does not pass this server by.
+    /// The probability with which a caller that has chosen this server sends to it.
     Weight,
 }
 
-/// What is known of the callers.
+/// What is known about the callers.
 #[derive(Clone, Debug)]
 pub struct CallerSettings {
     /// How many there are, 1 or more.
@@ -161,8 +161,8 @@
     pub tenants: Vec<Tenant>,
     /// The service's limits.
     pub limits: ServiceLimits,
-    /// Indexes that stand for another class than before: nothing that was learned of them counts.
+    /// Indexes that now refer to another class: what was learned about the earlier one is forgotten.
     pub reset_classes: Vec<usize>,
-    /// Indexes that stand for another tenant than before.
+    /// Indexes that now refer to another tenant: use of the earlier one's quota is forgotten.
     pub reset_tenants: Vec<usize>,
 }
--- a/crates/hazelgrade/src/call_limiter.rs
+++ b/crates/hazelgrade/src/call_limiter.rs
@@ -1,5 +1,5 @@
-//! The mechanism of the service: a semaphore bounds the calls in flight to the dependency, past it a short bounded
-//! queue waits. While the queue is full, new jobs that call are rejected at arrival; a call that has waited past its
+//! The mechanism of the service: a semaphore bounds the calls in flight to the dependency, and further calls wait in a
+//! short bounded queue. While the queue is full, new jobs that call are rejected at arrival; a call that has waited past its
 //! budget is dropped.
 //!
 //! The number of permits adapts to how long calls take; the queue's capacity follows from how many calls get through
@@ -10,9 +10,9 @@
 use crate::time::{Span, Time};
 use std::collections::VecDeque;
 
-/// Permits at the start, where the dependency tells no limit.
+/// Permits at the start, where no limit is set for the dependency.
 const DEFAULT_PERMITS: f64 = 8.0;
-/// Where no limit is told, permits may grow to this many times those at the start.
+/// Where no limit is set, permits may grow to this many times those at the start.
 const MAX_PERMITS_RATIO: f64 = 4.0;
 /// Permits never shrink below this ratio of those at the start, so as not to add to a dependency's slowness.
 const MIN_PERMITS_RATIO: f64 = 0.5;
@@ -20,16 +20,16 @@
 const OVERLOADED_LATENCY_RATIO: f64 = 4.0;
 /// By how much permits shrink for each permit's worth of slow calls.
 const SHRINK_STEP: f64 = 0.5;
-/// How fast the best latency drifts up for each permit's worth of calls, so that a lasting change is taken as it is.
+/// Ratio by which the best latency drifts up for each permit's worth of calls, so that it adapts to a lasting change.
 const BEST_LATENCY_DRIFT: f64 = 0.002;
-/// A call that takes more than this many times the mean latency never comes back, and holds a permit.
+/// A call times out after this many times the mean latency: by then no reply is expected, and it holds a permit.
 const TIMEOUT_LATENCY_RATIO: f64 = 16.0;
-/// The share of a lease's longest call time that a call may use: the way to the dependency needs the rest.
+/// Ratio of a lease's longest call time that a call may use: the network path to the dependency needs the rest.
 const LEASE_TIME_USE_RATIO: f64 = 0.8;
 /// Shortest mean latency that a throughput is worked out from, in milliseconds.
 const MIN_LATENCY_MS: f64 = 0.001;
 
-/// A call that is over here and counts at the dependency for a while.
+/// A call that has ended here and still counts at the dependency for a while.
 struct FinishedCall {
     /// When it has left the dependency.
     left_at: Time,
@@ -42,7 +42,7 @@
     dependency: Dependency,
     /// This server's lease of the calls that all servers share; none where each has its own limit.
     lease: Option<CallLease>,
-    /// Jobs that were rejected for want of a larger lease.
+    /// Jobs that were rejected for lack of a larger lease.
     lease_rejections: DecayingSum,
     permits: f64,
     /// The lowest mean latency, in milliseconds.
@@ -54,7 +54,7 @@
 }
 
 impl CallLimiter {
-    /// A limiter for this dependency, on which no call was made yet.
+    /// A limiter for a dependency that was not called yet.
     pub fn new(dependency: Dependency, learning_window: Span) -> CallLimiter {
         CallLimiter {
             permits: dependency.max_calls.unwrap_or(DEFAULT_PERMITS),
@@ -105,7 +105,7 @@
         limit < self.permits() && self.in_flight_or_lingering(now) >= limit
     }
 
-    /// A job was rejected because the lease has nothing left; gives when there may be more.
+    /// Counts a job that was rejected because the lease has nothing left; returns the time until there may be more.
     pub fn rejected_by_lease(&mut self, now: Time) -> Span {
         self.lease_rejections.add(now, 1.0);
         self.lease.map_or(Span::ZERO, |lease| lease.retry_after)
@@ -116,9 +116,9 @@
         self.in_flight == 0
     }
 
-    /// A call got a reply. While calls wait and the latency is near its best, permits grow, at first doubling in a
-    /// round trip; while calls are much slower permits shrink, to half those at the start.
-    pub fn reply_received(&mut self, now: Time, latency: Span) {
+    /// A call took `latency` until its reply or its timeout. While calls wait and the latency is near its best, permits
+    /// grow, at first doubling in a round trip; while calls are much slower permits shrink, to half those at the start.
+    pub fn record_latency(&mut self, now: Time, latency: Span) {
         self.latency.record(now, latency);
         self.adjust_permits(now);
     }
@@ -126,27 +126,28 @@
     fn adjust_permits(&mut self, now: Time) {
         let initial = self.dependency.max_calls.unwrap_or(DEFAULT_PERMITS);
         // A mean over fewer calls than the initial permits says little.
-        let enough = self.latency.sample_count(now) >= initial.max(DEFAULT_PERMITS);
-        let Some(mean_ms) = self.latency.mean(now).map(Span::as_ms).filter(|_| enough) else { return };
+        let is_meaningful = self.latency.sample_count(now) >= initial.max(DEFAULT_PERMITS);
+        let Some(mean_ms) = self.latency.mean(now).map(Span::as_ms).filter(|_| is_meaningful) else { return };
         let drift = 1.0 + BEST_LATENCY_DRIFT / self.permits;
         let best_ms = self.best_latency_ms.map_or(mean_ms, |best_ms| (best_ms * drift).min(mean_ms));
         self.best_latency_ms = Some(best_ms);
         let max = self.dependency.max_calls.unwrap_or(MAX_PERMITS_RATIO * DEFAULT_PERMITS);
         if mean_ms > best_ms * OVERLOADED_LATENCY_RATIO {
             self.permits -= SHRINK_STEP / self.permits;
+            // Permits grow up to halfway between the best latency and that of an overloaded dependency.
         } else if !self.queue.is_empty() && mean_ms < best_ms * (1.0 + OVERLOADED_LATENCY_RATIO) / 2.0 {
             self.permits += initial / self.permits;
         }
         self.permits = self.permits.clamp((initial * MIN_PERMITS_RATIO).min(max), max);
     }
 
-    /// Calls a second that get through, by how long calls take: a pause in arrivals doesn't lower it.
+    /// Calls per second that the permits allow at the mean latency; a pause in arrivals doesn't lower it.
     fn throughput_per_s(&mut self, now: Time) -> Option<f64> {
         let mean = self.latency.mean(now)?;
         Some(self.permits * 1000.0 / mean.as_ms().max(MIN_LATENCY_MS))
     }
 
-    /// How long a call may wait in the queue, of `time_budget` that it may take in all. For a rejected job this is the
+    /// How long a call that may take `time_budget` in all may wait in the queue. For a rejected job this is the
     /// retry-after too: by then the queue has drained.
     pub fn wait_budget(&mut self, now: Time, time_budget: Span) -> Span {
         time_budget.saturating_sub(self.latency.mean_or_zero(now))
@@ -186,7 +187,7 @@
         self.queue.retain(|queued| queued != id);
     }
 
-    /// The dependency's limit, if it is less than one call in the mean.
+    /// The dependency's limit, if it is less than one call on average.
     fn fractional_limit(&self) -> Option<f64> {
         self.dependency.max_calls.filter(|max_calls| *max_calls < 1.0)
     }
@@ -194,6 +195,7 @@
     /// With a limit of less than one call: how long the next call may take, by what was used in the limit's window.
     fn call_time_left(&self) -> Option<Span> {
         let limit = self.fractional_limit()?;
+        // The next call may linger too, so its linger counts as used.
         let used = self.finished.iter().fold(self.dependency.linger, |used, call| used + call.lasted);
         Some((self.dependency.max_calls_window * limit).saturating_sub(used))
     }
@@ -209,20 +211,21 @@
             && in_flight < self.permits().min(self.lease_limit(now))
     }
 
-    /// A call is made, which may go on for `remaining`; gives its timeout: no longer than any call takes that comes
-    /// back, but at least `shortest`, and no longer than the dependency's limit and the lease allow.
+    /// Counts a call that starts now and returns its timeout. The timeout is [`TIMEOUT_LATENCY_RATIO`] times the mean
+    /// latency, or `shortest` if that is longer, and at most `remaining` and what the dependency's limit and the lease
+    /// allow.
     pub fn call_started(&mut self, now: Time, remaining: Span, shortest: Span) -> Span {
-        let patience = self.latency.mean(now).map_or(remaining, |mean| mean * TIMEOUT_LATENCY_RATIO);
+        let latency_timeout = self.latency.mean(now).map_or(remaining, |mean| mean * TIMEOUT_LATENCY_RATIO);
         let within_limit = self.call_time_left().map_or(remaining, |left| remaining.min(left));
         let within_lease = self.lease.map_or(within_limit, |lease| {
             let usable = lease.max_call_time.saturating_sub(self.dependency.linger) * LEASE_TIME_USE_RATIO;
             within_limit.min(usable)
         });
         self.in_flight += 1;
-        within_lease.min(patience.max(shortest))
+        within_lease.min(latency_timeout.max(shortest))
     }
 
-    /// A call is over; one that was given up lingers at the dependency.
+    /// Counts a call that has ended; one that was given up lingers at the dependency.
     pub fn call_finished(&mut self, now: Time, lasted: Span, given_up: bool) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let linger = if given_up { self.dependency.linger } else { Span::ZERO };
@@ -234,14 +237,14 @@
         self.latency.mean_or_zero(now)
     }
 
-    /// How much slower calls are than at best: 0 for not at all, up to 1 for twice as slow or more.
+    /// How much slower calls are than at their best: from 0, not at all, to 1, twice as slow or more.
     pub fn latency_excess(&mut self, now: Time) -> f64 {
         let best_and_mean = self.best_latency_ms.zip(self.latency.mean(now));
         best_and_mean
             .map_or(0.0, |(best_ms, mean)| (mean.as_ms() / best_ms.max(MIN_LATENCY_MS) - 1.0).clamp(0.0, 1.0))
     }
 
-    /// What is in flight, and what would be: calls that wait, and those of jobs rejected for want of a larger lease.
+    /// Calls in flight, and those that would be: waiting calls, and calls of jobs rejected for lack of a larger lease.
     pub fn demand(&mut self, now: Time, learning_window: Span) -> CallDemand {
         let in_flight = self.in_flight_or_lingering(now);
         let rejected = self.lease_rejections.value(now) * (self.latency.mean_or_zero(now) / learning_window);
@@ -249,7 +252,7 @@
         CallDemand { in_flight, wanted: in_flight + waiting }
     }
 
-    /// When a permit may become free without an event: calls stop lingering, or leave the limit's window.
+    /// When a permit may next become free without an event: a call stops lingering or leaves the limit's window.
     pub fn next_release(&self, now: Time) -> Option<Time> {
         let window = self.dependency.max_calls_window;
         let releases = self.finished.iter().flat_map(|call| [call.left_at, call.left_at + window]);
--- a/crates/hazelgrade/src/controller/admission.rs
+++ b/crates/hazelgrade/src/controller/admission.rs
@@ -10,7 +10,7 @@
 const RETRY_GAP_RATIO: f64 = 0.05;
 
 impl Controller {
-    /// A job that was just read waits for the job that it repeats, is given up, or stays in the run queue.
+    /// Decides on a job that was just read: it waits for the job that it repeats, is given up, or stays in the run queue.
     pub(super) fn admit(&mut self, now: Time, id: &JobId, decisions: &mut dyn Decisions) {
         if !self.admit_keyed(now, id, decisions) {
             return;
@@ -27,14 +27,15 @@
         self.admit_by_call_queue(now, id, decisions);
     }
 
-    /// Links a keyed job to the one that it repeats, or stores a record of it. `false` if that decided on it.
+    /// Links a keyed job to the one that it repeats, or stores a record of it. Returns whether the job is still to be
+    /// decided on; jobs of other classes always are.
     fn admit_keyed(&mut self, now: Time, id: &JobId, decisions: &mut dyn Decisions) -> bool {
         let Some(tracked) = self.jobs.get(id) else { return false };
         if tracked.class.idempotency != Idempotency::Keyed {
             return true;
         }
         self.records.remove_outdated(now);
-        // Two that were read in one batch name each other: the first of them has no record yet and is admitted.
+        // Two jobs that were read in one batch may name each other: the first has no record yet and is admitted.
         let is_original = |prior: &JobId| self.records.contains(prior) || !self.jobs.contains(prior);
         if tracked.job.retry_of.as_ref().is_some_and(is_original) {
             decisions.await_original(id);
@@ -94,6 +95,7 @@
         self.records.may_repeat_started(&tracked.job, tracked.stage_since, marked, min_gap)
     }
 
+    /// Moves a job to another stage.
     pub(super) fn enter(&mut self, now: Time, id: &JobId, stage: Stage) {
         if let Some(tracked) = self.jobs.get_mut(id) {
             tracked.enter(now, stage);
--- a/crates/hazelgrade/src/controller/answers.rs
+++ b/crates/hazelgrade/src/controller/answers.rs
@@ -1,4 +1,4 @@
-//! Jobs that are given up: answered at once, their runs cancelled, their memory given back.
+//! Jobs that are given up: answered at once, their runs cancelled, their memory freed.
 
 use super::Controller;
 use crate::api::{Cancellation, Decisions, Idempotency, JobId};
@@ -44,6 +44,7 @@
         }
     }
 
+    /// Rejects a job with a retry-after that is spread at random.
     fn reject(
         &mut self,
         now: Time,
@@ -75,11 +76,12 @@
         }
     }
 
+    /// Memory in use by jobs and idempotency records, in kilobytes.
     pub(super) fn used_kb(&self, now: Time) -> f64 {
         memory::used_kb(&self.jobs, self.records.live_count(now), &self.machine)
     }
 
-    /// Gives up jobs until all fit into memory: those that don't run before those that do, of each the last read first.
+    /// Gives up jobs until all fit into memory: first those that don't run, then cancellable runs, the last read first.
     pub(super) fn shed_memory(&mut self, now: Time, decisions: &mut dyn Decisions) {
         let mut excess_kb = self.used_kb(now) - memory::shed_limit_kb(&self.machine);
         let mut candidates = self.jobs.select(|tracked| self.is_cancellable(tracked));
--- a/crates/hazelgrade/src/controller/calls.rs
+++ b/crates/hazelgrade/src/controller/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the dependency: queued, made, left out.
+//! Calls to the dependency: queued, started, skipped.
 
 use super::Controller;
 use crate::api::{Decisions, Idempotency, JobId};
@@ -7,13 +7,14 @@
 use crate::rejection::GiveUp;
 use crate::time::Time;
 
-/// A call is made again once at the most.
+/// A call is attempted this many times at most.
 const MAX_CALL_ATTEMPTS: u32 = 2;
-/// A call that may be left out is left out if less than this ratio of the mean latency remains for it.
+/// A call that may be skipped is skipped if less than this ratio of the mean latency remains for it.
 const MIN_CALL_TIME_RATIO: f64 = 0.5;
 
 impl Controller {
-    /// A run is at a call: it waits in the call queue, or, when that is full, goes without.
+    /// A run has come to a call: queues the call, or goes without it if the queue is full, the time for the call is over
+    /// or it must not be attempted again.
     pub(super) fn queue_call(&mut self, now: Time, id: &JobId, decisions: &mut dyn Decisions) {
         let Some(tracked) = self.jobs.unanswered(id) else { return };
         let time_budget = self.call_time_budget(now, tracked);
@@ -30,15 +31,15 @@
         }
     }
 
-    /// Calls that may be left out and have too little time left are left out. With none in flight the newest is tried all
-    /// the same: otherwise after one slow call none would ever be made again.
-    pub(super) fn skip_calls_in_vain(&mut self, now: Time, decisions: &mut dyn Decisions) {
+    /// Skips queued calls that may be skipped and have too little time left. If no call is in flight, the newest of them
+    /// stays queued: otherwise after one slow call none would ever be made again.
+    pub(super) fn skip_late_calls(&mut self, now: Time, decisions: &mut dyn Decisions) {
         let queued = self.jobs.select(|tracked| {
             tracked.stage == Stage::AwaitingCallPermit && tracked.class.weight_ratio_without_call > 0.0
         });
-        let spared = usize::from(self.call_limiter.is_idle());
-        let judged = queued.len().saturating_sub(spared);
-        for id in &queued[..judged] {
+        let excepted = if self.call_limiter.is_idle() { 1 } else { 0 };
+        let checked = queued.len().saturating_sub(excepted);
+        for id in &queued[..checked] {
             let call_deadline = self.call_deadline(now, id);
             if call_deadline <= now + self.call_limiter.mean_latency(now) * MIN_CALL_TIME_RATIO {
                 self.go_without_call(now, id, decisions);
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Makes as many of the queued calls as there are permits for.
+    /// Starts as many queued calls as there are permits for.
     pub(super) fn start_calls(&mut self, now: Time, decisions: &mut dyn Decisions) {
         while self.call_limiter.has_permit(now)
             && self.jobs_on_cores_or_calling() < self.max_jobs_on_cores(now)
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Makes a call, unless it has waited past its budget or the time for it is over.
+    /// Starts a call, unless it has waited past its budget or the time for it is over.
     fn start_call(&mut self, now: Time, id: &JobId, decisions: &mut dyn Decisions) {
         let Some(tracked) = self.jobs.unanswered(id) else { return };
         let time_budget = self.call_time_budget(now, tracked);
@@ -70,8 +71,8 @@
         decisions.start_call(id, timeout.max(self.machine.tick));
     }
 
-    /// No call is made. Where leaving it out still has some weight and the cores have room, the run goes on without;
-    /// otherwise the job fails.
+    /// Gives up a call. If an answer without it still has some weight and the cores have room, the run goes on without
+    /// it; otherwise the job fails.
     fn go_without_call(&mut self, now: Time, id: &JobId, decisions: &mut dyn Decisions) {
         self.call_limiter.remove_queued(id);
         let has_room = self.jobs_on_cores_or_calling() < self.max_jobs_on_cores(now);
--- a/crates/hazelgrade/src/controller/events.rs
+++ b/crates/hazelgrade/src/controller/events.rs
@@ -1,4 +1,4 @@
-//! What the host tells the controller: the events since the last round.
+//! The events since the last round, as the host reports them to the controller.
 
 use super::Controller;
 use crate::api::{CallLease, Job, JobId, Outcome};
@@ -89,8 +89,9 @@
         }
         controller.call_limiter.call_finished(now, took, outcome == Outcome::TimedOut);
         if !outcome.never_ran() && outcome != Outcome::ConnectionLost {
-            controller.call_limiter.reply_received(now, took);
+            controller.call_limiter.record_latency(now, took);
         }
+        // Not `TrackedJob::enter`, which would reset the attempts at this call.
         tracked.stage_since = now;
         if outcome == Outcome::Completed {
             tracked.stage = Stage::Running;
@@ -116,13 +117,13 @@
         }
     }
 
-    /// The notice came that the process will be stopped at `stops_at`; later notices change nothing.
+    /// Notice was given that the process will be stopped at `stops_at`; later notices change nothing.
     pub fn drain_started(&mut self, stops_at: Time) {
         self.controller.drain.get_or_insert(Drain { notified_at: self.now, stops_at });
         self.controller.load_signal.update_at_once();
     }
 
-    /// This server's lease of the calls that all servers share is this from now on.
+    /// Replaces this server's lease of the calls that all servers share.
     pub fn call_lease_updated(&mut self, lease: CallLease) {
         self.controller.call_limiter.set_lease(lease);
     }
@@ -137,15 +138,15 @@
 }
 
 impl Controller {
-    /// Learns from a job's arrival how long jobs lie unread, how many are retries and what its tenant uses of its
-    /// quota. Jobs of strangers may be made up and are read late for it: they count for nothing.
+    /// Learns from a job's arrival how long jobs wait unread, how many are retries and what its tenant uses of its
+    /// quota. Jobs of unknown callers may be made up, and the host reads them late on purpose, so they don't count.
     fn learn_from_arrival(&mut self, now: Time, job: &Job) {
         if job.from_known_caller {
             let unread = now.since(job.received_at);
             self.run_limiter.job_read(now, unread);
             self.health.job_read(now, unread > self.timescales.lag);
         }
-        let count = f64::from(u8::from(job.from_known_caller));
+        let count = if job.from_known_caller { 1.0 } else { 0.0 };
         self.retry_rate.record_request(now, job.is_retry, count);
         if !job.is_retry {
             self.quotas.record_arrival(now, job.tenant, count);
--- a/crates/hazelgrade/src/controller/mod.rs
+++ b/crates/hazelgrade/src/controller/mod.rs
@@ -1,8 +1,8 @@
 //! The controller: decides for one server which jobs it admits, runs and rejects.
 //!
-//! The host calls [`Controller::round`] once a batch: a closure tells the [`EventSink`] what has happened, in order, then
-//! the controller writes its decisions to a [`Decisions`] sink. This file shows the order of the rules; each rule stands
-//! in a module of its own:
+//! The host calls [`Controller::round`] once per batch: a closure reports the events to the [`EventSink`], in order, then
+//! the controller writes its decisions to a [`Decisions`] sink. This file shows the order of the rules; each rule has its
+//! own module:
 //!
 //! | rule | module |
 //! | --- | --- |
@@ -66,11 +66,11 @@
     random: MultiplyWithCarry,
     /// Numbers jobs and timers.
     sequence: u64,
-    /// When the first round was held.
+    /// When the first round began.
     started_at: Option<Time>,
 
     jobs: JobTable,
-    /// Jobs of which something was heard and that are still to be decided on in this round.
+    /// Jobs with an event in this round that are still to be decided on.
     undecided: Vec<JobId>,
     records: IdempotencyRecords,
     call_limiter: CallLimiter,
@@ -121,13 +121,13 @@
         }
     }
 
-    /// One round: hears all that has happened, then writes the decisions.
+    /// One round: takes in all events, then writes the decisions.
     pub fn round(&mut self, now: Time, events: impl FnOnce(&mut EventSink), decisions: &mut dyn Decisions) {
         self.started_at.get_or_insert(now);
         events(&mut EventSink::new(self, now));
         self.publish_load(now, decisions);
-        self.decide_on_news(now, decisions);
-        self.skip_calls_in_vain(now, decisions);
+        self.decide_on_events(now, decisions);
+        self.skip_late_calls(now, decisions);
         self.give_up_worthless(now, decisions);
         self.start_calls(now, decisions);
         self.start_runs(now, decisions);
@@ -135,8 +135,8 @@
         self.set_timer(now, decisions);
     }
 
-    /// Decides on the jobs of which something was heard since the last round.
-    fn decide_on_news(&mut self, now: Time, decisions: &mut dyn Decisions) {
+    /// Decides on the jobs that had an event since the last round.
+    fn decide_on_events(&mut self, now: Time, decisions: &mut dyn Decisions) {
         for id in std::mem::take(&mut self.undecided) {
             match self.jobs.get(&id).map(|tracked| tracked.stage) {
                 Some(Stage::Queued) => self.admit(now, &id, decisions),
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Calls that this server has in flight at the dependency and would have, for the lease of calls.
+    /// Calls that this server has in flight at the dependency, and would have with a larger lease.
     pub fn call_demand(&mut self, now: Time) -> CallDemand {
         self.call_limiter.demand(now, self.timescales.learning_window)
     }
@@ -162,10 +162,12 @@
         self.drain.map(|drain| drain.answer_deadline(&self.limits, self.machine.tick))
     }
 
+    /// When a job's answer must be given at the latest, also in a drain.
     fn latest_answer(&self, tracked: &TrackedJob) -> Time {
         deadline::latest_answer(tracked, self.drain_deadline())
     }
 
+    /// When a job's answer stops being worth anything.
     fn worthless_from(&self, tracked: &TrackedJob) -> Time {
         deadline::worthless_from(tracked, self.drain_deadline())
     }
@@ -175,6 +177,7 @@
         deadline::call_time_budget(tracked, now, self.worthless_from(tracked))
     }
 
+    /// Jobs that the cores withstand now, at the slowest warm-up allowed for.
     fn max_jobs_on_cores(&self, now: Time) -> f64 {
         let uptime = self.started_at.map_or(Span::ZERO, |started_at| now.since(started_at));
         host_load::max_jobs_on_cores(&self.machine, &self.limits, uptime)
@@ -185,12 +188,13 @@
         self.jobs.count_in(&[Stage::Running, Stage::CallInFlight])
     }
 
+    /// How many times slower the current runs are than completed ones.
     fn slowdown(&mut self, now: Time) -> f64 {
         let mean_core_time = self.service_times.overall_core_time(now);
         host_load::slowdown(&self.jobs, mean_core_time, self.machine.cores, now)
     }
 
-    /// How long the run queue takes to drain.
+    /// How long it takes until all jobs that are queued now have started.
     fn run_queue_drains_in(&mut self, now: Time) -> Span {
         let queued = self.jobs.count_in(&[Stage::Queued]);
         let mean_core_time = self.service_times.overall_core_time(now).unwrap_or(Span::ZERO);
--- a/crates/hazelgrade/src/controller/reporting.rs
+++ b/crates/hazelgrade/src/controller/reporting.rs
@@ -1,4 +1,4 @@
-//! What callers are told of the load, and when the next round is due.
+//! Publishes load signal and health to callers, and sets the timer for the next round.
 
 use super::{Controller, Timer};
 use crate::api::Decisions;
@@ -25,12 +25,12 @@
         }
     }
 
+    /// Publishes health if it has changed; unlists the server if it lags and its callers can't heed its load signal.
     fn publish_health(&mut self, now: Time, decisions: &mut dyn Decisions) {
         let unread = self.run_limiter.mean_unread(now);
         let requests_per_signal = self.requests_per_signal(now);
         let scales = self.timescales;
-        let lags =
-            self.health.is_lagging(now, unread, scales.lag, scales.target_wait, scales.shortest_objective);
+        let lags = self.health.is_lagging(now, unread, &scales);
         if Health::signal_is_unheeded(requests_per_signal)
             && lags
             && !self.retry_rate.exceeds(now, health::MAX_RETRY_RATIO)
@@ -42,7 +42,7 @@
         }
     }
 
-    /// How often each caller comes while it goes by a load signal.
+    /// Requests that each caller sends during the lifetime of a load signal.
     fn requests_per_signal(&mut self, now: Time) -> f64 {
         let window = self.timescales.learning_window;
         let counted_for = self.started_at.map_or(window, |started_at| now.since(started_at).min(window));
@@ -50,7 +50,7 @@
         self.retry_rate.requests(now) * signals / self.callers.count
     }
 
-    /// Has the host call back when something is due without an event: a job becomes worthless, a permit may become free,
+    /// Sets a timer for the next thing that is due without an event: a job becomes worthless, a permit may become free, or
     /// the load signal is to be updated.
     pub(super) fn set_timer(&mut self, now: Time, decisions: &mut dyn Decisions) {
         let unanswered = self.jobs.iter().filter(|tracked| !tracked.answered);
--- a/crates/hazelgrade/src/controller/runs.rs
+++ b/crates/hazelgrade/src/controller/runs.rs
@@ -9,7 +9,7 @@
 use crate::time::{Span, Time};
 use crate::timescales;
 
-/// What there is room for while jobs are started.
+/// The room for further runs in this round.
 struct RunRoom {
     /// Jobs that may run at once, by the run limiter.
     limit: f64,
@@ -22,12 +22,14 @@
 }
 
 impl RunRoom {
+    /// Whether there is room for one more run that takes this much additional memory.
     fn admits(&self, additional_kb: f64) -> bool {
         self.running < self.limit
             && self.on_cores_or_calling < self.max_on_cores
             && self.used_kb + additional_kb <= self.max_kb
     }
 
+    /// Counts one more run.
     fn take(&mut self, additional_kb: f64) {
         self.running += 1.0;
         self.on_cores_or_calling += 1.0;
@@ -37,7 +39,7 @@
 
 impl Controller {
     /// Starts queued jobs in the order of their priority, as far as there is room. One that would end too late is given
-    /// up now, so that its caller hears of it while there is time to go elsewhere.
+    /// up now, so that its caller has time to try another server.
     pub(super) fn start_runs(&mut self, now: Time, decisions: &mut dyn Decisions) {
         let queue = self.queue_by_priority(now);
         let slowdown = self.slowdown(now);
@@ -63,7 +65,7 @@
         self.run_limiter.adjust(now, jobs_wait);
     }
 
-    /// The queued jobs, that of the highest priority first; among equals the one that was read first.
+    /// The queued jobs, the highest priority first; jobs of equal priority in the order in which they were read.
     fn queue_by_priority(&mut self, now: Time) -> Vec<JobId> {
         let mut queue = Vec::new();
         for id in self.jobs.select(|tracked| tracked.stage == Stage::Queued) {
@@ -108,14 +110,14 @@
         decisions.start_run(id);
         self.enter(now, id, Stage::Running);
         if let Some(lifetime) = self.records.mark_run(now, id) {
-            // An unlinked retry may have taken the record's place in the host's store meanwhile.
+            // A retry that is linked to no record may have replaced this one in the host's store.
             decisions.store_record(id, lifetime);
         }
         room.take(additional_kb);
     }
 
-    /// The core time of a queued job that starts in `starts_in`; nothing if that is too late for it, or it would have
-    /// to wait longer than its class is worth it.
+    /// The core time of a queued job that would start after `starts_in`; `None` if it would then end too late, or wait
+    /// for longer than its class's queue patience.
     fn work_if_in_time(&mut self, now: Time, id: &JobId, starts_in: Span, slowdown: f64) -> Option<Span> {
         let tracked = self.jobs.get(id)?;
         let job_class = tracked.job.job_class;
--- a/crates/hazelgrade/src/deadline.rs
+++ b/crates/hazelgrade/src/deadline.rs
@@ -4,7 +4,7 @@
 use crate::job_table::TrackedJob;
 use crate::time::{Span, Time};
 
-/// The answer slack that is kept free is at most this ratio of the time that the job has.
+/// Answers are given before they are due by the answer slack, or by this ratio of the job's time if that is less.
 const MAX_SLACK_RATIO: f64 = 0.1;
 
 /// The points in time by which a job is judged, fixed at its arrival.
@@ -16,7 +16,7 @@
 }
 
 impl Deadlines {
-    /// By the caller's deadline, or the class's where callers tell none.
+    /// From the caller's deadline, or that of the class if the caller states none.
     pub fn new(job: &Job, class: &JobClass, limits: &ServiceLimits) -> Deadlines {
         let due = job.caller_deadline.unwrap_or(job.received_at + class.deadline);
         let for_work = job.expected_work.map_or(Span::ZERO, |work| work * class.objective_per_work);
--- a/crates/hazelgrade/src/deduplication.rs
+++ b/crates/hazelgrade/src/deduplication.rs
@@ -1,14 +1,14 @@
-//! Idempotency records: what is kept of a keyed job until no retry of it can come any more, so that it runs once.
+//! Idempotency records: what is stored of a keyed job until no retry of it can come any more, so that it runs once.
 
 use crate::api::{Job, JobId};
 use crate::time::{Span, Time};
 use std::collections::BTreeMap;
 
-/// What is kept of a keyed job.
+/// What is stored of a keyed job.
 struct Record {
     /// Until when a retry may be received.
     expires: Time,
-    /// Until when a retry that was received in time may be read, and so name this job.
+    /// Until when a retry that was received in time may be read and refer to this job.
     removed_at: Time,
     job_class: usize,
     received_at: Time,
@@ -19,9 +19,10 @@
 }
 
 impl Record {
-    /// Whether `job`, which no record is linked to, may still repeat this one, which has run: both lay unread on the
-    /// machine at one time, and one of the two is marked as a retry, or, where retries are not marked, they were
-    /// received `min_gap` apart, as long as a caller waits before it tries again.
+    /// Whether the recorded job has run and `job`, which is linked to no record, may repeat it. That takes two
+    /// conditions: both waited unread on the machine at the same time, and one of them is marked as a retry. Where
+    /// retries are not marked, they must instead have been received at least `min_gap` apart, the shortest time that a
+    /// caller waits before it tries again.
     fn may_be_repeated_by(&self, job: &Job, read_at: Time, retries_marked: bool, min_gap: Span) -> bool {
         let gap = job.received_at.since(self.received_at) + self.received_at.since(job.received_at);
         let plausible = if retries_marked { self.is_retry || job.is_retry } else { gap >= min_gap };
@@ -38,7 +39,7 @@
 }
 
 impl IdempotencyRecords {
-    /// Removes records that no retry can name any more.
+    /// Removes records that no retry can refer to any more.
     pub fn remove_outdated(&mut self, now: Time) {
         self.records.retain(|_, record| record.removed_at > now);
     }
@@ -53,7 +54,7 @@
         self.records.values().filter(|record| record.expires > now).count() as f64
     }
 
-    /// Records a job until `expires`; one that lay unread may be named for another `max_unread`.
+    /// Records a job until `expires`. A retry may wait unread, so the record can be referred to for `max_unread` longer.
     pub fn insert(&mut self, now: Time, job: &Job, expires: Time, max_unread: Span) {
         let record = Record {
             expires,
@@ -67,14 +68,14 @@
         self.records.insert(job.id.clone(), record);
     }
 
-    /// The job is started; gives how long its record is to be stored, if there is one.
+    /// Notes that a job is started; returns how long its record is to be stored, if there is one.
     pub fn mark_run(&mut self, now: Time, id: &JobId) -> Option<Span> {
         let record = self.records.get_mut(id)?;
         record.has_run = true;
         Some(record.expires.since(now))
     }
 
-    /// Removes the record of a job that has not run; `false` if it stays or there is none.
+    /// Removes the record of a job unless it has run; returns whether a record was removed.
     pub fn remove_unless_run(&mut self, id: &JobId) -> bool {
         let removable = self.records.get(id).is_some_and(|record| !record.has_run);
         if removable {
@@ -83,7 +84,7 @@
         removable
     }
 
-    /// Whether `job`, read at `read_at`, may repeat a job that has run without a record being linked to it.
+    /// Whether `job`, read at `read_at` and linked to no record, may repeat a job that has run.
     pub fn may_repeat_started(&self, job: &Job, read_at: Time, retries_marked: bool, min_gap: Span) -> bool {
         self.records.values().any(|record| record.may_be_repeated_by(job, read_at, retries_marked, min_gap))
     }
--- a/crates/hazelgrade/src/drain.rs
+++ b/crates/hazelgrade/src/drain.rs
@@ -3,9 +3,9 @@
 use crate::api::ServiceLimits;
 use crate::time::{Span, Time};
 
-/// Ratio of the drain's grace that all answers are given before the stop: the process may pause for a moment.
+/// All answers are given before the stop by this ratio of the drain's grace, as the process may pause for a moment.
 const STOP_MARGIN_RATIO: f64 = 0.2;
-/// Least number of ticks that all answers are given before the stop.
+/// All answers are given at least this many ticks before the stop.
 const STOP_MARGIN_TICKS: f64 = 4.0;
 
 /// A drain that has begun.
@@ -24,7 +24,7 @@
         self.stops_at - margin
     }
 
-    /// Whether a job that was received then may still be admitted.
+    /// Whether a job that was received at `received_at` may still be admitted.
     pub fn in_grace(&self, received_at: Time, limits: &ServiceLimits) -> bool {
         received_at <= self.notified_at + limits.drain_grace
     }
--- a/crates/hazelgrade/src/host_load.rs
+++ b/crates/hazelgrade/src/host_load.rs
@@ -5,14 +5,14 @@
 use crate::job_table::{JobTable, Stage};
 use crate::time::{Span, Time};
 
-/// The share of a limit that is used at most: what is read or comes back meanwhile needs the rest.
+/// Ratio of a limit that is used at most: jobs that are read or return from calls meanwhile need the rest.
 pub(crate) const LIMIT_USE_RATIO: f64 = 0.8;
-/// Runs of mean length for each core that are counted in with those on the cores, as a few may be long by chance.
+/// Assumed runs of mean length per core that are averaged in with the actual ones, as a few may be long by chance.
 const ASSUMED_RUNS_PER_CORE: f64 = 2.0;
 /// Shortest mean core time that a slowdown is worked out from, in milliseconds.
 const MIN_CORE_TIME_MS: f64 = 0.001;
 
-/// Jobs that the cores are sure to withstand after `uptime`, at the slowest warm-up that the limits allow for.
+/// Jobs that the cores withstand after `uptime` even at the slowest warm-up that the limits allow for.
 pub(crate) fn max_jobs_on_cores(machine: &Machine, limits: &ServiceLimits, uptime: Span) -> f64 {
     let initial_speed = if machine.cold { limits.cold_speed_ratio } else { 1.0 };
     let warmed_up = uptime / limits.warm_up;
@@ -20,7 +20,8 @@
     machine.cores * (1.0 + (limits.max_jobs_per_core - 1.0) * speed) * LIMIT_USE_RATIO
 }
 
-/// How many times slower the runs on the cores are than those that ended, 1 or more: seen before any of them ends.
+/// How many times slower the runs on the cores are than completed ones, 1 or more. It follows from their age, so it
+/// shows before any of them ends.
 pub(crate) fn slowdown(jobs: &JobTable, mean_core_time: Option<Span>, cores: f64, now: Time) -> f64 {
     let Some(mean) = mean_core_time else { return 1.0 };
     let running = jobs.iter().filter(|tracked| tracked.stage == Stage::Running);
--- a/crates/hazelgrade/src/job_table.rs
+++ b/crates/hazelgrade/src/job_table.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Where a job in flight stands.
+/// The stage of a job in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Stage {
     /// It waits to be started.
@@ -27,22 +27,22 @@
     pub class: Rc<JobClass>,
     /// Its tenant's quota as of its arrival, in jobs a second over the fleet.
     pub quota_per_s: f64,
-    /// Its place in the order in which jobs were read.
+    /// Its position in the order in which jobs were read.
     pub sequence: u64,
     pub stage: Stage,
     pub stage_since: Time,
-    /// Time that its run has spent on the cores, without the stage that lasts.
+    /// Time that its run has spent on the cores, not counting the current stage.
     pub core_time: Span,
-    /// When its answer must be given at the latest, before any drain.
+    /// When its answer must be given at the latest, if there is no drain.
     pub latest_answer: Time,
     /// Until when an answer meets its latency objective.
     pub objective: Time,
     pub answered: bool,
-    /// It has been started at least once.
+    /// Whether it has been started at least once.
     pub has_run: bool,
-    /// Attempts at the call that its run is at.
+    /// Attempts at its run's current call.
     pub call_attempts: u32,
-    /// A call of it may have had its effect without a reply.
+    /// Whether one of its calls may have had its effect without a reply.
     pub call_in_doubt: bool,
 }
 
@@ -52,7 +52,7 @@
         !matches!(self.stage, Stage::Queued | Stage::AwaitingOriginal)
     }
 
-    /// It comes to another stage.
+    /// Enters another stage. Only [`Stage::CallInFlight`] counts an attempt at the call; all others reset the count.
     pub fn enter(&mut self, now: Time, stage: Stage) {
         self.stage = stage;
         self.stage_since = now;
@@ -102,7 +102,7 @@
         self.jobs.get(id).filter(|tracked| !tracked.answered)
     }
 
-    /// The unanswered jobs that `which` picks, in the order in which they were read.
+    /// The unanswered jobs that match `which`, in the order in which they were read.
     pub fn select(&self, which: impl Fn(&TrackedJob) -> bool) -> Vec<JobId> {
         let mut selected: Vec<&TrackedJob> =
             self.iter().filter(|tracked| !tracked.answered && which(tracked)).collect();
@@ -110,7 +110,7 @@
         selected.into_iter().map(|tracked| tracked.job.id.clone()).collect()
     }
 
-    /// How many are in one of these stages, answered or not.
+    /// How many jobs are in one of these stages, answered or not.
     pub fn count_in(&self, stages: &[Stage]) -> f64 {
         self.iter().filter(|tracked| stages.contains(&tracked.stage)).count() as f64
     }
--- a/crates/hazelgrade/src/lib.rs
+++ b/crates/hazelgrade/src/lib.rs
@@ -1,8 +1,8 @@
 //! Decides, inside one server of a fleet, which jobs it admits, runs and rejects.
 //!
-//! [`controller::Controller`] puts the rules together; each rule stands in a module of its own. [`api`] holds the types that
-//! go in and out, [`time`], [`statistics`] and [`random`] are arithmetic. Nothing here reads a clock or does input or
-//! output. `docs/design.md` describes the mechanism and its exceptions.
+//! [`controller::Controller`] combines the rules; each rule has its own module. [`api`] holds the types that go in
+//! and out; [`time`], [`statistics`] and [`random`] are arithmetic. Nothing here reads a clock or does input or output.
+//! `docs/design.md` describes the mechanism and its exceptions.
 
 #![warn(missing_docs)]
 
--- a/crates/hazelgrade/src/load_signal.rs
+++ b/crates/hazelgrade/src/load_signal.rs
@@ -1,4 +1,4 @@
-//! The load signal that is published to callers: it falls fast while jobs wait too long and rises slowly while they
+//! The load signal that is published to callers: it falls at once while jobs wait too long and rises slowly while they
 //! don't.
 
 use crate::api::LoadSignal;
@@ -6,15 +6,15 @@
 
 /// The highest openness that a credit may mean.
 const MAX_CREDIT_OPENNESS: f64 = 5.0;
-/// The highest openness of the other signals: above 1 they would just be late to fall.
+/// The highest openness of the other signals: above 1 they would only fall later.
 const MAX_OPENNESS: f64 = 1.0;
-/// The lowest openness: some load must come for the server to see that it has room.
+/// The lowest openness: without some load the server could not see that it has room.
 const MIN_OPENNESS: f64 = 0.08;
-/// How much the openness falls in one update, at the most, as a ratio.
+/// Ratio by which the openness falls in one update, at most.
 const FALL_RATIO: f64 = 0.01;
-/// How much the openness rises in one update while nothing waits, as a ratio.
+/// Ratio by which the openness rises in one update while nothing waits.
 const RISE_RATIO: f64 = 0.06;
-/// The signal is updated this many times while callers go by it.
+/// The signal is updated this many times during its lifetime.
 const UPDATES_PER_LIFETIME: f64 = 10.0;
 
 /// Steers the load signal.
@@ -30,7 +30,7 @@
         LoadSignalController { openness: 1.0, published: None, next_update: None }
     }
 
-    /// How much load is let in, over 0; 1 is the usual load.
+    /// How much load callers are asked to send, over 0; 1 is the usual load.
     pub fn openness(&self) -> f64 {
         self.openness
     }
@@ -44,7 +44,7 @@
         true
     }
 
-    /// Has the next update made at once.
+    /// Makes the next update due at once.
     pub fn update_at_once(&mut self) {
         self.next_update = None;
     }
@@ -54,8 +54,8 @@
         self.next_update
     }
 
-    /// The signal to publish, if it has changed. `wait_ratio` is how long jobs wait as a ratio of what they may;
-    /// `credit` is how many jobs in flight an openness of 1 grants to each caller.
+    /// The signal to publish, or `None` if it has not changed. `wait_ratio` is how long jobs wait, as a ratio of the
+    /// target wait; `credit` is how many jobs in flight an openness of 1 grants to each caller.
     pub fn update(&mut self, wait_ratio: f64, signal: LoadSignal, credit: f64) -> Option<f64> {
         let max = if signal == LoadSignal::Credit { MAX_CREDIT_OPENNESS } else { MAX_OPENNESS };
         let factor = if wait_ratio > 1.0 {
--- a/crates/hazelgrade/src/random.rs
+++ b/crates/hazelgrade/src/random.rs
@@ -20,6 +20,7 @@
     /// A generator for this seed; seeds that lie close together give unrelated sequences.
     pub fn new(seed: u64) -> MultiplyWithCarry {
         let value = seed as u32 ^ 0x5bd1_e995;
+        // The carry is above 0 and below the multiplier, as the generator requires.
         let carry = ((seed >> 32) as u32 & 0x3fff_ffff) | 1;
         let mut generator = MultiplyWithCarry { value, carry };
         for _ in 0..DISCARDED_NUMBERS {
--- a/crates/hazelgrade/src/rejection.rs
+++ b/crates/hazelgrade/src/rejection.rs
@@ -1,5 +1,5 @@
-//! How a job that is given up is answered: rejected, with when and where to try again, or failed. A job is given up at
-//! once, so that its caller hears of it while there is time to go elsewhere.
+//! How a job that is given up is answered: rejected, with when and where to try again, or failed. It is answered at
+//! once, so that its caller has time to try another server.
 
 use crate::api::Idempotency;
 use crate::job_table::TrackedJob;
@@ -10,17 +10,17 @@
 const JITTER_FROM: f64 = 0.75;
 /// The width of the range that retry-after is drawn from, as a ratio of its base.
 const JITTER_RANGE: f64 = 0.5;
-/// Where more of the requests are retries than this ratio, other servers have no room either.
+/// If more than this ratio of the requests are retries, other servers have no room either.
 const RETRIES_EVERYWHERE_RATIO: f64 = 0.1;
 /// Where retries are not marked, a rejection counts as this many retries to come.
 const RETRIES_PER_REJECTION: f64 = 0.25;
 
-/// Why and how a job is given up.
+/// How a job is given up.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum GiveUp {
     /// It may be sent again after `retry_after`, if it has had no effect; `elsewhere` if another server may have room.
     Retry { retry_after: Span, elsewhere: bool },
-    /// A retry would be in vain.
+    /// It is answered with an error: a retry would not help.
     Fail,
 }
 
@@ -31,8 +31,8 @@
     tracked.class.idempotency == Idempotency::Idempotent || !may_have_run
 }
 
-/// When a rejected job may come again: `base` spread by `random` (0 up to less than 1), longer the less `openness`
-/// (over 0) lets in, and `max` at the most.
+/// How long after its rejection a job may come again: `base` spread by `random` (from 0 up to less than 1), divided by
+/// the load signal's `openness` (over 0) where that is below 1, and `max` at most.
 pub(crate) fn retry_after(base: Span, random: f64, openness: f64, max: Span) -> Span {
     let spread = base * ((JITTER_FROM + JITTER_RANGE * random) / openness.min(1.0));
     spread.min(max)
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Counts a rejection, which stands for retries to come where those are not marked.
+    /// Counts a rejection: where retries are not marked, it stands for a part of a retry to come.
     pub fn record_rejection(&mut self, now: Time) {
         self.retries.add(now, if self.marked { 0.0 } else { RETRIES_PER_REJECTION });
     }
--- a/crates/hazelgrade/src/run_limiter.rs
+++ b/crates/hazelgrade/src/run_limiter.rs
@@ -1,7 +1,7 @@
-//! How many jobs run at once. The limit moves a step up or down at a time, and a step after which less gets done is
-//! undone. While jobs wait and cores stand idle the step is up, otherwise down: jobs that merely share the cores all
-//! end later. This serves jobs that wait for disks or are heavier than usual; it could hurt where runs hang without
-//! using the cores.
+//! How many jobs run at once. The limit moves a step up or down at a time; a step that lowers throughput is undone.
+//! While jobs wait and cores are idle the step is up, otherwise down: jobs that merely share the cores all end later.
+//! This helps jobs that wait for disks or are heavier than usual. Risk: runs that hang without using the cores raise
+//! the limit.
 
 use crate::statistics::{DecayingMean, MeanDuration};
 use crate::time::{Span, Time};
@@ -18,7 +18,7 @@
 const INITIAL_JOBS_PER_CORE: f64 = 1.5;
 /// Most jobs that run at once for each core.
 const MAX_JOBS_PER_CORE: f64 = 4.0;
-/// Least jobs that run at once for each core while jobs lie unread.
+/// Fewest jobs that run at once for each core while jobs wait unread.
 const MIN_JOBS_PER_CORE_UNREAD: f64 = 0.5;
 
 /// Limits the jobs that run at once.
@@ -26,7 +26,7 @@
     cores: f64,
     limit: f64,
     step: f64,
-    /// Jobs a millisecond before the last step, unless that step was undone.
+    /// Throughput before the last step, in jobs per millisecond; `None` if that step was undone.
     rate_before: Option<f64>,
     /// Jobs completed since the last step, while jobs waited.
     completed: f64,
@@ -36,7 +36,7 @@
     jobs_wait: bool,
     /// Ratio of the cores in use while jobs wait.
     cores_used: DecayingMean,
-    /// How long jobs lie unread.
+    /// How long jobs wait unread.
     unread: MeanDuration,
 }
 
@@ -65,7 +65,9 @@
 
     /// A run completed.
     pub fn run_completed(&mut self) {
-        self.completed += f64::from(u8::from(self.jobs_wait));
+        if self.jobs_wait {
+            self.completed += 1.0;
+        }
     }
 
     /// The host measured the ratio of the cores in use, 0 to 1.
@@ -75,31 +77,31 @@
         }
     }
 
-    /// A job was read that had lain unread for so long.
+    /// A job was read that had waited unread for this long.
     pub fn job_read(&mut self, now: Time, unread: Span) {
         self.unread.record(now, unread);
     }
 
-    /// How long jobs lie unread on average.
+    /// How long jobs wait unread on average.
     pub fn mean_unread(&mut self, now: Time) -> Span {
         self.unread.mean_or_zero(now)
     }
 
-    /// The limit, without regard to jobs that lie unread.
+    /// The limit, not reduced for jobs that wait unread.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// The limit now. Reading shares the cores with the runs, and jobs that lie unread can be neither rejected nor put
-    /// in order: the longer they do beyond `target_unread`, the fewer run, down to half a job a core.
+    /// The limit now. Reading shares the cores with the runs, and jobs that wait unread can be neither rejected nor
+    /// ordered. So the further their mean wait exceeds `target_unread`, the fewer jobs run, down to half a job per core.
     pub fn current_limit(&mut self, now: Time, target_unread: Span) -> f64 {
         let excess = self.unread.mean_or_zero(now) / target_unread;
         let reduced = self.limit / excess.max(1.0);
         reduced.max(self.cores * MIN_JOBS_PER_CORE_UNREAD).min(self.limit)
     }
 
-    /// Judges the last step once enough jobs have completed, and makes the next. `jobs_wait` says whether jobs are left
-    /// in the run queue.
+    /// Judges the last step once enough jobs have completed, and makes the next one. `jobs_wait` is whether jobs are
+    /// left in the run queue.
     pub fn adjust(&mut self, now: Time, jobs_wait: bool) {
         let cores_used = self.cores_used.mean(now);
         if self.jobs_wait {
--- a/crates/hazelgrade/src/run_queue.rs
+++ b/crates/hazelgrade/src/run_queue.rs
@@ -1,4 +1,4 @@
-//! Which queued job runs next: the one with the most priority weight for its time on the cores. A tenant's jobs beyond
+//! Which queued job runs next: the one with the highest priority weight per core time. A tenant's jobs beyond
 //! its quota, and a caller's beyond its rate limit, have less weight.
 
 use crate::api::{CallerSettings, Tenant};
@@ -13,7 +13,7 @@
 struct TenantQuota {
     /// Jobs that arrived here, without retries.
     arrivals: DecayingSum,
-    /// Jobs a second over the fleet.
+    /// Jobs per second over the whole fleet.
     quota_per_s: f64,
 }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// A tenant's quota in jobs a second over the fleet; unlimited for a tenant that the settings don't name.
+    /// A tenant's quota in jobs per second over the whole fleet; unlimited for a tenant that the settings don't name.
     pub fn quota_per_s(&self, tenant: usize) -> f64 {
         self.tenants.get(tenant).map_or(f64::INFINITY, |quota| quota.quota_per_s)
     }
@@ -78,8 +78,8 @@
     }
 }
 
-/// The mean ratio of the priority weight for a tenant's jobs at this rate: the part within the quota counts in full, the
-/// part beyond it by `over_quota_ratio`.
+/// The mean ratio of the priority weight for a tenant's jobs at this rate: jobs within the quota count in full,
+/// those beyond it by `over_quota_ratio`.
 fn quota_weight_ratio(rate_per_s: f64, quota_per_s: f64, over_quota_ratio: f64) -> f64 {
     let within = (quota_per_s / rate_per_s.max(f64::MIN_POSITIVE)).min(1.0);
     within + (1.0 - within) * over_quota_ratio
--- a/crates/hazelgrade/src/service_times.rs
+++ b/crates/hazelgrade/src/service_times.rs
@@ -17,7 +17,7 @@
 }
 
 impl ServiceTimes {
-    /// Nothing learned yet for so many classes.
+    /// No times learned yet, for this many classes.
     pub fn new(classes: usize, window: Span) -> ServiceTimes {
         ServiceTimes {
             core_time: vec![MeanDuration::new(window); classes],
--- a/crates/hazelgrade/src/statistics.rs
+++ b/crates/hazelgrade/src/statistics.rs
@@ -1,4 +1,5 @@
-//! Sums and means in which what is old counts for less, brought up to date when they are read.
+//! Sums and means whose samples decay exponentially with age. The decay is applied whenever they are read, so a read
+//! changes their state.
 
 use crate::time::{Span, Time};
 
@@ -30,8 +31,8 @@
         self.sum = self.value(now) + amount;
     }
 
-    /// Decays by another time constant from now on. A steady rate sums up to rate times time constant, so the sum is
-    /// brought to that.
+    /// Decays by another time constant from now on. A steady rate adds up to rate times time constant, so the sum is
+    /// scaled to the new one.
     pub fn set_time_constant(&mut self, now: Time, time_constant: Span) {
         let sum = self.value(now);
         if time_constant != self.time_constant {
@@ -66,7 +67,7 @@
         self.count.set_time_constant(now, time_constant);
     }
 
-    /// The mean, or nothing before the first sample; after idleness the last mean still stands.
+    /// The mean, or `None` before the first sample; while no samples come it stays as it was.
     pub fn mean(&mut self, now: Time) -> Option<f64> {
         let total = self.total.value(now);
         let count = self.count.value(now);
@@ -74,7 +75,7 @@
     }
 }
 
-/// The mean of a length of time, in which old samples count for less.
+/// The mean of durations, in which old samples count for less.
 #[derive(Clone, Debug)]
 pub struct MeanDuration(DecayingMean);
 
@@ -99,7 +100,7 @@
         self.0.count.value(now)
     }
 
-    /// The mean, or nothing before the first sample.
+    /// The mean, or `None` before the first sample.
     pub fn mean(&mut self, now: Time) -> Option<Span> {
         self.0.mean(now).map(Span::from_ms)
     }
--- a/crates/hazelgrade/src/time.rs
+++ b/crates/hazelgrade/src/time.rs
@@ -10,6 +10,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(i64);
 
+/// Milliseconds in microseconds, rounded.
 fn micros(ms: f64) -> i64 {
     (ms * 1000.0).round() as i64
 }
@@ -78,6 +79,7 @@
     }
 }
 
+/// Rounds down to the microsecond; zero for a negative factor.
 impl Mul<f64> for Span {
     type Output = Span;
     fn mul(self, factor: f64) -> Span {
@@ -85,7 +87,7 @@
     }
 }
 
-/// How many times one span goes into another.
+/// The ratio of two spans; a divisor of zero counts as one microsecond.
 impl Div for Span {
     type Output = f64;
     fn div(self, other: Span) -> f64 {
--- a/crates/hazelgrade/src/timescales.rs
+++ b/crates/hazelgrade/src/timescales.rs
@@ -4,16 +4,15 @@
 use crate::api::JobClass;
 use crate::time::Span;
 
-/// What is learned decays over this many of the shortest latency objectives: some dozens of jobs, some seconds.
+/// Learned figures decay over this many of the shortest latency objectives: some dozens of jobs, some seconds.
 const LEARNING_WINDOW_OBJECTIVES: f64 = 2.0;
 /// Ratio of the shortest latency objective that jobs may wait on average before load is kept away.
 const TARGET_WAIT_RATIO: f64 = 0.15;
-/// Ratio of the shortest latency objective that jobs may lie unread before the server counts as lagging.
+/// Ratio of the shortest latency objective that jobs may wait unread before the server counts as lagging.
 const LAG_RATIO: f64 = 0.3;
-/// Ratio of the mean latency objective that jobs may lie unread on average before fewer run.
+/// Ratio of the mean latency objective that jobs may wait unread on average before fewer run.
 const UNREAD_WAIT_RATIO: f64 = 0.07;
-/// Ratio of its latency objective that a job may wait in the run queue: one that would wait longer is better off at
-/// another server.
+/// Ratio of its latency objective that a job may wait in the run queue: beyond that another server is likely faster.
 const QUEUE_PATIENCE_RATIO: f64 = 0.3;
 /// The shortest latency objective where there are no job classes, in milliseconds.
 const DEFAULT_OBJECTIVE_MS: f64 = 1000.0;
@@ -27,14 +26,14 @@
     pub learning_window: Span,
     /// How long jobs may wait on average, unread and queued, before load is kept away.
     pub target_wait: Span,
-    /// How long jobs may lie unread before the server counts as lagging.
+    /// How long jobs may wait unread before the server counts as lagging.
     pub lag: Span,
-    /// How long jobs may lie unread on average before fewer run.
+    /// How long jobs may wait unread on average before fewer run.
     pub unread_wait: Span,
 }
 
 impl Timescales {
-    /// By the classes that are in use.
+    /// Derives the timescales from the classes in use.
     pub fn new<'a>(job_classes: impl Iterator<Item = &'a JobClass>) -> Timescales {
         let objectives: Vec<Span> = job_classes.map(|class| class.latency_objective).collect();
         let shortest = objectives.iter().min().copied().unwrap_or(Span::from_ms(DEFAULT_OBJECTIVE_MS));
