--- a/crates/hazelgrade-budget/src/lease_holder/lease.rs
+++ b/crates/hazelgrade-budget/src/lease_holder/lease.rs
@@ -60,8 +60,8 @@
     /// Units wanted at the moment of the latest request.
     last_wanted: Units,
     mean_wanted: MeanWanted,
-    /// The latest grant was smaller than what it had. The lessor can lend the difference on once a request shows that the
-    /// grant was accepted.
+    /// The latest grant was smaller than what it had. The lessor can lend the difference on once a request shows that
+    /// the grant was accepted.
     shrunk: bool,
 }
 
--- a/crates/hazelgrade-budget/src/lease_holder/mod.rs
+++ b/crates/hazelgrade-budget/src/lease_holder/mod.rs
@@ -104,8 +104,8 @@
         self.leases.get(budget).map_or(Entitlement::NONE, |lease| lease.entitlement(now))
     }
 
-    /// Notes what is in use of a budget. A request follows at once if more is wanted than may be used, or if units beyond
-    /// that came out of use.
+    /// Notes what is in use of a budget. A request follows at once if more is wanted than may be used, or if units
+    /// beyond that came out of use.
     pub fn record_usage(&mut self, now: Time, budget: &str, usage: Usage) {
         let Some(lease) = self.leases.get_mut(budget) else { return };
         if lease.record_usage(now, usage) {
--- a/crates/hazelgrade-budget/src/lessor/report.rs
+++ b/crates/hazelgrade-budget/src/lessor/report.rs
@@ -109,7 +109,8 @@
         book.unbooked() as Units
     }
 
-    /// Units booked beyond what may be leased. That happens when the site comes to own fewer units while they are in use.
+    /// Units booked beyond what may be leased. That happens when the site comes to own fewer units while they are in
+    /// use.
     pub fn overcommitted(&self, budget: &str) -> Units {
         let Some(book) = self.budgets.get(budget) else { return 0 };
         saturated(book.booked().saturating_sub(u64::from(book.leasable())))
--- a/crates/hazelgrade-budget/src/ownership/reports.rs
+++ b/crates/hazelgrade-budget/src/ownership/reports.rs
@@ -59,8 +59,8 @@
         })
     }
 
-    /// Handles another site's report. A report changes no ownership if it is for another site, from an unknown site, of an
-    /// earlier generation, or from a site that was declared lost and has not surrendered.
+    /// Handles another site's report. A report changes no ownership if it is for another site, from an unknown site, of
+    /// an earlier generation, or from a site that was declared lost and has not surrendered.
     pub fn on_report(&mut self, now: Time, report: &SiteReport, actions: &mut Vec<Action>) {
         if report.to != self.site || !self.peers.contains_key(&report.from) {
             return;
--- a/crates/hazelgrade-config/src/difference.rs
+++ b/crates/hazelgrade-config/src/difference.rs
@@ -5,7 +5,7 @@
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
-/// What turns one version of a document into another.
+/// The changes that turn one version of a document into another.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Difference {
     /// Fields that are new or have another value, by path.
@@ -14,13 +14,13 @@
     pub removed: Vec<String>,
 }
 
-/// Why JSON is no [`Difference`].
+/// Why JSON can't be read as a [`Difference`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DifferenceError {
-    /// `set` is missing or no object.
+    /// `set` is missing or not an object.
     #[error("field set: expected an object")]
     SetNotAnObject,
-    /// `gone` is missing or no list.
+    /// `gone` is missing or not a list.
     #[error("field gone: expected a list")]
     RemovedNotAList,
     /// A field in `set` has a value that no field can have.
@@ -29,21 +29,21 @@
         /// The path of that field, with dots.
         field: String,
     },
-    /// `gone` has something that is not a string.
+    /// `gone` has an element that is not a string.
     #[error("field gone: expected a list of paths")]
     InvalidPath,
 }
 
 impl Difference {
-    /// The number of fields that it touches.
+    /// The number of fields that it changes.
     pub fn count(&self) -> usize {
         self.set.len() + self.removed.len()
     }
 
-    /// The fields of a serving document that it touches and that take effect only at a start, as messages show them.
+    /// The fields of a serving document that it changes and that take effect only at a start, as messages show them.
     pub fn staged(&self) -> Vec<String> {
-        let touched = self.set.keys().chain(&self.removed);
-        let at_start = touched
+        let changed = self.set.keys().chain(&self.removed);
+        let at_start = changed
             .filter(|path| Kind::Serving.field(path).is_some_and(|field| field.applies == Applies::AtStart));
         at_start.map(|path| display_path(path)).collect()
     }
@@ -55,10 +55,10 @@
         json!({"set": set, "gone": self.removed})
     }
 
-    /// Reads what [`Difference::to_json`] gives.
+    /// Reads the form of [`Difference::to_json`].
     ///
     /// # Errors
-    /// The first [`DifferenceError`]. Paths and ranges are not checked here but when a document is made.
+    /// The first [`DifferenceError`]. Paths and ranges are checked later, when a document is made.
     pub fn from_json(value: &Value) -> Result<Difference, DifferenceError> {
         let set = value.get("set").and_then(Value::as_object).ok_or(DifferenceError::SetNotAnObject)?;
         let removed = value.get("gone").and_then(Value::as_array).ok_or(DifferenceError::RemovedNotAList)?;
--- a/crates/hazelgrade-config/src/document.rs
+++ b/crates/hazelgrade-config/src/document.rs
@@ -10,15 +10,15 @@
 use crate::version::Digest;
 use std::collections::BTreeMap;
 
-/// Job classes in a document at most; the controller goes through all of them at each job.
+/// The most job classes in a document; the controller goes through all of them at each job.
 pub const MAX_JOB_CLASSES: usize = 64;
-/// Tenants in a document at most.
+/// The most tenants in a document.
 pub const MAX_TENANTS: usize = 4096;
-/// Budgets in a document at most; a node is bound by all of them at each job.
+/// The most budgets in a document; a node checks all of them at each job.
 pub const MAX_BUDGETS: usize = 64;
-/// Nodes with addresses of their own in a document at most.
+/// The most nodes with addresses of their own in a document.
 pub const MAX_NODES: usize = 4096;
-/// How long a token lives at most where an identity document does not say, in seconds.
+/// The longest lifetime of a token if an identity document states none, in seconds.
 pub const DEFAULT_MAX_TOKEN_LIFETIME_S: f64 = 3600.0;
 
 /// A document that passed all checks of its kind.
@@ -120,7 +120,7 @@
     }
 }
 
-/// A document while it is read.
+/// A document that is being read.
 struct Reader {
     kind: Kind,
     parsed: ParsedText,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// A tenant exists as soon as any field, or an empty table, names it.
+    /// Adds the tenant that a path names: it exists as soon as any field, or an empty table, names it.
     fn add_tenant_of(&mut self, path: &str, offset: usize) {
         let tenant = path.strip_prefix("customer/").and_then(|rest| rest.split('/').next());
         if let Some(name) = tenant.filter(|name| !name.is_empty()) {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Validates the fields and gives each violation its line.
+    /// Validates the fields and adds each violation as an error with its position.
     fn check(&mut self) {
         // Text that is not TOML has no fields that could be missing.
         if self.fields.0.is_empty() && !self.parsed.errors.is_empty() {
--- a/crates/hazelgrade-config/src/error.rs
+++ b/crates/hazelgrade-config/src/error.rs
@@ -7,13 +7,13 @@
 /// Shown as `FILE:LINE:COLUMN: field FIELD: MESSAGE`, without the parts that do not apply.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct ConfigError {
-    /// The file as its reader named it.
+    /// The name of the file, as the caller passed it.
     pub file: String,
     /// Line, from 1; 0 where there is no text, as for a document made from a difference.
     pub line: usize,
     /// Column in bytes, from 1; 0 where there is no text.
     pub column: usize,
-    /// Path of the field with dots between its segments; empty if the text as a whole is meant.
+    /// Path of the field with dots between its segments; empty if the error concerns the whole text.
     pub field: String,
     /// What is wrong, or what was expected.
     pub message: String,
@@ -32,7 +32,7 @@
     }
 }
 
-/// The first `max` errors, one a line, and a last line with the number of those left out.
+/// The first `max` errors, one per line, and a last line with the number of those left out.
 pub fn error_summary(errors: &[ConfigError], max: usize) -> String {
     let mut lines: Vec<String> = errors.iter().take(max).map(ConfigError::to_string).collect();
     if errors.len() > max {
--- a/crates/hazelgrade-config/src/fields.rs
+++ b/crates/hazelgrade-config/src/fields.rs
@@ -1,4 +1,4 @@
-//! The fields of a document as a map from paths to values. Digest, difference and TOML follow from it.
+//! The fields of a document as a map from paths to values. Digest, difference and TOML are derived from it.
 
 use crate::difference::Difference;
 use crate::scalar::Scalar;
@@ -53,7 +53,7 @@
         let prefix = format!("{section}/");
         let under = self.0.range(prefix.clone()..).take_while(|(path, _)| path.starts_with(&prefix));
         let mut names: Vec<&str> = under.filter_map(|(path, _)| path.split('/').nth(1)).collect();
-        // Paths sort in another order than names where one name is the start of another.
+        // Paths sort differently from names if one name is a prefix of another.
         names.sort_unstable();
         names.dedup();
         names
@@ -64,7 +64,7 @@
         Digest::from_parts(self.0.iter().flat_map(|(path, value)| [path.clone(), value.canonical()]))
     }
 
-    /// What turns `self` into `next`.
+    /// The difference from `self` to `next`.
     pub fn difference(&self, next: &Fields) -> Difference {
         let set = next.0.iter().filter(|(path, value)| self.get(path) != Some(value));
         let removed = self.0.keys().filter(|path| !next.0.contains_key(*path));
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The fields after a difference; `None` if it removes a field that is not there.
+    /// The fields with a difference applied; `None` if it removes a field that is not there.
     pub fn apply(&self, difference: &Difference) -> Option<Fields> {
         let mut fields = self.clone();
         for path in &difference.removed {
@@ -88,7 +88,7 @@
     pub fn to_toml(&self) -> String {
         let mut text = String::new();
         let mut current_section = String::new();
-        // Fields of no section come first, as TOML requires.
+        // Fields outside any section come first, as TOML requires.
         let top_level = self.0.iter().filter(|(path, _)| !path.contains('/'));
         for (path, value) in top_level.chain(self.0.iter().filter(|(path, _)| path.contains('/'))) {
             let (section, name) = path.rsplit_once('/').unwrap_or(("", path));
--- a/crates/hazelgrade-config/src/lib.rs
+++ b/crates/hazelgrade-config/src/lib.rs
@@ -1,8 +1,8 @@
 //! Configuration as documents in TOML: parsed with positions, validated, versioned, digested and compared.
 //!
 //! There is no input or output here; the caller reads the file or socket. A [`Document`] is a map from paths to values,
-//! its [`Fields`], and the digest, the [`Difference`] of two versions and the typed settings follow from it. The
-//! [`schema`] has the tables of all fields with their types, ranges and times of effect. The operator's own file is an
+//! its [`Fields`]; its digest, its [`Difference`] from another version and the typed settings are derived from them.
+//! The [`schema`] lists all fields with their types, ranges and times of effect. The operator's own file is an
 //! [`OperatorConfig`].
 #![warn(missing_docs)]
 
--- a/crates/hazelgrade-config/src/operator/decode.rs
+++ b/crates/hazelgrade-config/src/operator/decode.rs
@@ -1,4 +1,4 @@
-//! Reads the operator's file. The names of its tables and fields are in this module alone.
+//! Reads the operator's file. Only this module uses the names of its tables and fields.
 
 use super::{BudgetConfig, IdentityConfig, OperatorConfig, StreamConfig, TestFaults, TlsConfig, Trial};
 use crate::error::ConfigError;
@@ -10,13 +10,13 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Control services that a node may follow.
+/// The most control services that a node may follow.
 const MAX_CONTROL_SERVICES: usize = 8;
 
 /// The trial of an identity document, in milliseconds: one second shows whether callers' tokens are still accepted.
 const IDENTITY_TRIAL_MS: f64 = 1000.0;
 
-/// How long a trial may last, in milliseconds.
+/// The allowed lengths of a trial, in milliseconds.
 const TRIAL_MS: ValueType = ValueType::Number(100.0, 3_600_000.0);
 
 impl OperatorConfig {
@@ -49,7 +49,7 @@
     values: BTreeMap<String, Located>,
 }
 
-/// The tables.
+/// Decodes the tables.
 impl Decoder {
     fn stream(&mut self) -> Option<StreamConfig> {
         if !self.take_table("stream/") {
@@ -164,9 +164,9 @@
     }
 }
 
-/// Values by type. Each is taken out, so that what is left at the end is unknown.
+/// Takes out values by type; those that are left at the end are unknown fields.
 impl Decoder {
-    /// Whether there is such a table, empty or not; `prefix` ends in `/`.
+    /// Whether there is such a table, empty or not; `prefix` ends in `/`. Takes out an empty table.
     fn take_table(&mut self, prefix: &str) -> bool {
         let is_there = self.values.keys().any(|path| path.starts_with(prefix));
         self.values.remove(prefix);
@@ -212,7 +212,7 @@
         self.text(path).map(PathBuf::from)
     }
 
-    /// Empty, with an error, if it is missing.
+    /// A path that must be there; empty, with an error, if it is missing.
     fn required_path(&mut self, path: &str) -> PathBuf {
         let file = self.path(path);
         if file.is_none() {
@@ -221,7 +221,7 @@
         file.unwrap_or_default()
     }
 
-    /// Empty, with an error, if they are missing, too many or wrong.
+    /// Addresses that must be there; empty, with an error, if they are missing, too many or malformed.
     fn addresses(&mut self, path: &str) -> Vec<SocketAddr> {
         let Some(Located { value, offset }) = self.values.remove(path) else {
             self.parsed.add_error(0, path, "is missing");
--- a/crates/hazelgrade-config/src/parse.rs
+++ b/crates/hazelgrade-config/src/parse.rs
@@ -1,4 +1,4 @@
-//! From TOML to values by path, with the place of each. All errors of a text are found in one go.
+//! Parses TOML into values by path, with the position of each. All errors of a text are found in one pass.
 
 use crate::error::ConfigError;
 use crate::scalar::Scalar;
@@ -7,7 +7,7 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// What a path of a text has.
+/// The value at a path.
 #[derive(Clone, Debug)]
 pub enum ParsedValue {
     /// One value.
@@ -26,7 +26,7 @@
     pub offset: usize,
 }
 
-/// A parsed text: its values, and the errors met so far.
+/// A parsed text: its values, and the errors found so far.
 pub struct ParsedText {
     /// Values by path, with `/` between the segments.
     pub values: BTreeMap<String, Located>,
@@ -102,7 +102,7 @@
     }
 }
 
-/// `None` for dates, tables, lists, numbers that are not finite, and integers past 64 bits.
+/// A single value; `None` for dates, tables, lists, numbers that are not finite, and integers beyond 64 bits.
 fn scalar(value: &Spanned<DeValue>) -> Option<Scalar> {
     match value.get_ref() {
         DeValue::String(text) => Some(Scalar::Text(text.to_string())),
--- a/crates/hazelgrade-config/src/scalar.rs
+++ b/crates/hazelgrade-config/src/scalar.rs
@@ -7,7 +7,7 @@
 pub enum Scalar {
     /// True or false.
     Bool(bool),
-    /// A finite number; whole numbers are numbers too.
+    /// A finite number, whole or not.
     Number(f64),
     /// A string.
     Text(String),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// `None` for JSON that is no value of a field: null, an object, a list of anything but strings.
+    /// `None` for JSON that can't be the value of a field: null, an object, a list of anything but strings.
     pub(crate) fn from_json(value: &Value) -> Option<Scalar> {
         match value {
             Value::Bool(value) => Some(Scalar::Bool(*value)),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The form that digests are made of. Equal values have equal forms: 60 and 60.0 are the same.
+    /// The form that is hashed into digests. Equal values have equal forms: 60 and 60.0 are the same.
     pub(crate) fn canonical(&self) -> String {
         match self {
             Scalar::Bool(value) => format!("t{value}"),
--- a/crates/hazelgrade-config/src/schema.rs
+++ b/crates/hazelgrade-config/src/schema.rs
@@ -39,16 +39,16 @@
     Integer(f64, f64),
     /// One of these strings.
     OneOf(&'static [&'static str]),
-    /// A string without spaces of this many bytes at most.
+    /// A string without spaces, at most this many bytes long.
     Text(usize),
-    /// A list of this many strings without spaces at most.
+    /// A list of at most this many strings without spaces.
     TextList(usize),
     /// IP address and port.
     Address,
 }
 
 impl ValueType {
-    /// Checks a value; `Some` says what was expected if it is of another type or out of range.
+    /// What was expected, if the value is of another type or out of range; otherwise `None`.
     pub fn mismatch(&self, value: &Scalar) -> Option<String> {
         let matches = match (self, value) {
             (ValueType::Bool, Scalar::Bool(_)) => true,
@@ -116,7 +116,7 @@
     FieldSpec { path, value_type, applies: Applies::Live, required: true }
 }
 
-/// What a document is about. Each kind is versioned, tried out and stored by itself.
+/// The kind of a document. Each kind is versioned, run on trial and stored by itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     /// Job classes, tenants, service limits, resource limits, addresses.
@@ -176,7 +176,8 @@
 }
 
 fn path_matches(path: &str, pattern: &str) -> bool {
-    let (mut segments, mut patterns) = (path.split('/'), pattern.split('/'));
+    let mut segments = path.split('/');
+    let mut patterns = pattern.split('/');
     loop {
         match (segments.next(), patterns.next()) {
             (None, None) => return true,
--- a/crates/hazelgrade-config/src/schema/serving.rs
+++ b/crates/hazelgrade-config/src/schema/serving.rs
@@ -3,7 +3,7 @@
 use super::ValueType::{Address, Bool, Integer, Number, OneOf};
 use super::{FieldSpec, at_start, live, required};
 
-/// A day: longer times are errors of unit.
+/// The longest time, a day in milliseconds: a longer one is likely stated in a wrong unit.
 const MAX_TIME_MS: f64 = 86_400_000.0;
 
 /// The values of `log`.
@@ -38,6 +38,6 @@
     live("use_case/*/calls", Bool),
     live("use_case/*/part_without_call", Number(0.0, 1.0)),
     live("customer/*/quota_per_s", Number(0.0, 1e9)),
-    // States that a tenant exists, whose table may be empty.
+    // The tenant's table itself, which may be empty; the reader adds it for each tenant.
     live("customer/*/", Bool),
 ];
--- a/crates/hazelgrade-config/src/serving.rs
+++ b/crates/hazelgrade-config/src/serving.rs
@@ -1,11 +1,11 @@
-//! What a serving document says, in the types of the controller and of the program.
+//! The contents of a serving document in the types of the controller and of the program.
 
 use crate::document::Document;
 use hazelgrade::api::{Idempotency, JobClass, ServiceLimits, Tenant};
 use hazelgrade::time::Span;
 use std::net::SocketAddr;
 
-/// The addresses that a document has for a node; `None` where it says nothing.
+/// The addresses that a document states for a node; `None` where it states none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeAddresses {
     /// The executor, which runs jobs.
@@ -16,7 +16,7 @@
     pub database: Option<SocketAddr>,
 }
 
-/// Limits of the process, taken in at a start; `None` where the document says nothing.
+/// Limits of the process, applied at its start; `None` where the document states none.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResourceLimits {
     /// Open file descriptors.
@@ -25,7 +25,7 @@
     pub memory_mb: Option<f64>,
 }
 
-/// What the controller takes from a document.
+/// The settings of the controller in a document.
 #[derive(Clone, Debug)]
 pub struct ServingSettings {
     /// Job classes with their names, in the order of the names.
@@ -37,7 +37,7 @@
 }
 
 impl Document {
-    /// The log level, if the document says one.
+    /// The log level, if the document states one.
     pub fn log_level(&self) -> Option<&str> {
         self.fields().text("log")
     }
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The addresses for a node: its own where there are any, else those for all nodes.
+    /// The addresses for a node: its own where the document states them, else those for all nodes.
     pub fn addresses_for(&self, node: &str) -> NodeAddresses {
         let address = |peer: &str| {
             let own = self.fields().text(&format!("node/{node}/{peer}"));
@@ -64,7 +64,7 @@
         }
     }
 
-    /// What the controller takes. Limits that the document leaves open are those of `defaults`.
+    /// The settings of the controller. Limits that the document doesn't state are those of `defaults`.
     pub fn serving_settings(&self, defaults: &ServiceLimits) -> ServingSettings {
         let fields = self.fields();
         let job_class = |name: &&str| ((*name).to_owned(), self.job_class(name));
--- a/crates/hazelgrade-config/src/validate.rs
+++ b/crates/hazelgrade-config/src/validate.rs
@@ -17,7 +17,7 @@
     pub message: String,
 }
 
-/// All that is wrong with the fields of a document; empty if it is valid.
+/// All violations in the fields of a document; empty if it is valid.
 pub fn validate(kind: Kind, fields: &Fields) -> Vec<Violation> {
     let mut validator = Validator { fields, violations: Vec::new() };
     validator.check_each_field(kind);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Whether the schema has each field, and whether its value fits the schema.
+    /// Checks that the schema has each field and that its value fits.
     fn check_each_field(&mut self, kind: Kind) {
         for (path, value) in &self.fields.0 {
             match kind.field(path) {
--- a/crates/hazelgrade-config/src/validate/budgets.rs
+++ b/crates/hazelgrade-config/src/validate/budgets.rs
@@ -1,11 +1,11 @@
-//! Rules of a document of budgets: the parts of the sites add up to the total, fields belong to the measure, and no two
-//! budgets bind the same thing.
+//! Rules of a document of budgets: the sites' shares add up to the total, fields belong to the measure, and no two
+//! budgets limit the same thing.
 
 use super::Validator;
 use crate::document::MAX_BUDGETS;
 use std::collections::BTreeMap;
 
-/// Fields that only one measure has.
+/// Fields that belong to one measure only, and that measure.
 const MEASURE_OF_FIELD: [(&str, &str); 3] = [("burst", "rate"), ("customer", "rate"), ("part", "tries")];
 
 impl Validator<'_> {
--- a/crates/hazelgrade-config/src/validate/identity.rs
+++ b/crates/hazelgrade-config/src/validate/identity.rs
@@ -4,7 +4,7 @@
 use crate::document::DEFAULT_MAX_TOKEN_LIFETIME_S;
 use ipnet::IpNet;
 
-/// When a key that is not revoked signs, in seconds since 1970.
+/// The time in which a key signs, in seconds since 1970.
 struct SigningPeriod<'a> {
     key: &'a str,
     from_s: f64,
@@ -36,7 +36,8 @@
         }
         periods.sort_by(|one, other| one.from_s.total_cmp(&other.from_s));
         for pair in periods.windows(2) {
-            let (before, after) = (&pair[0], &pair[1]);
+            let before = &pair[0];
+            let after = &pair[1];
             if after.from_s > before.until_s {
                 let message = format!(
                     "expected it no later than signs_until_s of {}: nobody could sign between",
--- a/crates/hazelgrade-config/src/version.rs
+++ b/crates/hazelgrade-config/src/version.rs
@@ -1,4 +1,4 @@
-//! How versions of a document are told apart: by digest, and by number within a lineage.
+//! Versions of a document, identified by digest and by number within a lineage.
 
 use sha2::{Digest as _, Sha256};
 use std::fmt::{Debug, Display, Formatter};
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest([u8; 32]);
 
-/// Text that is no [`Digest`].
+/// Text that is not a [`Digest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("expected 64 hex digits")]
 pub struct DigestError;
@@ -27,7 +27,7 @@
         Digest(hasher.finalize().into())
     }
 
-    /// The first eight hex digits, for people.
+    /// The first eight hex digits, for display.
     pub fn short(&self) -> String {
         self.to_string()[..8].to_owned()
     }
@@ -61,7 +61,7 @@
     }
 }
 
-/// A published version of a document. Within a lineage numbers only grow, and no number stands for two contents.
+/// A published version of a document. Within a lineage numbers only grow, and each number has one content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version {
     /// Its number within the lineage.
--- a/crates/hazelgrade-identity/src/audit.rs
+++ b/crates/hazelgrade-identity/src/audit.rs
@@ -1,19 +1,19 @@
-//! Denials, counted for the log: one record for each reason and caller in a second, never anything of a token.
+//! Counts denials for the log: one record for each reason and caller per second, without anything from a token.
 
 use crate::deny_reason::DenyReason;
 use hazelgrade::time::{Span, Time};
 use std::collections::BTreeMap;
 
-/// Records in an interval; denials past that are counted together by reason, without a caller.
+/// The most records in an interval; further denials are counted by reason only, without a caller.
 const MAX_RECORDS: usize = 256;
 
-/// How long denials are counted together, in milliseconds.
+/// Length of the interval in which denials are counted together, in milliseconds.
 const INTERVAL_MS: f64 = 1000.0;
 
 /// How often one caller was denied for one reason within an interval.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AuditRecord {
-    /// The caller's name; none where it is not known, or where the interval had too many records.
+    /// The caller's name; `None` if it is not known, or if the interval had too many records.
     pub caller: Option<String>,
     /// Why it was denied.
     pub reason: DenyReason,
--- a/crates/hazelgrade-identity/src/authenticator.rs
+++ b/crates/hazelgrade-identity/src/authenticator.rs
@@ -1,5 +1,5 @@
-//! Authenticates connections and authorizes each job. The policy can be replaced at any time: tokens that were verified
-//! before are checked under the new one with the next job.
+//! Authenticates connections and authorizes each job. The policy can be replaced at any time: from the next job on,
+//! tokens that were verified before are checked under the new one.
 
 use crate::audit::{AuditLog, AuditRecord};
 use crate::caller_rates::CallerRates;
@@ -15,18 +15,18 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-/// Verified tokens that are cached, at some 200 bytes each.
+/// The most verified tokens that are cached, at some 200 bytes each.
 pub const MAX_CACHED_TOKENS: usize = 16 * 1024;
 
-/// Callers whose rate is tracked.
+/// The most callers whose rate is tracked.
 const MAX_TRACKED_CALLERS: usize = MAX_CACHED_TOKENS;
 
-/// What names the caller of a connection or a job. A token takes precedence over a certificate.
+/// What identifies the caller of a connection or a job. A token takes precedence over a certificate.
 #[derive(Clone, Debug, Default)]
 pub struct Credentials {
-    /// The token, if one was shown and verified.
+    /// The token, if one was presented and verified.
     pub token: Option<Rc<VerifiedToken>>,
-    /// The client certificate, if one was shown and its chain verified.
+    /// The client certificate, if one was presented and its chain verified.
     pub certificate: Option<Rc<ClientCertificate>>,
 }
 
@@ -35,7 +35,8 @@
 pub struct Authorization {
     /// The index of the tenant that the job is for.
     pub tenant: usize,
-    /// Whether the caller is over its limit of jobs a second: a hint for the decision module, the job may run.
+    /// Whether the caller is over its limit of jobs per second. The job may run all the same; the controller reduces
+    /// its priority.
     pub over_limit: bool,
 }
 
@@ -50,7 +51,7 @@
 }
 
 impl Authenticator {
-    /// An authenticator that goes by this policy.
+    /// An authenticator under this policy.
     ///
     /// # Errors
     /// No key of the policy is valid now.
@@ -68,10 +69,10 @@
         })
     }
 
-    /// Goes by another policy from now on.
+    /// Puts another policy into effect.
     ///
     /// # Errors
-    /// No key of the policy is valid now; the one before stays in effect.
+    /// No key of the policy is valid now; the policy before stays in effect.
     pub fn replace_policy(&mut self, policy: AccessPolicy, now: Time) -> Result<(), NoValidKey> {
         if !policy.has_valid_key(now) {
             return Err(NoValidKey);
@@ -80,7 +81,8 @@
         Ok(())
     }
 
-    /// Goes back to the policy before one that failed its trial; what the failed one revoked stays revoked.
+    /// Puts the previous policy back into effect after one that failed its trial; what the failed one revoked stays
+    /// revoked.
     ///
     /// # Errors
     /// No key of the policy is valid now; the failed one stays in effect.
@@ -94,7 +96,7 @@
         self.policy.compile(job_classes, tenants);
     }
 
-    /// Verifies a token that came from this address, from the cache if it was verified before.
+    /// Verifies a token that came from this address, or takes it from the cache if it was verified before.
     ///
     /// # Errors
     /// Why the token is denied. The source is penalized if it sends too many bad ones.
@@ -125,7 +127,7 @@
         }
     }
 
-    /// The caller that the credentials name, if they are valid now.
+    /// The caller that the credentials identify, if they are valid now.
     fn authenticate(&self, now: Time, credentials: &Credentials) -> Result<CallerId, DenyReason> {
         if let Some(token) = &credentials.token {
             return valid_caller(&self.policy, token, now);
@@ -141,8 +143,8 @@
         self.policy.caller_by_certificate(names).ok_or(DenyReason::UnknownCaller)
     }
 
-    /// The tenant of a job that the holder of the credentials requests from this address; the job is not counted against
-    /// its caller's limit.
+    /// The tenant of a job that the holder of the credentials requests from this address; the job is not counted
+    /// against its caller's limit.
     ///
     /// # Errors
     /// Why the caller may not request it.
@@ -179,8 +181,8 @@
         Ok(Authorization { tenant, over_limit })
     }
 
-    /// Counts a denial for the audit log, under the caller's name if the policy knows it: any other name is whatever
-    /// somebody wrote.
+    /// Counts a denial for the audit log, under the caller's name only if the policy knows it: any other name could be
+    /// made up.
     pub fn record_denial(&mut self, now: Time, credentials: &Credentials, reason: DenyReason) {
         let caller = match (&credentials.token, &credentials.certificate) {
             (Some(token), _) => self.policy.caller_by_name(&token.caller),
--- a/crates/hazelgrade-identity/src/caller_rates.rs
+++ b/crates/hazelgrade-identity/src/caller_rates.rs
@@ -4,22 +4,22 @@
 use hazelgrade::time::{Span, Time};
 use std::collections::HashMap;
 
-/// The time over which a caller's jobs are counted, in milliseconds: bursts of some seconds stay below the limit.
+/// Time constant of the count of a caller's jobs, in milliseconds: bursts of some seconds stay below the limit.
 const DECAY_MS: f64 = 5000.0;
 
-/// Counts each caller's jobs by its name, so that a policy with other callers goes on from the same counts.
+/// Counts each caller's jobs by its name, so that the counts stay valid when the policy is replaced.
 pub(crate) struct CallerRates {
     max_callers: usize,
     jobs: HashMap<String, DecayingSum>,
 }
 
 impl CallerRates {
-    /// Tracks so many callers; past that all counts begin anew.
+    /// Tracks at most `max_callers`; with one more all counts are reset.
     pub(crate) fn new(max_callers: usize) -> CallerRates {
         CallerRates { max_callers, jobs: HashMap::new() }
     }
 
-    /// Counts a job of a caller; whether the caller is over its limit, in jobs a second, with it.
+    /// Counts a job of a caller; returns whether the caller is now over its limit, in jobs per second.
     pub(crate) fn count(&mut self, now: Time, caller: &str, limit_per_s: f64) -> bool {
         if !self.jobs.contains_key(caller) {
             if self.jobs.len() >= self.max_callers {
--- a/crates/hazelgrade-identity/src/caller_rights.rs
+++ b/crates/hazelgrade-identity/src/caller_rights.rs
@@ -1,4 +1,4 @@
-//! What a caller may request, as bit sets that take no allocation to look up.
+//! What a caller may request, as bit sets, so that lookups take no allocation.
 
 use crate::deny_reason::DenyReason;
 use fixedbitset::FixedBitSet;
@@ -19,16 +19,17 @@
 pub(crate) struct CallerRights {
     pub(crate) name: String,
     pub(crate) revoked: bool,
-    /// Jobs a second past which its jobs are marked as over its limit.
+    /// Its limit in jobs per second; jobs beyond it are marked as over the limit.
     pub(crate) jobs_per_s: Option<f64>,
     job_class_names: Vec<String>,
     tenant_names: Vec<String>,
-    /// From where it may connect; from anywhere if empty.
+    /// The networks that it may connect from; any network if empty.
     networks: Vec<IpNet>,
-    /// By the node's index of each name, see `compile`.
+    /// Allowed job classes by the node's indexes, see `compile`; empty before it.
     job_classes: FixedBitSet,
+    /// Allowed tenants, in the same way.
     tenants: FixedBitSet,
-    /// Its tenant, if it has just one.
+    /// Its tenant, if it has exactly one.
     only_tenant: Option<usize>,
 }
 
@@ -36,14 +37,14 @@
     /// The caller of this name in an identity document; it may request nothing before `compile`.
     pub(crate) fn from_fields(fields: &Fields, name: &str) -> CallerRights {
         let path = |field: &str| format!("caller/{name}/{field}");
-        let words = |field: &str| fields.text_list(&path(field)).to_vec();
+        let texts = |field: &str| fields.text_list(&path(field)).to_vec();
         CallerRights {
             name: name.to_owned(),
             revoked: fields.boolean(&path("revoked")) == Some(true),
             jobs_per_s: fields.number(&path("jobs_per_s")),
-            job_class_names: words("use_cases"),
-            tenant_names: words("customers"),
-            networks: words("networks").iter().filter_map(|network| network.parse().ok()).collect(),
+            job_class_names: texts("use_cases"),
+            tenant_names: texts("customers"),
+            networks: texts("networks").iter().filter_map(|network| network.parse().ok()).collect(),
             job_classes: FixedBitSet::new(),
             tenants: FixedBitSet::new(),
             only_tenant: None,
@@ -58,7 +59,7 @@
         self.only_tenant = self.tenants.ones().next().filter(|_| has_one_tenant);
     }
 
-    /// The tenant of a job that the caller requests from this address: the one it names, else its only one.
+    /// The tenant of a job that the caller requests from this address: the requested one, or else its only one.
     pub(crate) fn authorize(
         &self,
         job_class: usize,
@@ -79,7 +80,7 @@
     }
 }
 
-/// The indexes of the names that are allowed, of all in use.
+/// The indexes of the allowed names among all names in use.
 fn resolve(allowed: &[String], indexes: &BTreeMap<&str, usize>) -> FixedBitSet {
     let length = indexes.values().max().map_or(0, |highest| highest + 1);
     let mut bits = FixedBitSet::with_capacity(length);
--- a/crates/hazelgrade-identity/src/certificate.rs
+++ b/crates/hazelgrade-identity/src/certificate.rs
@@ -7,7 +7,7 @@
 use x509_parser::nom;
 use x509_parser::prelude::{CertificateRevocationList, FromDer, X509Certificate};
 
-/// Alternative names that are read of one certificate; the rest are ignored.
+/// The most alternative names that are read from one certificate; the rest are ignored.
 const MAX_NAMES: usize = 32;
 
 /// Why a certificate or a revocation list can't be read.
@@ -28,16 +28,16 @@
     pub names: Vec<String>,
     /// Its serial number in hex, without leading zero bytes.
     pub serial: String,
-    /// When its validity ends; none if that is unknown.
+    /// When its validity ends; `None` if that is unknown.
     pub expires_at: Option<Time>,
 }
 
-/// What a certificate revocation list says.
+/// The contents of a certificate revocation list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RevocationList {
     /// The serial numbers of the revoked certificates, in hex as in [`ClientCertificate::serial`].
     pub serials: BTreeSet<String>,
-    /// When the next list is due at the latest, in seconds since 1970; none if the list does not say.
+    /// When the next list is due at the latest, in seconds since 1970; `None` if the list doesn't state it.
     pub next_update_s: Option<i64>,
 }
 
--- a/crates/hazelgrade-identity/src/deny_reason.rs
+++ b/crates/hazelgrade-identity/src/deny_reason.rs
@@ -37,7 +37,7 @@
     JobClassNotAllowed,
     /// The caller may not request jobs for this tenant.
     TenantNotAllowed,
-    /// The source sent too many bad tokens lately, so this one was not verified.
+    /// The source sent too many bad tokens recently, so this one was not verified.
     SourcePenalized,
 }
 
@@ -62,7 +62,7 @@
         DenyReason::SourcePenalized,
     ];
 
-    /// Whether the cause may be the keys and callers of the policy: many of these show that a policy is wrong.
+    /// Whether the policy's keys and callers may be the cause: many such denials suggest that the policy is wrong.
     pub fn suggests_wrong_policy(self) -> bool {
         matches!(
             self,
@@ -73,7 +73,7 @@
         )
     }
 
-    /// The text that callers and the log get; it contains nothing of the token.
+    /// The text for callers and the log; it contains nothing from the token.
     pub fn message(self) -> &'static str {
         match self {
             DenyReason::NoCredentials => "no token or certificate names the caller",
--- a/crates/hazelgrade-identity/src/handshake_limiter.rs
+++ b/crates/hazelgrade-identity/src/handshake_limiter.rs
@@ -1,16 +1,17 @@
-//! Bounds the TLS handshakes in progress: past the bound the oldest one is evicted, so that a flood of half handshakes
-//! costs a fixed amount and keeps nobody out who completes a handshake at an ordinary pace.
+//! Bounds the TLS handshakes in progress. Past the bound the oldest one is evicted, so that a flood of unfinished
+//! handshakes costs a fixed amount and does not block clients that complete theirs at an ordinary pace.
 
 use hazelgrade::time::{Span, Time};
 use std::collections::BTreeMap;
 
-/// Handshakes in progress at once, at some 50 KB each: as many as a fleet's callers that reconnect at once need.
+/// The most handshakes in progress at once, at some 50 KB each: enough for a fleet's callers that all reconnect at
+/// once.
 pub const MAX_HANDSHAKES: usize = 128;
 
 /// Identifies a handshake within its limiter.
 pub type HandshakeId = u64;
 
-/// A handshake that begins.
+/// A handshake that has begun.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StartedHandshake {
     /// Its id, for [`HandshakeLimiter::finish`].
@@ -32,7 +33,7 @@
 }
 
 impl HandshakeLimiter {
-    /// A limiter of so many handshakes at once, at least one, each of which may take up to `timeout`.
+    /// A limiter of `max_handshakes` at once (at least one), each of which may take up to `timeout`.
     pub fn new(max_handshakes: usize, timeout: Span) -> HandshakeLimiter {
         HandshakeLimiter {
             max_handshakes: max_handshakes.max(1),
@@ -47,16 +48,20 @@
     pub fn begin(&mut self, now: Time) -> StartedHandshake {
         let is_full = self.in_progress.len() >= self.max_handshakes;
         let evicted = if is_full { self.in_progress.pop_first().map(|(id, _)| id) } else { None };
-        self.ended_early += u64::from(evicted.is_some());
+        if evicted.is_some() {
+            self.ended_early += 1;
+        }
         self.last_id += 1;
         self.in_progress.insert(self.last_id, now);
         StartedHandshake { id: self.last_id, deadline: now + self.timeout, evicted }
     }
 
-    /// Ends a handshake, complete or not; `false` if it was evicted before.
+    /// Ends a handshake, complete or not; returns `false` if it had been evicted.
     pub fn finish(&mut self, id: HandshakeId, is_complete: bool) -> bool {
         let was_in_progress = self.in_progress.remove(&id).is_some();
-        self.ended_early += u64::from(was_in_progress && !is_complete);
+        if was_in_progress && !is_complete {
+            self.ended_early += 1;
+        }
         was_in_progress
     }
 
--- a/crates/hazelgrade-identity/src/key.rs
+++ b/crates/hazelgrade-identity/src/key.rs
@@ -10,7 +10,7 @@
 /// Bytes of a public key's coordinate.
 const COORDINATE_BYTES: usize = 32;
 
-/// Where a key is in its life cycle.
+/// The state of a key in its life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum KeyState {
     /// Published ahead of its use: tokens signed with it are not accepted yet.
@@ -27,7 +27,7 @@
 
 /// The public half of a key.
 pub(crate) struct VerificationKey {
-    /// The only algorithm that a token may be signed with.
+    /// The only algorithm that the key's tokens may be signed with.
     pub(crate) algorithm: Algorithm,
     pub(crate) decoding: DecodingKey,
     pub(crate) active_from: Time,
@@ -43,8 +43,8 @@
 }
 
 impl VerificationKey {
-    /// The key of this id in an identity document. Where the document does not say until when it signs, that is the longest
-    /// lifetime of a token, in seconds, before its end.
+    /// The key with this id in an identity document. If the document doesn't state until when the key signs, it signs
+    /// until the longest lifetime of a token, in seconds, before its validity ends.
     pub(crate) fn from_fields(
         fields: &Fields,
         key_id: &str,
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Where the key is in its life cycle at this time.
+    /// The state of the key at `now`.
     pub(crate) fn state(&self, now: Time) -> KeyState {
         match now {
             _ if self.revoked => KeyState::Revoked,
@@ -80,18 +80,18 @@
 
 /// The algorithm and the public key: `x` for EdDSA, `x` and `y` for ES256.
 fn public_key(fields: &Fields, key_id: &str) -> Result<(Algorithm, DecodingKey), PolicyError> {
-    let word = |field: &str| fields.text(&format!("key/{key_id}/{field}")).unwrap_or_default();
+    let text = |field: &str| fields.text(&format!("key/{key_id}/{field}")).unwrap_or_default();
     let coordinate = |field: &'static str| {
-        let bytes = URL_SAFE_NO_PAD.decode(word(field)).ok();
+        let bytes = URL_SAFE_NO_PAD.decode(text(field)).ok();
         let bytes = bytes.filter(|bytes| bytes.len() == COORDINATE_BYTES);
         bytes.ok_or_else(|| PolicyError::Coordinate { key_id: key_id.to_owned(), field })
     };
     let x = coordinate("x")?;
-    if word("algorithm") != "ES256" {
+    if text("algorithm") != "ES256" {
         return Ok((Algorithm::EdDSA, DecodingKey::from_ed_der(&x)));
     }
     coordinate("y")?;
-    let decoding = DecodingKey::from_ec_components(word("x"), word("y"))
+    let decoding = DecodingKey::from_ec_components(text("x"), text("y"))
         .map_err(|source| PolicyError::PublicKey { key_id: key_id.to_owned(), source })?;
     Ok((Algorithm::ES256, decoding))
 }
--- a/crates/hazelgrade-identity/src/lib.rs
+++ b/crates/hazelgrade-identity/src/lib.rs
@@ -2,10 +2,10 @@
 //!
 //! The crate does no input or output: time, tokens, addresses and documents come in as parameters.
 //!
-//! [`AccessPolicy`] is an identity document made ready for lookups: keys, callers, rights and revocations. [`token`]
-//! verifies a signed token under a policy. [`Authenticator`] puts both together for a serving node: it verifies each token
-//! once, caches the result and authorizes every job under the policy in effect. [`signer`] makes keys and tokens, for the
-//! operators' tool and for tests.
+//! [`AccessPolicy`] is an identity document prepared for lookups: keys, callers, rights and revocations. [`token`]
+//! verifies a signed token under a policy. [`Authenticator`] puts both together for a serving node: it verifies each
+//! token once, caches the result and authorizes every job under the policy in effect. [`signer`] makes keys and tokens,
+//! for the operators' tool and for tests.
 
 #![warn(missing_docs)]
 
--- a/crates/hazelgrade-identity/src/policy.rs
+++ b/crates/hazelgrade-identity/src/policy.rs
@@ -1,4 +1,4 @@
-//! An identity document made ready for lookups: keys, callers, rights and revocations. Authorizing a job takes no
+//! An identity document prepared for lookups: keys, callers, rights and revocations. Authorizing a job takes no
 //! allocation.
 
 use crate::caller_rights::{CallerId, CallerRights};
@@ -11,10 +11,10 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::IpAddr;
 
-/// How far the clocks of signers and nodes may differ where a document does not say, in seconds.
+/// How far the clocks of signers and nodes may differ if a document doesn't state it, in seconds.
 const DEFAULT_CLOCK_SKEW_S: f64 = 90.0;
 
-/// Who may request what, and which keys and revocations count.
+/// Who may request what, and which keys and revocations apply.
 #[derive(Debug)]
 pub struct AccessPolicy {
     /// What a token's `aud` must be.
@@ -29,7 +29,7 @@
     revoked_certificates: BTreeSet<String>,
 }
 
-/// All callers, by index and by what names them.
+/// All callers, by index, by name and by certificate name.
 #[derive(Debug, Default)]
 struct Callers {
     rights: Vec<CallerRights>,
@@ -63,7 +63,8 @@
     /// The policy of an identity document.
     ///
     /// # Errors
-    /// What is wrong beyond the document's own checks, with its field: a public key, or a certificate that names two callers.
+    /// An error that the document's own checks don't find, with its field: a malformed public key, or a certificate
+    /// name that two callers have.
     pub fn from_document(document: &Document) -> Result<AccessPolicy, PolicyError> {
         let fields = document.fields();
         let max_token_lifetime_s = fields.number("longest_token_s").unwrap_or(DEFAULT_MAX_TOKEN_LIFETIME_S);
@@ -85,7 +86,7 @@
         })
     }
 
-    /// Whether some key verifies tokens now; without one nobody could be let in.
+    /// Whether some key verifies tokens now; without one no token would be accepted.
     pub fn has_valid_key(&self, now: Time) -> bool {
         self.keys.values().any(|key| matches!(key.state(now), KeyState::Active | KeyState::Retiring))
     }
@@ -103,8 +104,8 @@
         self.revoked_certificates.extend(other.revoked_certificates.iter().cloned());
     }
 
-    /// Resolves the names of job classes and tenants that are in use to the node's indexes. Until then nobody may request
-    /// anything.
+    /// Resolves the names of job classes and tenants that are in use to the node's indexes. Until then nobody may
+    /// request anything.
     pub fn compile(&mut self, job_classes: &BTreeMap<&str, usize>, tenants: &BTreeMap<&str, usize>) {
         for caller in &mut self.callers.rights {
             caller.compile(job_classes, tenants);
@@ -116,7 +117,7 @@
         self.callers.by_name.get(name).copied()
     }
 
-    /// The caller that one of a certificate's subject alternative names stands for; the first that is known.
+    /// The caller of the first of a certificate's subject alternative names that is known.
     pub fn caller_by_certificate<'a>(&self, names: impl IntoIterator<Item = &'a str>) -> Option<CallerId> {
         names.into_iter().find_map(|name| self.callers.by_certificate.get(name).copied())
     }
@@ -126,7 +127,7 @@
         self.callers.get(caller).map_or("", |caller| &caller.name)
     }
 
-    /// The jobs a second past which a caller's jobs are marked as over its limit; unlimited by default.
+    /// A caller's limit in jobs per second; jobs beyond it are marked. `None` if it is unlimited.
     pub fn jobs_per_s(&self, caller: CallerId) -> Option<f64> {
         self.callers.get(caller)?.jobs_per_s
     }
@@ -140,7 +141,7 @@
         self.revoked_tokens.contains(token_id)
     }
 
-    /// Whether the caller may request anything at all.
+    /// Whether the caller is revoked; an unknown caller counts as revoked.
     pub(crate) fn is_caller_revoked(&self, caller: CallerId) -> bool {
         self.callers.get(caller).is_none_or(|caller| caller.revoked)
     }
@@ -149,11 +150,11 @@
         self.keys.get(key_id)
     }
 
-    /// The tenant of a job that a caller requests from this address: the one it names, else its only one. Job class and
-    /// tenant are indexes of `compile`.
+    /// The tenant of a job that a caller requests from this address: the requested one, or else the caller's only one.
+    /// Job class and tenant are the indexes that were passed to `compile`.
     ///
     /// # Errors
-    /// The first of these that the caller may not: request anything, from this network, this job class, for this tenant.
+    /// The first check that fails: whether the caller is known and not revoked, its network, the job class, the tenant.
     pub fn authorize(
         &self,
         caller: CallerId,
--- a/crates/hazelgrade-identity/src/policy_error.rs
+++ b/crates/hazelgrade-identity/src/policy_error.rs
@@ -1,6 +1,6 @@
-//! What can be wrong with a policy.
+//! Errors of a policy.
 
-/// What is wrong with an identity document beyond the document's own checks, with its field.
+/// An error in an identity document that the document's own checks don't find, with its field.
 #[derive(Debug, thiserror::Error)]
 pub enum PolicyError {
     /// A coordinate of a public key does not have the right length or encoding.
@@ -16,10 +16,10 @@
     PublicKey {
         /// The key's id.
         key_id: String,
-        /// What the cryptographic library says.
+        /// The error of the cryptographic library.
         source: jsonwebtoken::errors::Error,
     },
-    /// A certificate name stands with two callers.
+    /// Two callers have the same certificate name.
     #[error("field caller.{caller}.certificates: {certificate} names another caller too")]
     AmbiguousCertificate {
         /// The second caller.
--- a/crates/hazelgrade-identity/src/signer.rs
+++ b/crates/hazelgrade-identity/src/signer.rs
@@ -1,4 +1,5 @@
-//! Makes keys and tokens, for the operators' tool and for tests. Private keys are wiped from memory when they are dropped.
+//! Makes keys and tokens, for the operators' tool and for tests. Private keys are wiped from memory when they are
+//! dropped.
 
 use crate::token::Claims;
 use base64::Engine;
@@ -8,10 +9,10 @@
 use ring::signature::{ECDSA_P256_SHA256_FIXED_SIGNING, EcdsaKeyPair, Ed25519KeyPair, KeyPair};
 use zeroize::Zeroizing;
 
-/// Why a key can't be made or read, or a token not signed.
+/// Why a key can't be made or read, or a token can't be signed.
 #[derive(Debug, thiserror::Error)]
 pub enum SignerError {
-    /// The algorithm is not one of those that tokens are signed with.
+    /// The algorithm is neither `EdDSA` nor `ES256`.
     #[error("expected the algorithm EdDSA or ES256")]
     UnknownAlgorithm,
     /// The operating system gave no random numbers for a new key.
@@ -30,7 +31,7 @@
 pub struct PublicKey {
     /// The `x` coordinate, or the whole key for EdDSA.
     pub x: String,
-    /// The `y` coordinate; none for EdDSA.
+    /// The `y` coordinate; `None` for EdDSA.
     pub y: Option<String>,
 }
 
@@ -66,7 +67,7 @@
     /// Reads a private key in PKCS #8.
     ///
     /// # Errors
-    /// The bytes are no private key for Ed25519 or P-256.
+    /// The bytes are not a private key for Ed25519 or P-256.
     pub fn from_pkcs8(pkcs8: Zeroizing<Vec<u8>>) -> Result<Signer, SignerError> {
         if let Ok(pair) = Ed25519KeyPair::from_pkcs8(&pkcs8) {
             let public = pair.public_key().as_ref().to_vec();
@@ -102,7 +103,7 @@
     /// Signs claims as a token whose header names the key by its id.
     ///
     /// # Errors
-    /// What the cryptographic library says.
+    /// The error of the cryptographic library.
     pub fn sign(&self, key_id: &str, claims: &Claims) -> Result<String, SignerError> {
         let mut header = Header::new(self.algorithm);
         header.kid = Some(key_id.to_owned());
--- a/crates/hazelgrade-identity/src/source_penalty.rs
+++ b/crates/hazelgrade-identity/src/source_penalty.rs
@@ -1,19 +1,19 @@
-//! Bounds what bad tokens cost: a source that sent too many lately has its next unknown token denied unverified. Cached
-//! tokens are not affected, so other callers behind the same address go on with those they have.
+//! Bounds the cost of bad tokens: while a source has sent too many recently, its unknown tokens are denied without
+//! verification. Cached tokens are not affected, so other callers behind the same address can go on.
 
 use hazelgrade::statistics::DecayingSum;
 use hazelgrade::time::{Span, Time};
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-/// Bad tokens that a source may send at once: a fleet that missed a rotation sends one for each of its callers.
+/// Bad tokens that a source may send at once: after a missed key rotation each caller behind the address sends one.
 const BAD_TOKEN_LIMIT: f64 = 32.0;
 
-/// The time in which the count of bad tokens decays to a third, in milliseconds: with the limit, some signature checks a
-/// second at the most for each source.
+/// Time constant with which the count of bad tokens decays, in milliseconds. Together with the limit it allows each
+/// source some 16 signature checks of bad tokens per second.
 const DECAY_MS: f64 = 2000.0;
 
-/// Sources that are tracked; past that the one longest quiet is forgotten.
+/// The most sources that are tracked; past that the one whose last bad token is oldest is forgotten.
 const MAX_SOURCES: usize = 1024;
 
 struct Source {
@@ -46,6 +46,7 @@
         source.last_bad_token = now;
     }
 
+    /// Forgets the source whose last bad token is oldest.
     fn forget_quietest(&mut self) {
         let quietest = self.sources.iter().min_by_key(|(_, source)| source.last_bad_token);
         if let Some(address) = quietest.map(|(address, _)| *address) {
--- a/crates/hazelgrade-identity/src/token.rs
+++ b/crates/hazelgrade-identity/src/token.rs
@@ -1,5 +1,5 @@
-//! Signed tokens: JWT (RFC 7519), verified with the key of the policy that the token's `kid` names. The algorithm is the
-//! key's, never the token's own.
+//! Signed tokens: JWT (RFC 7519), verified with the key of the policy that the token's `kid` names. The algorithm is
+//! always the key's, never the one that the token states.
 
 use crate::caller_rights::CallerId;
 use crate::deny_reason::DenyReason;
@@ -11,10 +11,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashSet;
 
-/// The longest token, in bytes: a header, some claims and a signature take a fourth of it.
+/// The longest token, in bytes; a usual header, claims and signature take a quarter of it.
 pub const MAX_TOKEN_BYTES: usize = 2048;
 
-/// Times in a token, in seconds since 1970, lie below this.
+/// Times in a token must be below this, in seconds since 1970.
 const MAX_TIME_S: f64 = 1e11;
 
 /// The claims of a token, by their names in RFC 7519; times in seconds since 1970.
@@ -28,7 +28,7 @@
     pub exp: f64,
     /// When the token was issued.
     pub iat: f64,
-    /// Before when the token is not valid; from its issue on by default.
+    /// The token is not valid before this time; by default it is valid from its issue on.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub nbf: Option<f64>,
     /// The token's id, by which it can be revoked.
@@ -45,7 +45,7 @@
     pub key_id: String,
     /// The token's id, if it has one.
     pub token_id: Option<String>,
-    /// When it expires, with the clock skew that is allowed for.
+    /// When it expires, the allowed clock skew included.
     pub expires_at: Time,
 }
 
@@ -85,7 +85,7 @@
 /// Checks the signature and decodes the claims.
 fn decode(token: &str, key: &VerificationKey) -> Result<Claims, DenyReason> {
     let mut validation = Validation::new(key.algorithm);
-    // `check_claims` checks times and audience, by the time that it is given.
+    // `check_claims` checks times and audience, by the caller's clock.
     validation.validate_exp = false;
     validation.validate_nbf = false;
     validation.validate_aud = false;
@@ -97,7 +97,7 @@
     }
 }
 
-/// Checks audience and times; returns when the token expires, with the clock skew that is allowed for.
+/// Checks audience and times; returns when the token expires, the allowed clock skew included.
 fn check_claims(
     policy: &AccessPolicy,
     key: &VerificationKey,
@@ -129,7 +129,7 @@
     if is_in_range { Ok(Time::from_ms(seconds * 1000.0)) } else { Err(DenyReason::MalformedToken) }
 }
 
-/// The caller of a token that was verified before, if the token is still valid under this policy at this time.
+/// The caller of a token that was verified before, if the token is still valid under this policy at `now`.
 pub(crate) fn valid_caller(
     policy: &AccessPolicy,
     token: &VerifiedToken,
--- a/crates/hazelgrade-identity/src/token_cache.rs
+++ b/crates/hazelgrade-identity/src/token_cache.rs
@@ -18,7 +18,7 @@
     used: bool,
 }
 
-/// Evicts by second chance: an entry that was used since the last pass is kept for another pass.
+/// A cache with second-chance eviction: an entry that was used since the last pass stays for another pass.
 pub(crate) struct TokenCache {
     capacity: usize,
     entries: HashMap<TokenDigest, Entry>,
@@ -26,7 +26,7 @@
 }
 
 impl TokenCache {
-    /// An empty cache of so many tokens, at least one.
+    /// An empty cache of at most `capacity` tokens (at least one).
     pub(crate) fn new(capacity: usize) -> TokenCache {
         TokenCache { capacity: capacity.max(1), entries: HashMap::new(), eviction_order: VecDeque::new() }
     }
@@ -36,14 +36,14 @@
         self.entries.len()
     }
 
-    /// The token of this digest, which counts as a use of it.
+    /// The token with this digest; marks it as used.
     pub(crate) fn get(&mut self, digest: &TokenDigest) -> Option<Rc<VerifiedToken>> {
         let entry = self.entries.get_mut(digest)?;
         entry.used = true;
         Some(entry.token.clone())
     }
 
-    /// Adds a token, and evicts another if there are more than the capacity.
+    /// Adds a token, and evicts one if there are more than the capacity.
     pub(crate) fn insert(&mut self, digest: TokenDigest, token: Rc<VerifiedToken>) {
         if self.entries.insert(digest, Entry { token, used: false }).is_some() {
             return;
--- a/crates/hazelgrade-server/src/program/serving_document/slot_table.rs
+++ b/crates/hazelgrade-server/src/program/serving_document/slot_table.rs
@@ -56,11 +56,11 @@
 
     /// Whether the name of a slot is in use.
     pub fn is_in_use(&self, slot: usize) -> bool {
-        self.slots.name(slot).is_some_and(|(_, in_use)| in_use)
+        self.slots.name(slot).is_some_and(|name| name.in_use)
     }
 
     /// The name of a slot, in use or removed; empty if there is no such slot.
     pub fn name(&self, slot: usize) -> String {
-        self.slots.name(slot).map(|(name, _)| name.to_owned()).unwrap_or_default()
+        self.slots.name(slot).map(|slot| slot.name.to_owned()).unwrap_or_default()
     }
 }
--- a/crates/hazelgrade-server/src/protocol/jsonrpc/request.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc/request.rs
@@ -200,7 +200,7 @@
 /// nothing to serve, may be served by others.
 fn find_job_class(call_id: u64, method: &str, settings: &HostSettings) -> Result<usize, RequestError> {
     match settings.job_class(method) {
-        Some((job_class, true)) => Ok(job_class),
+        Some(job_class) if job_class.in_use => Ok(job_class.slot),
         known => {
             let not_served = known.is_some() || !settings.serves();
             let error = RequestError::new(Some(call_id), Reason::UnknownMethod);
--- a/crates/hazelgrade-settings/src/decode.rs
+++ b/crates/hazelgrade-settings/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes the platform's settings object. Its JSON names are in this module alone; times in it are milliseconds.
+//! Decodes the platform's settings object. Only this module uses its JSON names. Times in it are in milliseconds.
 
 use crate::error::SettingsError;
 use crate::host::{HostSettings, JobClassEntry};
@@ -12,18 +12,18 @@
 /// The shortest time between two rounds, in milliseconds.
 const MIN_TICK_MS: f64 = 0.001;
 
-/// How long a load signal holds where the settings do not say, in milliseconds.
+/// Default lifetime of a load signal, in milliseconds.
 const SIGNAL_LIFETIME_MS: f64 = 1000.0;
 
-/// A new instance, as the settings describe it.
+/// The controller and the host's settings of a new instance.
 pub struct DecodedSettings {
     /// The controller.
     pub controller: Controller,
-    /// What its host goes by.
+    /// The settings of its host.
     pub host: HostSettings,
 }
 
-/// Decodes the settings into a new controller, whose random numbers come from `seed`, and what its host goes by.
+/// Decodes the settings into a new controller, whose random numbers come from `seed`, and the settings of its host.
 ///
 /// # Errors
 /// The first field that is of another type or out of range.
@@ -103,7 +103,8 @@
     Ok(job_classes)
 }
 
-/// A job class by its own fields; what the settings say of its calls is elsewhere.
+/// A job class from its own object; the caller sets what is decoded from `specifics`: its calls, and its weight without
+/// them.
 fn job_class(section: Section) -> Result<JobClass, SettingsError> {
     let deadline_ms = section.number("giveUp", 0.0)?;
     Ok(JobClass {
@@ -170,7 +171,7 @@
 fn dependency(specifics: Section) -> Result<Dependency, SettingsError> {
     let max_calls = specifics.number("callsOut", 0.0)?;
     Ok(Dependency {
-        // 0 stands for a limit that is not known.
+        // 0 means that no limit is set.
         max_calls: (max_calls > 0.0).then_some(max_calls),
         max_calls_window: span(specifics, "callsOver", 0.0)?,
         linger: span(specifics, "linger", 0.0)?,
--- a/crates/hazelgrade-settings/src/error.rs
+++ b/crates/hazelgrade-settings/src/error.rs
@@ -6,12 +6,12 @@
 pub struct SettingsError {
     /// Path of the field with dots between its segments.
     pub field: String,
-    /// What was expected of it.
+    /// What was expected.
     pub expected: String,
 }
 
 impl SettingsError {
-    /// The error of a field of which `expected` was expected.
+    /// The error of a field that is not as `expected`.
     pub fn new(field: impl Into<String>, expected: impl Into<String>) -> SettingsError {
         SettingsError { field: field.into(), expected: expected.into() }
     }
--- a/crates/hazelgrade-settings/src/host.rs
+++ b/crates/hazelgrade-settings/src/host.rs
@@ -1,18 +1,18 @@
-//! What a host goes by: names, limits and intervals that the controller does not need, or needs in another form.
+//! The settings of a host: names, limits and intervals that the controller does not need, or needs in another form.
 
 use hazelgrade::api::{Idempotency, ServiceLimits};
 use hazelgrade::time::Span;
 
-/// What a host needs of the settings. Job classes and tenants are in the order of the controller's slots.
+/// The settings of a host. Job classes and tenants are in the order of the controller's slots.
 #[derive(Clone, Debug)]
 pub struct HostSettings {
     /// Job classes by slot.
     pub job_classes: Vec<JobClassEntry>,
     /// Names of tenants by slot; `None` where the tenant was removed.
     pub tenants: Vec<Option<String>>,
-    /// Limits of the service, for documents that leave them open.
+    /// Limits of the service, used where a document doesn't state them.
     pub limits: ServiceLimits,
-    /// Callers are authenticated, so that a job need not name its tenant. Off until identities are configured.
+    /// Whether callers are authenticated, so that a job need not name its tenant. Off until identities are configured.
     pub authenticates_callers: bool,
     /// Whether there is a dependency to call.
     pub calls_dependency: bool,
@@ -20,11 +20,11 @@
     pub gauge_names: Vec<String>,
     /// The shortest time between two rounds of the controller.
     pub tick: Span,
-    /// An unhealthy server reports itself as not ready.
+    /// Whether an unhealthy server reports itself as not ready.
     pub readiness_follows_health: bool,
-    /// How long the result of a read may be given to other jobs; 0 if it may not.
+    /// How long the result of a read may be shared with other jobs; 0 if it may not.
     pub result_sharing: Span,
-    /// How long the dependency may go on with a call that was given up.
+    /// How long a call that was given up may stay at the dependency.
     pub linger: Span,
 }
 
@@ -35,17 +35,26 @@
     pub name: String,
     /// What a retry of its jobs may do.
     pub idempotency: Idempotency,
-    /// When its jobs must be answered, from their arrival.
+    /// Its jobs must be answered within this time of their receipt.
     pub deadline: Span,
-    /// Jobs may request it; a removed class keeps its slot for the jobs in flight.
+    /// Whether jobs may request it; a removed class keeps its slot for the jobs in flight.
+    pub in_use: bool,
+}
+
+/// The slot of a job class.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct JobClassSlot {
+    /// Its index.
+    pub slot: usize,
+    /// Whether jobs may request the class.
     pub in_use: bool,
 }
 
 impl HostSettings {
-    /// The slot of a job class, and whether it is in use; `None` if there is no such class.
-    pub fn job_class(&self, name: &str) -> Option<(usize, bool)> {
+    /// The slot of a job class; `None` if there is no such class.
+    pub fn job_class(&self, name: &str) -> Option<JobClassSlot> {
         let slot = self.job_classes.iter().position(|class| class.name == name)?;
-        Some((slot, self.job_classes[slot].in_use))
+        Some(JobClassSlot { slot, in_use: self.job_classes[slot].in_use })
     }
 
     /// Whether any job class is in use.
--- a/crates/hazelgrade-settings/src/lib.rs
+++ b/crates/hazelgrade-settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! Decodes the settings object that every instance is started with, once for all hosts: into a controller, and into
-//! what the host itself goes by. [`slots`] assigns the controller's slots to names when job classes and tenants come
-//! and go.
+//! Decodes the settings object that every instance is started with, for all kinds of hosts: into a controller and the
+//! host's own settings. [`slots`] assigns the controller's slots to names when job classes and tenants are added and
+//! removed.
 #![warn(missing_docs)]
 
 pub mod slots;
@@ -12,4 +12,4 @@
 
 pub use decode::{DecodedSettings, decode};
 pub use error::SettingsError;
-pub use host::{HostSettings, JobClassEntry};
+pub use host::{HostSettings, JobClassEntry, JobClassSlot};
--- a/crates/hazelgrade-settings/src/slots.rs
+++ b/crates/hazelgrade-settings/src/slots.rs
@@ -13,10 +13,19 @@
     quarantine: Span,
 }
 
-/// The slots that names have; a slot is never removed.
+/// The slots of all names; a slot is never removed, but it may be reused.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Slots(Vec<Slot>);
 
+/// The name of a slot.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SlotName<'a> {
+    /// The name.
+    pub name: &'a str,
+    /// Whether it is in use; a removed name keeps its slot for some time.
+    pub in_use: bool,
+}
+
 /// A name that needs a slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NameRequest<'a> {
@@ -29,24 +38,24 @@
 /// The slots of the names of a new version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Assignment {
-    /// All slots, with those of removed names.
+    /// All slots, those of removed names included.
     pub slots: Slots,
     /// For each name requested, the index of its slot.
     pub slot_of_name: Vec<usize>,
-    /// Indices of slots that have another name than before.
+    /// Indexes of slots that have another name than before.
     pub reused: Vec<usize>,
 }
 
-/// More slots are needed than there may be.
+/// More slots are needed than are allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "{needed} places are needed, there are {max}; names that were taken away and may still be named take up room: \
      try again later"
 )]
 pub struct SlotsExhausted {
-    /// Slots that the names need, with those in quarantine.
+    /// Slots that are needed, those in quarantine included.
     pub needed: usize,
-    /// Slots that there may be.
+    /// The most slots that are allowed.
     pub max: usize,
 }
 
@@ -56,16 +65,17 @@
         self.0.len()
     }
 
-    /// The name of a slot, and whether it is in use; `None` if there is no such slot.
-    pub fn name(&self, slot: usize) -> Option<(&str, bool)> {
-        self.0.get(slot).map(|slot| (slot.name.as_str(), slot.removed_at.is_none()))
+    /// The name of a slot; `None` if there is no such slot.
+    pub fn name(&self, slot: usize) -> Option<SlotName<'_>> {
+        let slot = self.0.get(slot)?;
+        Some(SlotName { name: &slot.name, in_use: slot.removed_at.is_none() })
     }
 
-    /// Assigns slots to these names and marks all other names as removed. `is_busy` says whether a job in flight refers
-    /// to a slot.
+    /// Assigns slots to these names and marks all other names as removed. `is_busy` tells whether a job in flight
+    /// refers to a slot.
     ///
     /// # Errors
-    /// [`SlotsExhausted`] if that takes more than `max` slots.
+    /// [`SlotsExhausted`] if more than `max` slots are needed.
     pub fn assign(
         &self,
         now: Time,
--- a/crates/hazelgrade-settings/tests/recorded_messages.rs
+++ b/crates/hazelgrade-settings/tests/recorded_messages.rs
@@ -1,7 +1,7 @@
 //! Wrong settings give the recorded messages, character by character; right ones give what the host goes by.
 
 use hazelgrade::api::Idempotency;
-use hazelgrade_settings::decode;
+use hazelgrade_settings::{JobClassSlot, decode};
 use serde_json::{Value, json};
 
 fn message(settings: &Value) -> String {
@@ -89,5 +89,6 @@
     assert_eq!(host.gauge_names, ["cpu", "memory"]);
     assert!(host.calls_dependency && host.readiness_follows_health && !host.authenticates_callers);
     assert_eq!((host.tick.as_ms(), host.result_sharing.as_ms(), host.linger.as_ms()), (2.0, 6.0, 8.0));
-    assert_eq!((host.job_class("b"), host.job_class("c"), host.serves()), (Some((1, true)), None, true));
+    assert_eq!(host.job_class("b"), Some(JobClassSlot { slot: 1, in_use: true }));
+    assert_eq!((host.job_class("c"), host.serves()), (None, true));
 }
--- a/crates/hazelgrade-settings/tests/slots.rs
+++ b/crates/hazelgrade-settings/tests/slots.rs
@@ -1,7 +1,7 @@
 //! Slots of names that come and go.
 
 use hazelgrade::time::{Span, Time};
-use hazelgrade_settings::slots::{NameRequest, Slots};
+use hazelgrade_settings::slots::{NameRequest, SlotName, Slots};
 
 fn at(ms: f64) -> Time {
     Time::from_ms(ms)
@@ -18,7 +18,7 @@
     assert_eq!((first.slot_of_name.as_slice(), first.reused.as_slice()), ([0, 1].as_slice(), [].as_slice()));
     let second = first.slots.assign(at(10.0), &requests(&["b", "c"]), 3, idle).expect("room");
     assert_eq!(second.slot_of_name, [1, 2]);
-    assert_eq!(second.slots.name(0), Some(("a", false)));
+    assert_eq!(second.slots.name(0), Some(SlotName { name: "a", in_use: false }));
     // All slots are in use or in quarantine.
     assert!(second.slots.assign(at(20.0), &requests(&["b", "c", "d"]), 3, idle).is_err());
     // Back in time, it has its slot again; no slot has another name.
--- a/crates/hazelgrade-simulator-adapter/src/batch.rs
+++ b/crates/hazelgrade-simulator-adapter/src/batch.rs
@@ -1,4 +1,4 @@
-//! A batch of lines: its events go to the instances that they name, and each instance holds one round.
+//! A batch of lines: its events go to the instances that they name, and each of these runs one round.
 
 use crate::error::{BatchError, LineError};
 use crate::events::{self, Instance, Message};
@@ -20,21 +20,21 @@
     rest: &'a str,
 }
 
-/// The instances by number; one that crashed and was not launched again stays as `None`.
+/// The instances by number; `None` for one that crashed and was not launched again.
 #[derive(Default)]
 pub struct Instances(BTreeMap<u64, Option<Instance>>);
 
 /// The events of a batch by instance.
 #[derive(Default)]
 struct Batch<'a> {
-    /// The instances in the order in which the batch names them.
+    /// The instances in the order of their first line in the batch.
     order: Vec<u64>,
     pending: BTreeMap<u64, Vec<PendingEvent<'a>>>,
 }
 
 impl Instances {
-    /// Answers one batch into `reply`. Events go to their instance in the order in which they came; a crash wipes what came
-    /// before it for that instance, and a launch starts a new one in its place.
+    /// Answers one batch into `reply`. Each instance gets its events in order. A crash drops the earlier events of that
+    /// instance, and a launch replaces it by a new one.
     pub fn answer(&mut self, text: &str, reply: &mut String) -> Result<(), BatchError> {
         let mut lines = text.lines().enumerate();
         let head = lines.next().map_or("", |(_, line)| line);
@@ -87,7 +87,7 @@
         Ok(())
     }
 
-    /// One round of an instance; one that crashed hears nothing.
+    /// One round of an instance; nothing happens if it crashed.
     fn round(
         &mut self,
         now: Time,
@@ -112,7 +112,7 @@
     }
 }
 
-/// Decodes the head of a batch, which tells the time.
+/// Decodes the head of a batch, which carries the time.
 fn decode_head(line: &str) -> Result<Time, LineError> {
     let mut fields = Fields::new(line);
     if fields.text("message")? != "sync" {
--- a/crates/hazelgrade-simulator-adapter/src/error.rs
+++ b/crates/hazelgrade-simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with the input.
+//! Errors of the input.
 
 use hazelgrade_settings::SettingsError;
 use std::io;
@@ -7,10 +7,10 @@
 /// What is wrong with one line.
 #[derive(Debug, Error)]
 pub enum LineError {
-    /// A field has not the expected form.
+    /// A field doesn't have the expected form.
     #[error("field {field}: expected {expected}")]
     Field { field: &'static str, expected: &'static str },
-    /// The line is none of the protocol's messages.
+    /// The line is not one of the protocol's messages.
     #[error("field message: expected a known message name, found {0:?}")]
     UnknownMessage(String),
     /// The settings of a launch are wrong; the text names the field.
@@ -19,20 +19,20 @@
 }
 
 impl LineError {
-    /// The error of a field that has not the expected form.
+    /// The error of a field that doesn't have the expected form.
     pub fn field<T>(field: &'static str, expected: &'static str) -> Result<T, LineError> {
         Err(LineError::Field { field, expected })
     }
 }
 
-/// What is wrong with a line of a batch, counted from the batch's first.
+/// What is wrong with a line of a batch; `offset` is counted from the batch's first line.
 #[derive(Debug)]
 pub struct BatchError {
     pub offset: usize,
     pub error: LineError,
 }
 
-/// Why the adapter ends before its input does.
+/// Why the adapter stops before the end of its input.
 #[derive(Debug, Error)]
 pub enum AdapterError {
     #[error("line {line}: {error}")]
--- a/crates/hazelgrade-simulator-adapter/src/events.rs
+++ b/crates/hazelgrade-simulator-adapter/src/events.rs
@@ -8,12 +8,12 @@
 use hazelgrade_settings::DecodedSettings;
 use serde_json::Value;
 
-/// Bit of a job's options: its cost is told.
-const COST_TOLD: u64 = 1;
-/// Bit of a job's options: it is marked as a retry.
-const MARKED_RETRY: u64 = 2;
+/// Bit of a job's options: its cost is stated.
+const HAS_COST: u64 = 1;
+/// Bit of a job's options: it is a retry.
+const IS_RETRY: u64 = 2;
 
-/// What a line is about, by the message name that it begins with.
+/// The kind of a line, from the message name that it begins with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Message {
     Launch,
@@ -44,7 +44,7 @@
     }
 }
 
-/// How many job classes and tenants an instance was launched with: indexes must lie within.
+/// How many job classes and tenants an instance was launched with, to check indexes against.
 #[derive(Clone, Copy, Debug)]
 pub struct Counts {
     job_classes: usize,
@@ -69,7 +69,7 @@
     Ok(Instance { controller, counts })
 }
 
-/// Decodes the rest of an event's line and tells the sink of it. Launches and crashes are not events of an instance.
+/// Decodes the rest of an event's line and passes the event to the sink. Launches and crashes are handled elsewhere.
 pub fn deliver(
     message: Message,
     fields: &mut Fields,
@@ -153,10 +153,10 @@
         tenant,
         received_at: now - unread,
         caller_deadline: (deadline_ms != 0.0).then(|| Time::from_ms(deadline_ms)),
-        expected_work: (options & COST_TOLD != 0).then(|| Span::from_ms(cost_ms)),
+        expected_work: (options & HAS_COST != 0).then(|| Span::from_ms(cost_ms)),
         queued_kb,
         priority_rank,
-        is_retry: options & MARKED_RETRY != 0,
+        is_retry: options & IS_RETRY != 0,
         retry_of,
         from_known_caller: true,
         over_caller_limit: false,
@@ -164,7 +164,7 @@
     })
 }
 
-/// Checks the form of all gauges and picks the ratio of the cores in use, where it is among them.
+/// Checks the form of all gauges; returns the ratio of the cores in use if it is among them.
 fn decode_cores_used(gauges: &str) -> Result<Option<f64>, LineError> {
     let mut cores_used = None;
     for gauge in gauges.split(',').filter(|gauge| !matches!(*gauge, "" | "-")) {
--- a/crates/hazelgrade-simulator-adapter/src/fields.rs
+++ b/crates/hazelgrade-simulator-adapter/src/fields.rs
@@ -1,15 +1,15 @@
-//! The fields of a line, separated by tabs and taken one after the other.
+//! The fields of a line, separated by tabs and read one after the other.
 
 use crate::error::LineError;
 use hazelgrade::api::{JobId, Outcome};
 use hazelgrade::time::{Span, Time};
 
-/// The greatest magnitude of a number.
+/// Numbers must be smaller than this in magnitude.
 const MAX_MAGNITUDE: f64 = 1e15;
 /// The greatest whole number.
 const MAX_WHOLE: u64 = 1 << 63;
 
-/// The fields of a line that are still to be taken.
+/// The fields of a line that were not read yet.
 pub struct Fields<'a> {
     rest: Option<&'a str>,
 }
@@ -90,7 +90,7 @@
         })
     }
 
-    /// Nothing may be left of the line.
+    /// Checks that nothing is left of the line.
     pub fn end(&self) -> Result<(), LineError> {
         if self.rest.is_some() {
             return LineError::field("after the last one", "the end of the line");
--- a/crates/hazelgrade-simulator-adapter/src/main.rs
+++ b/crates/hazelgrade-simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts many instances of the controller on the simulator's line protocol: batches of events in on standard input,
-//! decisions out on standard output. A malformed batch ends it with one line on standard error.
+//! Hosts many instances of the controller on the simulator's line protocol: reads batches of events from standard input
+//! and writes decisions to standard output. A malformed batch ends the program with one line on standard error.
 
 mod batch;
 mod error;
@@ -43,7 +43,7 @@
     }
 }
 
-/// Reads one batch up to the line that ends it; `false` where the input has ended before.
+/// Reads one batch up to the line that ends it; returns `false` if the input ended before the batch began.
 fn read_batch(
     input: &mut impl BufRead,
     batch: &mut String,
--- a/crates/hazelgrade-simulator-adapter/src/reply.rs
+++ b/crates/hazelgrade-simulator-adapter/src/reply.rs
@@ -60,7 +60,8 @@
     }
 
     fn publish_health(&mut self, healthy: bool, from_store: bool) {
-        let (from_store, healthy) = (u8::from(from_store), u8::from(healthy));
+        let from_store = u8::from(from_store);
+        let healthy = u8::from(healthy);
         self.line("set_health", "", format_args!("{from_store}\t{healthy}"));
     }
 
--- a/crates/hazelgrade-store/src/error.rs
+++ b/crates/hazelgrade-store/src/error.rs
@@ -21,13 +21,13 @@
     /// Another process has it open.
     #[error("another process has it open")]
     InUse,
-    /// There is no room on the disk, or no quota.
+    /// The disk or the quota is full.
     #[error("the disk is full")]
     DiskFull,
-    /// The file is no store, or is damaged.
+    /// The file is not a store, or is damaged.
     #[error("it can't be read as a store: {0}")]
     Corrupt(String),
-    /// The system refused an operation.
+    /// The operating system reported an error.
     #[error("{0}")]
     Io(String),
     /// A value is longer than [`MAX_VALUE_BYTES`].
@@ -62,7 +62,7 @@
     }
 }
 
-/// Errors of one step of redb, by way of its common error type.
+/// Converts the errors of redb's operations by way of its common error type.
 macro_rules! from_step {
     ($($step:ty),*) => {
         $(impl From<$step> for StoreError {
--- a/crates/hazelgrade-store/src/killing_file.rs
+++ b/crates/hazelgrade-store/src/killing_file.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counts writes, changes of length and syncs, over all times that the file is opened, and says when to kill.
+/// Counts changes (writes, changes of length and syncs) across reopenings of the file, and decides when to kill.
 #[derive(Clone, Debug)]
 pub struct KillSwitch {
     changes: Arc<AtomicU64>,
@@ -35,7 +35,7 @@
 }
 
 impl KillingFile {
-    /// Locks the file.
+    /// Locks the file and counts its changes.
     ///
     /// # Errors
     /// As redb's [`FileBackend`].
@@ -67,7 +67,7 @@
         if self.switch.is_due() { kill_this_process() } else { self.file.sync_data() }
     }
 
-    /// The write at which the process is killed is done by half.
+    /// If the process is killed at this write, half of it is done first.
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), Error> {
         if self.switch.is_due() {
             self.file.write(offset, &data[..data.len() / 2])?;
--- a/crates/hazelgrade-store/src/lib.rs
+++ b/crates/hazelgrade-store/src/lib.rs
@@ -1,8 +1,9 @@
 //! A small durable store: named values in one file on redb, changed together or not at all.
 //!
-//! A store belongs to one owner and has a format version. One of another owner or of a newer format is refused with its
-//! reason and left as it is. A write that fails leaves the values as they were. [`simulated_disk`] has storage that
-//! crashes, tears writes, loses them and fills up by plan, for tests.
+//! A store belongs to one owner and has a format version. A store of another owner or a newer format is rejected with a
+//! reason and left as it is. A write that fails leaves the values as they were, or, if only its last step failed, as
+//! after all of its changes. [`simulated_disk`] is storage for tests that crashes, tears or loses writes, and fills up
+//! as planned.
 #![warn(missing_docs)]
 
 mod error;
@@ -18,10 +19,10 @@
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 
-/// The format version that this program writes; a store with a greater one was written by a newer program.
+/// The format version that this program writes; a greater one was written by a newer program.
 pub const FORMAT_VERSION: u64 = 1;
 
-/// The longest value, in bytes: two of the longest documents and what belongs to them.
+/// The longest value, in bytes: room for two of the longest documents, encoded, and their metadata.
 pub const MAX_VALUE_BYTES: usize = 8 * 1024 * 1024;
 
 /// Pages cached in memory, in bytes. Values are small and read only at a start.
@@ -41,7 +42,7 @@
 pub struct Store {
     open_database: OpenDatabase,
     owner: String,
-    /// `None` after a failed write, as redb refuses all further ones; it is opened anew for the next operation.
+    /// `None` after a failed write, as redb then refuses further ones; the next operation reopens it.
     database: Option<Database>,
 }
 
@@ -63,11 +64,11 @@
         create_if_missing(path, owner)?;
         let path = path.to_owned();
         let open_database = move || create_database(&path);
-        Store::open_by(Box::new(open_database), owner)
+        Store::open_with(Box::new(open_database), owner)
     }
 
     /// Opens the store in a file; the process kills itself at change number `kill_at` of the file, from 0. For tests of
-    /// what survives.
+    /// crashes.
     ///
     /// # Errors
     /// As [`Store::open`].
@@ -80,10 +81,10 @@
             let backend = KillingFile::new(file, switch.clone())?;
             create_database_on(backend)
         };
-        Store::open_by(Box::new(open_database), owner)
+        Store::open_with(Box::new(open_database), owner)
     }
 
-    /// Opens a store on any storage; `storage` is called again when the store is opened anew after a failed write.
+    /// Opens a store on any storage; `storage` is called again when the store is reopened after a failed write.
     ///
     /// # Errors
     /// As [`Store::open`].
@@ -92,15 +93,16 @@
         owner: &str,
     ) -> Result<Store, StoreError> {
         let open_database = move || create_database_on(storage());
-        Store::open_by(Box::new(open_database), owner)
+        Store::open_with(Box::new(open_database), owner)
     }
 
-    fn open_by(open_database: OpenDatabase, owner: &str) -> Result<Store, StoreError> {
+    fn open_with(open_database: OpenDatabase, owner: &str) -> Result<Store, StoreError> {
         let mut store = Store { open_database, owner: owner.to_owned(), database: None };
         store.database()?;
         Ok(store)
     }
 
+    /// The database, reopened after a failed write.
     fn database(&mut self) -> Result<&Database, StoreError> {
         if self.database.is_none() {
             let database = (self.open_database)()?;
@@ -110,7 +112,7 @@
         self.database.as_ref().ok_or_else(|| StoreError::Io("it is closed".into()))
     }
 
-    /// Writes format and owner to a new store, before any value.
+    /// Checks format and owner; in a new store, writes them before any value.
     fn check_format_and_owner(&self, database: &Database) -> Result<(), StoreError> {
         let format = read(database, ABOUT, FORMAT_KEY)?;
         let owner = read(database, ABOUT, OWNER_KEY)?;
@@ -143,7 +145,7 @@
         read(self.database()?, VALUES, name)
     }
 
-    /// Makes all of the changes or none; when it returns they are on the disk.
+    /// Makes all of the changes or none; when it returns `Ok` they are on the disk.
     ///
     /// # Errors
     /// Any [`StoreError`]. The values are then as before, or, if the last step failed, as after all changes: never a
@@ -170,7 +172,7 @@
     Ok(Builder::new().set_cache_size(CACHE_BYTES).create_with_backend(backend)?)
 }
 
-/// Creates a new store beside its place and renames it: a crash meanwhile leaves no store, not a part of one.
+/// Creates a new store under a temporary name and renames it, so that a crash leaves either no store or a complete one.
 fn create_if_missing(path: &Path, owner: &str) -> Result<(), StoreError> {
     if path.try_exists()? {
         return Ok(());
@@ -180,11 +182,11 @@
     {
         let at: PathBuf = temporary.to_path_buf();
         let open_database = move || create_database(&at);
-        Store::open_by(Box::new(open_database), owner)?;
+        Store::open_with(Box::new(open_database), owner)?;
     }
     match temporary.persist_noclobber(path) {
         Ok(()) => Ok(File::open(folder).and_then(|folder| folder.sync_all())?),
-        // Another process was faster; its store stands.
+        // Another process was faster; its store is used.
         Err(error) if error.error.kind() == ErrorKind::AlreadyExists => Ok(()),
         Err(error) => Err(error.error.into()),
     }
--- a/crates/hazelgrade-store/src/simulated_disk.rs
+++ b/crates/hazelgrade-store/src/simulated_disk.rs
@@ -12,7 +12,7 @@
     pub crash_at: Option<u64>,
     /// This operation fails with an error and does nothing; the next ones work.
     pub fail_at: Option<u64>,
-    /// From this operation on the disk is full: those that need more room fail.
+    /// From this operation on the disk is full: operations that need more room fail.
     pub full_at: Option<u64>,
     /// Syncs report success and do nothing.
     pub ignore_syncs: bool,
@@ -72,8 +72,8 @@
         self.with_state(|state| state.crashed)
     }
 
-    /// The disk as it is found after a crash: all that was synced, and of each change that was not the part that
-    /// `surviving_ratio` gives, from 0 to 1. It is called once for each of them, in order.
+    /// The disk as it is after a crash: all synced bytes, and of each unsynced change the part that survived.
+    /// `surviving_ratio` is called once for each of these changes, in order, and returns that part, from 0 to 1.
     pub fn after_crash(&self, mut surviving_ratio: impl FnMut() -> f64) -> SimulatedDisk {
         self.with_state(|state| {
             let mut bytes = state.durable.clone();
@@ -91,7 +91,7 @@
         })
     }
 
-    /// Makes a change, unless the plan has it fail.
+    /// Makes a change, unless it fails by the plan.
     fn change(&self, needs_room: bool, make: impl FnOnce(&mut State)) -> Result<(), Error> {
         self.with_state(|state| {
             let operation = state.operations;
@@ -113,7 +113,7 @@
     }
 }
 
-/// Makes a change on bytes; of a write, the first `written` bytes.
+/// Applies a change to bytes; of a write, the first `written` bytes.
 fn apply(bytes: &mut Vec<u8>, change: &PendingChange, written: usize) {
     match change {
         PendingChange::Write { offset, data } => {
@@ -167,7 +167,7 @@
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), Error> {
         let offset = offset as usize;
         let grows = self.with_state(|state| offset + data.len() > state.visible.len());
-        // The write at which power fails may survive in part, like those before it that were not synced.
+        // The write at which power fails may survive in part, like unsynced writes before it.
         let crashes =
             self.with_state(|state| state.plan.crash_at == Some(state.operations) && !state.crashed);
         if crashes {
--- a/crates/hazelgrade-stream/src/client/mod.rs
+++ b/crates/hazelgrade-stream/src/client/mod.rs
@@ -156,7 +156,8 @@
         }
     }
 
-    /// Sends the next message that the node itself has to send, if the connection is open. Returns whether there was one.
+    /// Sends the next message that the node itself has to send, if the connection is open. Returns whether there was
+    /// one.
     fn send_host_message(&self) -> bool {
         let Some(write_queue) = self.write_queue() else { return false };
         let Some(message) = self.client.host.next_message() else { return false };
--- a/crates/hazelgrade-stream/src/lessor_service/mod.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/mod.rs
@@ -132,7 +132,8 @@
                 match action {
                     lessor::Action::Grant(to, grant) => send(to, &PublisherMessage::LeaseGrant(grant)),
                     lessor::Action::Nudge(to) => send(to, &PublisherMessage::RequestLeases),
-                    // This blocks for some milliseconds, at a start and when terms change; the requests that need it wait anyway.
+                    // This blocks for some milliseconds, at a start and when terms change; the requests that need it
+                    // wait anyway.
                     lessor::Action::Store(record) => {
                         let result = self.store.borrow_mut().write_record(&record);
                         events.push_back(lessor::Event::Stored(result));
--- a/crates/hazelgrade-stream/src/publisher/sessions.rs
+++ b/crates/hazelgrade-stream/src/publisher/sessions.rs
@@ -83,8 +83,8 @@
         lineage: Option<String>,
         actions: &mut Vec<Action>,
     ) {
-        // Only subscribers are limited, as each costs a document. Connections cost little, and an operator's request for
-        // the status is always answered.
+        // Only subscribers are limited, as each costs a document. Connections cost little, and an operator's request
+        // for the status is always answered.
         if let Err(delay) = self.admission.admit(now) {
             actions.push(Action::Send { connection, message: PublisherMessage::RetryAfter(delay) });
             actions.push(Action::Close { connection });
@@ -101,8 +101,8 @@
         self.offer(connection, actions);
     }
 
-    /// Closes the connection on which a node of this name subscribed before: either that connection is dead, or two nodes
-    /// share the name and the later one is served.
+    /// Closes the connection on which a node of this name subscribed before: either that connection is dead, or two
+    /// nodes share the name and the later one is served.
     fn close_earlier_session(&mut self, connection: ConnectionId, name: &str, actions: &mut Vec<Action>) {
         let Some(node) = self.nodes.get(name) else { return };
         let Some(earlier) = node.connection.filter(|earlier| *earlier != connection) else { return };
--- a/crates/hazelgrade-stream/src/subscriber/mod.rs
+++ b/crates/hazelgrade-stream/src/subscriber/mod.rs
@@ -175,8 +175,8 @@
         self.retry_storing(now, actions);
     }
 
-    /// Stops applying versions. The version in effect stays. One on trial neither passes nor fails; it is no longer stored
-    /// as on trial, so that the coming stop does not count as a crash.
+    /// Stops applying versions. The version in effect stays. One on trial neither passes nor fails; it is no longer
+    /// stored as on trial, so that the coming stop does not count as a crash.
     fn on_drain_started(&mut self, actions: &mut Vec<Action>) {
         self.draining = true;
         self.reject_waiting_as_draining(actions);
--- a/crates/hazelgrade-stream/src/subscriber/storage.rs
+++ b/crates/hazelgrade-stream/src/subscriber/storage.rs
@@ -7,8 +7,8 @@
 use hazelgrade::time::Time;
 
 impl Subscriber {
-    /// Writes the state now, or after the write in progress or the delay. Returns a ticket: every write with this ticket or
-    /// a later one contains the state.
+    /// Writes the state now, or after the write in progress or the delay. Returns a ticket: every write with this
+    /// ticket or a later one contains the state.
     pub(super) fn store(&mut self, actions: &mut Vec<Action>) -> u64 {
         let write = self.writes.request();
         if write.begins_now {
@@ -43,7 +43,8 @@
         actions.push(Action::Log(format!("the configuration can't be stored: {reason}")));
         self.writes.delay_retry(now);
         if let Some(Candidate { stage: Stage::Storing(_), .. }) = &self.candidate {
-            // It is not known to be stored as on trial, so a crash with it might not be recognized: it doesn't take effect.
+            // It is not known to be stored as on trial, so a crash with it might not be recognized: it doesn't take
+            // effect.
             self.reject_candidate(Rejection::NotStored(reason), actions);
             self.take_up_waiting(actions);
         }
--- a/crates/hazelgrade-stream/src/trial.rs
+++ b/crates/hazelgrade-stream/src/trial.rs
@@ -9,8 +9,8 @@
 pub const SAMPLES_PER_SPAN: f64 = 20.0;
 /// The most samples that a baseline holds.
 const MAX_BASELINE_SAMPLES: usize = 4 * SAMPLES_PER_SPAN as usize;
-/// A fall counts once it exceeds this many standard errors of the difference. As a trial is judged at each of its twenty
-/// samples, three would roll back one in some hundreds of the versions that do as well as the one before.
+/// A fall counts once it exceeds this many standard errors of the difference. As a trial is judged at each of its
+/// twenty samples, three would roll back one in some hundreds of the versions that do as well as the one before.
 const SIGNIFICANT_STANDARD_ERRORS: f64 = 4.0;
 /// A trial fails after this many samples in a row without a connection to the executor: broken connections come back
 /// within one or two.
@@ -132,7 +132,8 @@
         if now >= self.ends_at() { Verdict::Passed } else { Verdict::Undecided }
     }
 
-    /// How the ratio of jobs that succeed fell, if it fell by more than the rules allow and by more than chance explains.
+    /// How the ratio of jobs that succeed fell, if it fell by more than the rules allow and by more than chance
+    /// explains.
     fn fall_in_success(&self) -> Option<String> {
         let before = self.before;
         let during = self.during;
--- a/crates/hazelgrade/src/call_limiter.rs
+++ b/crates/hazelgrade/src/call_limiter.rs
@@ -1,6 +1,6 @@
 //! The mechanism of the service: a semaphore bounds the calls in flight to the dependency, and further calls wait in a
-//! short bounded queue. While the queue is full, new jobs that call are rejected at arrival; a call that has waited past its
-//! budget is dropped.
+//! short bounded queue. While the queue is full, new jobs that call are rejected at arrival; a call that has waited
+//! past its budget is dropped.
 //!
 //! The number of permits adapts to how long calls take; the queue's capacity follows from how many calls get through
 //! while one may wait.
--- a/crates/hazelgrade/src/controller/admission.rs
+++ b/crates/hazelgrade/src/controller/admission.rs
@@ -10,7 +10,8 @@
 const RETRY_GAP_RATIO: f64 = 0.05;
 
 impl Controller {
-    /// Decides on a job that was just read: it waits for the job that it repeats, is given up, or stays in the run queue.
+    /// Decides on a job that was just read: it waits for the job that it repeats, is given up, or stays in the run
+    /// queue.
     pub(super) fn admit(&mut self, now: Time, id: &JobId, decisions: &mut dyn Decisions) {
         if !self.admit_keyed(now, id, decisions) {
             return;
--- a/crates/hazelgrade/src/controller/calls.rs
+++ b/crates/hazelgrade/src/controller/calls.rs
@@ -13,8 +13,8 @@
 const MIN_CALL_TIME_RATIO: f64 = 0.5;
 
 impl Controller {
-    /// A run has come to a call: queues the call, or goes without it if the queue is full, the time for the call is over
-    /// or it must not be attempted again.
+    /// A run has come to a call: queues the call, or goes without it if the queue is full, the time for the call is
+    /// over or it must not be attempted again.
     pub(super) fn queue_call(&mut self, now: Time, id: &JobId, decisions: &mut dyn Decisions) {
         let Some(tracked) = self.jobs.unanswered(id) else { return };
         let time_budget = self.call_time_budget(now, tracked);
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Skips queued calls that may be skipped and have too little time left. If no call is in flight, the newest of them
-    /// stays queued: otherwise after one slow call none would ever be made again.
+    /// Skips queued calls that may be skipped and have too little time left. If no call is in flight, the newest of
+    /// them stays queued: otherwise after one slow call none would ever be made again.
     pub(super) fn skip_late_calls(&mut self, now: Time, decisions: &mut dyn Decisions) {
         let queued = self.jobs.select(|tracked| {
             tracked.stage == Stage::AwaitingCallPermit && tracked.class.weight_ratio_without_call > 0.0
--- a/crates/hazelgrade/src/controller/mod.rs
+++ b/crates/hazelgrade/src/controller/mod.rs
@@ -1,8 +1,8 @@
 //! The controller: decides for one server which jobs it admits, runs and rejects.
 //!
-//! The host calls [`Controller::round`] once per batch: a closure reports the events to the [`EventSink`], in order, then
-//! the controller writes its decisions to a [`Decisions`] sink. This file shows the order of the rules; each rule has its
-//! own module:
+//! The host calls [`Controller::round`] once per batch: a closure reports the events to the [`EventSink`], in order,
+//! then the controller writes its decisions to a [`Decisions`] sink. This file shows the order of the rules; each rule
+//! has its own module:
 //!
 //! | rule | module |
 //! | --- | --- |
--- a/crates/hazelgrade/src/controller/reporting.rs
+++ b/crates/hazelgrade/src/controller/reporting.rs
@@ -50,8 +50,8 @@
         self.retry_rate.requests(now) * signals / self.callers.count
     }
 
-    /// Sets a timer for the next thing that is due without an event: a job becomes worthless, a permit may become free, or
-    /// the load signal is to be updated.
+    /// Sets a timer for the next thing that is due without an event: a job becomes worthless, a permit may become free,
+    /// or the load signal is to be updated.
     pub(super) fn set_timer(&mut self, now: Time, decisions: &mut dyn Decisions) {
         let unanswered = self.jobs.iter().filter(|tracked| !tracked.answered);
         let worthless_from = unanswered.map(|tracked| self.worthless_from(tracked)).min();
--- a/crates/hazelgrade/src/controller/settings.rs
+++ b/crates/hazelgrade/src/controller/settings.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 
 impl Controller {
-    /// Replaces the job classes, tenants and limits between two rounds. What was learned stays with its index, except for
-    /// indexes that are reset; jobs in flight keep the class that they arrived with.
+    /// Replaces the job classes, tenants and limits between two rounds. What was learned stays with its index, except
+    /// for indexes that are reset; jobs in flight keep the class that they arrived with.
     ///
     /// Classes and tenants may be added at the end. None may be removed, as a job in flight may refer to it: with fewer
     /// than before nothing changes and the result is `false`.
--- a/crates/hazelgrade/src/deduplication.rs
+++ b/crates/hazelgrade/src/deduplication.rs
@@ -54,7 +54,8 @@
         self.records.values().filter(|record| record.expires > now).count() as f64
     }
 
-    /// Records a job until `expires`. A retry may wait unread, so the record can be referred to for `max_unread` longer.
+    /// Records a job until `expires`. A retry may wait unread, so the record can be referred to for `max_unread`
+    /// longer.
     pub fn insert(&mut self, now: Time, job: &Job, expires: Time, max_unread: Span) {
         let record = Record {
             expires,
--- a/crates/hazelgrade/src/health.rs
+++ b/crates/hazelgrade/src/health.rs
@@ -33,7 +33,8 @@
     /// Whether the server lags and may be unlisted; `mean_unread` is how long jobs wait unread on average.
     ///
     /// The lag must have lasted for the target wait: a process that was paused reads all that waited in one go and is
-    /// as quick as ever then. If many that were paused together were unlisted, their callers would find no other server.
+    /// as quick as ever then. If many that were paused together were unlisted, their callers would find no other
+    /// server.
     pub fn is_lagging(&self, now: Time, mean_unread: Span, timescales: &Timescales) -> bool {
         let min_listed = timescales.shortest_objective * MIN_LISTED_OBJECTIVES;
         let listed_long_enough = self.unlisted_until.is_none_or(|until| now.since(until) > min_listed);
--- a/crates/hazelgrade/src/run_limiter.rs
+++ b/crates/hazelgrade/src/run_limiter.rs
@@ -93,7 +93,8 @@
     }
 
     /// The limit now. Reading shares the cores with the runs, and jobs that wait unread can be neither rejected nor
-    /// ordered. So the further their mean wait exceeds `target_unread`, the fewer jobs run, down to half a job per core.
+    /// ordered. So the further their mean wait exceeds `target_unread`, the fewer jobs run, down to half a job per
+    /// core.
     pub fn current_limit(&mut self, now: Time, target_unread: Span) -> f64 {
         let excess = self.unread.mean_or_zero(now) / target_unread;
         let reduced = self.limit / excess.max(1.0);
