--- a/crates/hazelgrade-budget/src/lease_holder/lease.rs
+++ b/crates/hazelgrade-budget/src/lease_holder/lease.rs
@@ -108,8 +108,8 @@
         self.usage.in_use.saturating_sub(self.unleased)
     }
 
-    /// Whether the lease is to be kept although its budget no longer binds the node.
-    pub(super) fn has_something(&self, now: Time) -> bool {
+    /// Whether the node has units of the budget, so that the lease stays although the budget no longer binds the node.
+    pub(super) fn has_units(&self, now: Time) -> bool {
         self.unleased > 0 || self.usage.in_use > 0 || self.expires_at.is_some_and(|at| at > now)
     }
 
@@ -143,7 +143,7 @@
         wants_more || freed_excess
     }
 
-    /// What a request says of this budget. A draining node gives up what it does not use.
+    /// The line of a request for this budget. A draining node gives up what it does not use.
     pub(super) fn request_line(&mut self, now: Time, budget: &str, draining: bool) -> RequestLine {
         if draining {
             self.units = self.units.min(self.leased_in_use());
--- a/crates/hazelgrade-budget/src/lease_holder/mod.rs
+++ b/crates/hazelgrade-budget/src/lease_holder/mod.rs
@@ -95,7 +95,7 @@
         for budget in budgets.iter().take(MAX_LINES) {
             self.leases.entry(budget.clone()).or_default();
         }
-        self.leases.retain(|budget, lease| budgets.contains(budget) || lease.has_something(now));
+        self.leases.retain(|budget, lease| budgets.contains(budget) || lease.has_units(now));
         self.next_request_at = now;
     }
 
--- a/crates/hazelgrade-budget/src/lessor/book.rs
+++ b/crates/hazelgrade-budget/src/lessor/book.rs
@@ -22,7 +22,7 @@
     pub(super) demand_at: Time,
     /// When the lease and all that was begun under it are certainly over.
     pub(super) expires_at: Time,
-    /// Units that the latest division gives it.
+    /// Its units by the latest division.
     pub(super) target: Units,
     /// Since when it wants units and has none.
     pub(super) starved_since: Option<Time>,
@@ -173,7 +173,7 @@
         expired
     }
 
-    /// Books what a holder's request says; returns whether the holder is new, or changed by enough to divide anew.
+    /// Books what a holder's request says; returns whether the holder is new, or changed by enough to divide again.
     pub(super) fn record_request(
         &mut self,
         now: Time,
@@ -224,6 +224,6 @@
 pub(super) struct RecordedRequest {
     /// Whether the holder had no lease of this budget before.
     pub(super) is_new: bool,
-    /// Whether its demand, what it holds or its state changed by enough to divide anew.
+    /// Whether its demand, what it holds or its state changed by enough to divide again.
     pub(super) changed: bool,
 }
--- a/crates/hazelgrade-budget/src/lessor/division.rs
+++ b/crates/hazelgrade-budget/src/lessor/division.rs
@@ -1,4 +1,4 @@
-//! When and how a budget is divided anew among its lease holders.
+//! When and how a budget is divided among its lease holders.
 
 use super::HolderId;
 use super::book::{BudgetBook, Lease};
@@ -56,7 +56,7 @@
         self.terms.lease * (1.0 / MAX_DIVISIONS_PER_LEASE)
     }
 
-    /// Requests that the budget is divided anew as soon as the interval between divisions allows.
+    /// Requests that the budget is divided again as soon as the interval between divisions allows.
     pub(super) fn request_division(&mut self) {
         self.division_requested = true;
     }
--- a/crates/hazelgrade-budget/src/lessor/mod.rs
+++ b/crates/hazelgrade-budget/src/lessor/mod.rs
@@ -283,8 +283,8 @@
         }
     }
 
-    /// Removes leases that are over, divides anew where that is due, and nudges holders that are to return units or can
-    /// have more.
+    /// Removes leases that are over, divides budgets again where that is due, and nudges holders that are to return
+    /// units or can have more.
     fn settle(&mut self, now: Time, actions: &mut Vec<Action>) {
         let mut log = Vec::new();
         let mut to_nudge = BTreeSet::new();
--- a/crates/hazelgrade-budget/src/lessor/report.rs
+++ b/crates/hazelgrade-budget/src/lessor/report.rs
@@ -55,7 +55,7 @@
     /// Units wanted, by its latest request.
     #[serde(rename = "wants")]
     pub wanted: Units,
-    /// Units that the latest division gives it.
+    /// Its units by the latest division.
     pub target: Units,
     /// Units that it may use without a lease.
     #[serde(rename = "alone")]
--- a/crates/hazelgrade-budget/src/lessor/requests.rs
+++ b/crates/hazelgrade-budget/src/lessor/requests.rs
@@ -178,7 +178,7 @@
         line.held.min(booked)
     }
 
-    /// Divides anew if a holder is new or changed. For a new one that comes too soon after a division, the target is
+    /// Divides again if a holder is new or changed. For a new one that comes too soon after a division, the target is
     /// its minimum share.
     fn update_target(&mut self, now: Time, id: &HolderId, recorded: RecordedRequest, gets_nothing: bool) {
         if recorded.is_new || recorded.changed {
--- a/crates/hazelgrade-budget/src/lib.rs
+++ b/crates/hazelgrade-budget/src/lib.rs
@@ -1,5 +1,5 @@
-//! Fleet-wide budgets: a total that is divided among the instances of a fleet, and divided anew as they come and
-//! go. At no instant may what all of them can use exceed the total.
+//! Fleet-wide budgets: a total that is divided among the instances of a fleet, and divided again as instances
+//! start and stop. At no instant may what all of them can use exceed the total.
 //!
 //! Nothing here does input or output: callers pass in the time and what arrived, and carry out the returned actions.
 //!
--- a/crates/hazelgrade-budget/src/ownership/mod.rs
+++ b/crates/hazelgrade-budget/src/ownership/mod.rs
@@ -10,7 +10,7 @@
 //! site that owns more than its share takes the units back from its lease holders first, and sends them once none
 //! of them is in use.
 //!
-//! A share that a document raises takes effect only when every other site goes by that document and is within its
+//! A share that a document raises takes effect only when every other site has that document in effect and is within its
 //! own share.
 
 mod commands;
@@ -54,7 +54,7 @@
     pub last_report: Option<Time>,
 }
 
-/// Other sites that have not reported since this site's start. What the store says may be an old copy until they do.
+/// Other sites that have not reported since this site's start. Until they do, the store may be an old copy.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not heard of since the start: {}", .sites.join(", "))]
 pub struct UnconfirmedSites {
@@ -118,8 +118,8 @@
         self.update_shares(actions);
     }
 
-    /// Applies the document's shares: lowered ones at once, raised ones when all other sites go by the document and are
-    /// within their own shares.
+    /// Applies the document's shares: lowered ones at once, raised ones when all other sites have the document in
+    /// effect and are within their own shares.
     fn update_shares(&mut self, actions: &mut Vec<Action>) {
         let agreed = self.ledger.surrendered == 0
             && self
--- a/crates/hazelgrade-config/src/document.rs
+++ b/crates/hazelgrade-config/src/document.rs
@@ -114,7 +114,7 @@
         self.digest
     }
 
-    /// The document in TOML, without comments; reading it gives the same document.
+    /// The document in TOML, without comments; reading it results in the same document.
     pub fn to_toml(&self) -> String {
         self.fields.to_toml()
     }
--- a/crates/hazelgrade-config/src/parse.rs
+++ b/crates/hazelgrade-config/src/parse.rs
@@ -37,7 +37,7 @@
 }
 
 impl ParsedText {
-    /// Parses a text; `file` is how errors name it. Text that is not TOML gives no values and one error.
+    /// Parses a text; `file` is how errors name it. Text that is not TOML results in no values and one error.
     pub fn parse(text: &str, file: &str) -> ParsedText {
         let later_lines =
             text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n').map(|(offset, _)| offset + 1);
--- a/crates/hazelgrade-identity/src/authenticator.rs
+++ b/crates/hazelgrade-identity/src/authenticator.rs
@@ -91,7 +91,7 @@
         self.replace_policy(policy, now)
     }
 
-    /// Resolves the policy's names of job classes and tenants to the node's indexes anew.
+    /// Resolves the policy's names of job classes and tenants to the node's current indexes.
     pub fn compile(&mut self, job_classes: &BTreeMap<&str, usize>, tenants: &BTreeMap<&str, usize>) {
         self.policy.compile(job_classes, tenants);
     }
--- a/crates/hazelgrade-identity/src/key.rs
+++ b/crates/hazelgrade-identity/src/key.rs
@@ -21,7 +21,7 @@
     Retiring,
     /// Nothing that it signed is accepted any more.
     Expired,
-    /// Revoked by the operators, whatever its times say.
+    /// Revoked by the operators, regardless of its times.
     Revoked,
 }
 
--- a/crates/hazelgrade-stream/src/control_service/counter_file.rs
+++ b/crates/hazelgrade-stream/src/control_service/counter_file.rs
@@ -15,7 +15,7 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The file is not valid JSON.
--- a/crates/hazelgrade-stream/src/control_service/mod.rs
+++ b/crates/hazelgrade-stream/src/control_service/mod.rs
@@ -68,7 +68,7 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// A stored counter can't be read.
@@ -79,7 +79,7 @@
     StoreCounter {
         /// The folder.
         folder: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The lessor can't start.
--- a/crates/hazelgrade-stream/src/control_service/operator_client.rs
+++ b/crates/hazelgrade-stream/src/control_service/operator_client.rs
@@ -20,7 +20,7 @@
     Connection {
         /// The control service.
         control_service: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The answer is not JSON.
--- a/crates/hazelgrade-stream/src/lessor_service/commands.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/commands.rs
@@ -22,22 +22,23 @@
             OperatorCommand::History => return Ok(self.history()),
             OperatorCommand::Move { id, to, budget, units } => {
                 let free = self.lessor.borrow().free(now, budget);
-                let mut owner = self.owner.borrow_mut();
-                let moved = owner.move_units(id, to, budget, *units, free, &mut actions);
+                let mut ownership = self.ownership.borrow_mut();
+                let moved = ownership.move_units(id, to, budget, *units, free, &mut actions);
                 moved.map(|outcome| outcome.to_string()).map_err(|error| error.to_string())
             }
             OperatorCommand::Retire { id, site } => {
-                let safe_from = self.safe_from(site);
-                let retired = self.owner.borrow_mut().retire(id, now, site, safe_from, &mut actions);
+                let safe_to_retire_at = self.safe_to_retire_at(site);
+                let retired =
+                    self.ownership.borrow_mut().retire(id, now, site, safe_to_retire_at, &mut actions);
                 retired.map(|outcome| outcome.to_string()).map_err(|error| error.to_string())
             }
             OperatorCommand::Open => {
                 self.lessor.borrow_mut().reopen(now);
-                self.owner.borrow_mut().confirm_all();
+                self.ownership.borrow_mut().confirm_all();
                 Ok("new grants begin when every lease is over that may have been given".to_owned())
             }
         };
-        self.perform_owner_actions(actions, send);
+        self.perform_ownership_actions(actions, send);
         if self.is_ledger_unsaved.get() {
             return Err(BudgetCommandError::NotStored);
         }
@@ -56,13 +57,13 @@
     fn status(&self) -> Value {
         let now = self.now();
         let lessor = self.lessor.borrow();
-        let owner = self.owner.borrow();
-        let sites = owner.peers().map(|PeerStatus { site, last_report }| {
+        let ownership = self.ownership.borrow();
+        let sites = ownership.peers().map(|PeerStatus { site, last_report }| {
             json!({
                 "site": site,
                 "heard_ms_ago": last_report.map(|at| now.since(at).as_ms()),
-                "safe_in_ms": self.safe_from(site).since(now).as_ms(),
-                "lost": owner.ledger().retired.get(site).is_some_and(|retired| !retired.readmitted),
+                "safe_in_ms": self.safe_to_retire_at(site).since(now).as_ms(),
+                "lost": ownership.ledger().retired.get(site).is_some_and(|retired| !retired.readmitted),
             })
         });
         json!({
--- a/crates/hazelgrade-stream/src/lessor_service/mod.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/mod.rs
@@ -46,7 +46,7 @@
 pub struct LessorService {
     started_at: Instant,
     lessor: RefCell<Lessor>,
-    owner: RefCell<Ownership>,
+    ownership: RefCell<Ownership>,
     store: RefCell<LessorStore>,
     /// Units that the site owns of each budget, by the ledger on the disk. While the current ledger is not stored, no
     /// more than these are leased out, and nothing is reported to other sites.
@@ -83,11 +83,11 @@
         let ledger = store.read_ledger()?;
         let started_at = Instant::now();
         let (lessor, first_action) = Lessor::new(Time::from_ms(0.0), record);
-        let owner = Ownership::new(&config.site, lessor.generation(), ledger);
+        let ownership = Ownership::new(&config.site, lessor.generation(), ledger);
         let service = LessorService {
             started_at,
             lessor: RefCell::new(lessor),
-            owner: RefCell::new(owner),
+            ownership: RefCell::new(ownership),
             store: RefCell::new(store),
             stored_units: RefCell::default(),
             is_ledger_unsaved: Cell::new(false),
@@ -146,7 +146,7 @@
     }
 
     /// Performs actions of the ownership, and passes to the lessor what the site owns then.
-    fn perform_owner_actions(
+    fn perform_ownership_actions(
         &self,
         actions: Vec<ownership::Action>,
         send: &mut impl FnMut(ConnectionId, &PublisherMessage),
@@ -165,12 +165,12 @@
             }
         }
         let (terms, owned) = {
-            let owner = self.owner.borrow();
-            (owner.terms().clone(), owner.owned_by_budget())
+            let ownership = self.ownership.borrow();
+            (ownership.terms().clone(), ownership.owned_by_budget())
         };
         let owned = self.limit_to_stored(owned);
         self.notify_lessor(lessor::Event::TermsChanged { terms, owned }, send);
-        let agreed = self.owner.borrow().confirmed();
+        let agreed = self.ownership.borrow().confirmed();
         self.notify_lessor(lessor::Event::OtherSites(agreed), send);
     }
 
@@ -213,8 +213,8 @@
         let longest = longest.unwrap_or(Span::ZERO);
         self.max_lease_and_use.set(longest * (1.0 + MAX_CLOCK_DRIFT_RATIO) * (1.0 + MAX_CLOCK_DRIFT_RATIO));
         let mut actions = Vec::new();
-        self.owner.borrow_mut().set_terms(version.digest.to_string(), terms, &mut actions);
-        self.perform_owner_actions(actions, send);
+        self.ownership.borrow_mut().set_terms(version.digest.to_string(), terms, &mut actions);
+        self.perform_ownership_actions(actions, send);
     }
 
     /// A lease holder requests leases.
@@ -264,7 +264,7 @@
     fn run_round(&self, send: &mut impl FnMut(ConnectionId, &PublisherMessage)) {
         let actions = self.send_units_to_sites();
         if !actions.is_empty() {
-            self.perform_owner_actions(actions, send);
+            self.perform_ownership_actions(actions, send);
         }
         self.report_to_sites();
         (self.metrics)(&self.lessor.borrow().report(self.now()));
--- a/crates/hazelgrade-stream/src/lessor_service/sites.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/sites.rs
@@ -33,8 +33,8 @@
         send: &mut impl FnMut(ConnectionId, &PublisherMessage),
     ) -> Option<SiteReport> {
         let mut actions = Vec::new();
-        self.owner.borrow_mut().on_report(self.now(), report, &mut actions);
-        self.perform_owner_actions(actions, send);
+        self.ownership.borrow_mut().on_report(self.now(), report, &mut actions);
+        self.perform_ownership_actions(actions, send);
         self.report_for(&report.from)
     }
 
@@ -44,19 +44,19 @@
             return None;
         }
         let lessor = self.lessor.borrow();
-        let owner = self.owner.borrow();
-        let budgets = owner.terms().keys();
+        let ownership = self.ownership.borrow();
+        let budgets = ownership.terms().keys();
         let overcommitted = budgets.clone().any(|name| lessor.overcommitted(name) > 0);
         let shortfalls = budgets.map(|name| (name.clone(), lessor.balance(name).shortfall)).collect();
-        Some(owner.report_to(site, overcommitted, &shortfalls))
+        Some(ownership.report_to(site, overcommitted, &shortfalls))
     }
 
     /// Sends recalled and free units to other sites; the returned actions are still to be performed.
     pub(super) fn send_units_to_sites(&self) -> Vec<ownership::Action> {
         let lessor = self.lessor.borrow();
         let now = self.now();
-        let mut owner = self.owner.borrow_mut();
-        let names: Vec<String> = owner.terms().keys().cloned().collect();
+        let mut ownership = self.ownership.borrow_mut();
+        let names: Vec<String> = ownership.terms().keys().cloned().collect();
         let free = names.iter().map(|name| {
             let units = lessor.free(now, name).min(lessor.balance(name).surplus);
             (name.clone(), units)
@@ -65,9 +65,9 @@
         let not_overcommitted: Vec<String> =
             names.iter().filter(|name| lessor.overcommitted(name) == 0).cloned().collect();
         let mut actions = Vec::new();
-        owner.send_units(&free, &not_overcommitted, &mut actions);
+        ownership.send_units(&free, &not_overcommitted, &mut actions);
         if self.is_ledger_unsaved.get() {
-            actions.push(ownership::Action::Store(owner.ledger().clone()));
+            actions.push(ownership::Action::Store(ownership.ledger().clone()));
         }
         actions
     }
@@ -83,9 +83,9 @@
 
     /// When nothing that a site leased out can be in use any more, if the site is gone: counted from its last
     /// report, or from the start of this lessor.
-    pub(super) fn safe_from(&self, site: &str) -> Time {
+    pub(super) fn safe_to_retire_at(&self, site: &str) -> Time {
         let longest = self.max_lease_and_use.get();
-        let since_report = self.owner.borrow().safe_to_retire_at(site, longest);
+        let since_report = self.ownership.borrow().safe_to_retire_at(site, longest);
         since_report.unwrap_or(Time::from_ms(0.0) + longest)
     }
 
--- a/crates/hazelgrade-stream/src/protocol/encode.rs
+++ b/crates/hazelgrade-stream/src/protocol/encode.rs
@@ -103,7 +103,7 @@
     }
 }
 
-/// The word that stands for a rejection on the wire.
+/// The code of a rejection on the wire.
 fn rejection_code(rejection: &Rejection) -> &'static str {
     match rejection {
         Rejection::Draining => "leaving",
--- a/crates/hazelgrade-stream/src/publisher/mod.rs
+++ b/crates/hazelgrade-stream/src/publisher/mod.rs
@@ -1,8 +1,8 @@
 //! The control service's side of streamed configuration, as a state machine: events and the time come in, actions go
 //! out.
 //!
-//! A version is numbered and its number is stored before any subscriber is offered it, so that no number ever
-//! stands for two documents. Each subscriber is offered the latest version once; its answer holds until there is
+//! A version is numbered and its number is stored before any subscriber is offered it, so that no number is ever used
+//! for two documents. Each subscriber is offered the latest version once; its answer holds until there is
 //! another version. A publisher that lost its counter skips the numbers that its subscribers know, but only before
 //! any of them has acknowledged a version in this run: after that a greater number means that another control service
 //! publishes under the same lineage. The publisher then offers nothing to that subscriber and logs it.
--- a/crates/hazelgrade-stream/src/subscriber/take_up.rs
+++ b/crates/hazelgrade-stream/src/subscriber/candidate.rs
@@ -25,7 +25,7 @@
         let Some(Candidate { stage: Stage::Applying, .. }) = &self.candidate else { return };
         if let Err(reason) = result {
             self.reject_candidate(Rejection::NotApplicable(reason), actions);
-            self.take_up_waiting(actions);
+            self.handle_waiting_offer(actions);
             return;
         }
         let trial = Trial::start(self.trial_rules, now, &self.baseline);
@@ -71,7 +71,7 @@
             Verdict::Passed => self.store_as_good(actions),
             Verdict::Failed(reason) => {
                 self.roll_back(reason, actions);
-                self.take_up_waiting(actions);
+                self.handle_waiting_offer(actions);
             }
         }
     }
@@ -120,7 +120,7 @@
         actions.push(Action::Log(format!("version {version} is good")));
         let message = SubscriberMessage::TrialEnded { version, failure: None };
         self.send_on(self.connection_count, message, actions);
-        self.take_up_waiting(actions);
+        self.handle_waiting_offer(actions);
     }
 }
 
--- a/crates/hazelgrade-stream/src/subscriber/mod.rs
+++ b/crates/hazelgrade-stream/src/subscriber/mod.rs
@@ -6,17 +6,17 @@
 //!
 //! 1. *checked* (`offers`): lineage, number, digest and document; a version rejected here changes nothing;
 //! 2. *stored* (`storage`): the store has it as on trial before it takes effect, so that a crash with it is recognized;
-//! 3. *on trial* (`take_up`): in effect and acknowledged; [`trial`](crate::trial) says whether it does well;
-//! 4. *ended* (`take_up`): stored as the last good version, or rolled back and reported with the reason.
+//! 3. *on trial* (`candidate`): in effect and acknowledged; [`trial`](crate::trial) decides whether it does well;
+//! 4. *ended* (`candidate`): stored as the last good version, or rolled back and reported with the reason.
 //!
 //! If versions are offered meanwhile, the latest of them waits.
 
+mod candidate;
 mod connection;
 mod event;
 mod offers;
 mod state;
 mod storage;
-mod take_up;
 mod write_schedule;
 
 pub use event::{Action, Event, InEffect};
--- a/crates/hazelgrade-stream/src/subscriber/offers.rs
+++ b/crates/hazelgrade-stream/src/subscriber/offers.rs
@@ -23,7 +23,7 @@
     pub(super) fn on_offer(&mut self, offer: Offer, actions: &mut Vec<Action>) {
         let Offer { nonce, version, .. } = offer;
         match self.check(&offer) {
-            Ok(Some(document)) => self.take_up(offer, document, actions),
+            Ok(Some(document)) => self.start_candidate(offer, document, actions),
             // The version is in effect already: the offer came twice, or its answer was lost.
             Ok(None) => {
                 let on_trial = self.candidate.is_some();
@@ -100,13 +100,13 @@
     }
 
     /// Begins to apply a version, or lets it wait until the candidate is done.
-    fn take_up(&mut self, offer: Offer, document: Document, actions: &mut Vec<Action>) {
+    fn start_candidate(&mut self, offer: Offer, document: Document, actions: &mut Vec<Action>) {
         if let Some(candidate) = &self.candidate {
             // Publishing the good document again means that the version on trial is to be rolled back at once.
             if matches!(candidate.stage, Stage::OnTrial(_)) && self.is_last_good(offer.version) {
                 self.roll_back(ROLLED_BACK_BY_PUBLISHER.into(), actions);
             } else {
-                self.let_wait(offer, actions);
+                self.queue_offer(offer, actions);
                 return;
             }
         }
@@ -115,7 +115,7 @@
         self.stored.latest_known = Some(version);
         if self.is_last_good(version) {
             self.renumber_last_good(nonce, version, document, actions);
-            self.take_up_waiting(actions);
+            self.handle_waiting_offer(actions);
             return;
         }
         self.stored.on_trial = Some(VersionOnTrial { version, text: document.to_toml() });
@@ -152,7 +152,7 @@
     }
 
     /// Replaces the waiting offer by a later one.
-    fn let_wait(&mut self, offer: Offer, actions: &mut Vec<Action>) {
+    fn queue_offer(&mut self, offer: Offer, actions: &mut Vec<Action>) {
         let by = offer.version;
         let replaced = self.waiting_offer.replace(offer).filter(|replaced| replaced.version != by);
         if let Some(replaced) = replaced {
@@ -161,7 +161,7 @@
     }
 
     /// Handles the waiting offer, if there is no candidate.
-    pub(super) fn take_up_waiting(&mut self, actions: &mut Vec<Action>) {
+    pub(super) fn handle_waiting_offer(&mut self, actions: &mut Vec<Action>) {
         if self.candidate.is_none()
             && let Some(offer) = self.waiting_offer.take()
         {
--- a/crates/hazelgrade-stream/src/subscriber/storage.rs
+++ b/crates/hazelgrade-stream/src/subscriber/storage.rs
@@ -46,7 +46,7 @@
             // It is not known to be stored as on trial, so a crash with it might not be recognized: it doesn't take
             // effect.
             self.reject_candidate(Rejection::NotStored(reason), actions);
-            self.take_up_waiting(actions);
+            self.handle_waiting_offer(actions);
         }
     }
 
--- a/crates/hazelgrade-stream/src/trial.rs
+++ b/crates/hazelgrade-stream/src/trial.rs
@@ -86,7 +86,7 @@
     Undecided,
     /// The version did well for the span of the trial.
     Passed,
-    /// The version failed; the text says how.
+    /// The version failed, for this reason.
     Failed(String),
 }
 
--- a/crates/hazelgrade/src/api/mod.rs
+++ b/crates/hazelgrade/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! The controller's interface: jobs and how they end, the settings it goes by, leases of calls, and the sink that
+//! The controller's interface: jobs and how they end, its settings, leases of calls, and the sink that
 //! takes its decisions. Nothing here decides.
 
 mod decisions;
--- a/crates/hazelgrade/src/api/settings.rs
+++ b/crates/hazelgrade/src/api/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that a controller goes by: job classes, tenants, the machine, the service's limits, the dependency and
+//! The settings of a controller: job classes, tenants, the machine, the service's limits, the dependency and
 //! its callers.
 
 use crate::time::Span;
@@ -131,7 +131,7 @@
     pub count: f64,
     /// What they do with the load signal.
     pub signal: LoadSignal,
-    /// How long they go by a load signal.
+    /// How long a load signal is valid for them.
     pub signal_lifetime: Span,
     /// The longest retry-after that they heed.
     pub max_retry_after: Span,
--- a/crates/hazelgrade/src/call_limiter.rs
+++ b/crates/hazelgrade/src/call_limiter.rs
@@ -125,7 +125,7 @@
 
     fn adjust_permits(&mut self, now: Time) {
         let initial = self.dependency.max_calls.unwrap_or(DEFAULT_PERMITS);
-        // A mean over fewer calls than the initial permits says little.
+        // A mean over few calls is not meaningful.
         let is_meaningful = self.latency.sample_count(now) >= initial.max(DEFAULT_PERMITS);
         let Some(mean_ms) = self.latency.mean(now).map(Span::as_ms).filter(|_| is_meaningful) else { return };
         let drift = 1.0 + BEST_LATENCY_DRIFT / self.permits;
--- a/crates/hazelgrade/src/deadline.rs
+++ b/crates/hazelgrade/src/deadline.rs
@@ -42,7 +42,7 @@
 /// Until when a call is waited for. While calls are slow, one that may be left out is waited for only as long as leaves
 /// time to finish the run without it: up to `mean_core_time` earlier.
 ///
-/// `latency_excess` says how much slower calls are than at best, 0 for not at all to 1 for twice as slow or more.
+/// `latency_excess` is how much slower calls are than at their best, from 0 (not at all) to 1 (twice as slow or more).
 pub(crate) fn call_deadline(
     class: &JobClass,
     worthless_from: Time,
@@ -53,8 +53,8 @@
     worthless_from - mean_core_time * excess
 }
 
-/// How long a call of this job may take in all, which the call queue's wait budget and capacity go by: no longer than
-/// an answer is worth anything.
+/// How long a call of this job may take in all, which determines the call queue's wait budget and capacity: the time
+/// until its caller stops waiting or its answer is worth nothing, whichever is shorter.
 pub(crate) fn call_time_budget(tracked: &TrackedJob, now: Time, worthless_from: Time) -> Span {
     let caller_waits = tracked
         .job
--- a/crates/hazelgrade/src/deduplication.rs
+++ b/crates/hazelgrade/src/deduplication.rs
@@ -44,7 +44,7 @@
         self.records.retain(|_, record| record.removed_at > now);
     }
 
-    /// Whether a record of this job is kept.
+    /// Whether there is a record of this job.
     pub fn contains(&self, id: &JobId) -> bool {
         self.records.contains_key(id)
     }
--- a/crates/hazelgrade/src/random.rs
+++ b/crates/hazelgrade/src/random.rs
@@ -17,7 +17,7 @@
 }
 
 impl MultiplyWithCarry {
-    /// A generator for this seed; seeds that lie close together give unrelated sequences.
+    /// A generator for this seed; similar seeds give unrelated sequences.
     pub fn new(seed: u64) -> MultiplyWithCarry {
         let value = seed as u32 ^ 0x5bd1_e995;
         // The carry is above 0 and below the multiplier, as the generator requires.
--- a/crates/hazelgrade/src/rejection.rs
+++ b/crates/hazelgrade/src/rejection.rs
@@ -25,7 +25,7 @@
 }
 
 /// Whether a job may be rejected, which promises that it has had no effect that a retry would repeat.
-/// `may_repeat_started` says that it may be an unlinked retry of a job that ran.
+/// `may_repeat_started` is whether it may be a retry, linked to no record, of a job that ran.
 pub(crate) fn may_reject(tracked: &TrackedJob, may_repeat_started: bool) -> bool {
     let may_have_run = tracked.has_run || tracked.job.retry_of.is_some() || may_repeat_started;
     tracked.class.idempotency == Idempotency::Idempotent || !may_have_run
@@ -38,7 +38,7 @@
     spread.min(max)
 }
 
-/// How many of the requests that arrive are retries, which tells whether other servers have room.
+/// How many of the requests that arrive are retries: an estimate of whether other servers have room.
 pub(crate) struct RetryRate {
     requests: DecayingSum,
     retries: DecayingSum,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Counts a rejection: where retries are not marked, it stands for a part of a retry to come.
+    /// Counts a rejection: where retries are not marked, it counts as a fraction of a retry to come.
     pub fn record_rejection(&mut self, now: Time) {
         self.retries.add(now, if self.marked { 0.0 } else { RETRIES_PER_REJECTION });
     }
--- a/crates/hazelgrade/src/run_limiter.rs
+++ b/crates/hazelgrade/src/run_limiter.rs
@@ -41,7 +41,7 @@
 }
 
 impl RunLimiter {
-    /// A limiter for a machine with so many cores.
+    /// A limiter for a machine with this many cores.
     pub fn new(cores: f64, learning_window: Span, unread_window: Span) -> RunLimiter {
         RunLimiter {
             cores,
--- a/crates/hazelgrade/src/timescales.rs
+++ b/crates/hazelgrade/src/timescales.rs
@@ -6,7 +6,7 @@
 
 /// Learned figures decay over this many of the shortest latency objectives: some dozens of jobs, some seconds.
 const LEARNING_WINDOW_OBJECTIVES: f64 = 2.0;
-/// Ratio of the shortest latency objective that jobs may wait on average before load is kept away.
+/// Ratio of the shortest latency objective that jobs may wait on average before callers are asked to send less.
 const TARGET_WAIT_RATIO: f64 = 0.15;
 /// Ratio of the shortest latency objective that jobs may wait unread before the server counts as lagging.
 const LAG_RATIO: f64 = 0.3;
@@ -24,7 +24,7 @@
     pub shortest_objective: Span,
     /// Time constant of what is learned.
     pub learning_window: Span,
-    /// How long jobs may wait on average, unread and queued, before load is kept away.
+    /// How long jobs may wait on average, unread and queued, before callers are asked to send less.
     pub target_wait: Span,
     /// How long jobs may wait unread before the server counts as lagging.
     pub lag: Span,
