--- a/crates/hazelgrade-budget/src/lessor/mod.rs
+++ b/crates/hazelgrade-budget/src/lessor/mod.rs
@@ -23,7 +23,7 @@
 use crate::stored::LessorRecord;
 use crate::terms::BudgetTerms;
 use crate::{MAX_CLOCK_DRIFT_RATIO, Units};
-use book::BudgetBook;
+use book::{BudgetBook, ExpiredLease};
 use hazelgrade::time::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -291,7 +291,7 @@
         let blocked = self.grants_blocked(now).is_some();
         for (name, book) in &mut self.budgets {
             for expired in book.expire(now) {
-                let (units, holder) = (expired.units, expired.holder);
+                let ExpiredLease { holder, units } = expired;
                 log.push(format!("{name}: {units} of {holder} are back, its lease is over"));
             }
             if book.is_division_requested() {
--- a/crates/hazelgrade-config/src/parse.rs
+++ b/crates/hazelgrade-config/src/parse.rs
@@ -74,7 +74,8 @@
 
     fn add_table(&mut self, parent: &str, table: &DeTable) {
         for (key, value) in table {
-            let (name, offset) = (key.get_ref(), key.span().start);
+            let name = key.get_ref();
+            let offset = key.span().start;
             if name.is_empty() || name.contains('/') {
                 self.add_error(offset, parent, format!("expected a name without '/', not {name:?}"));
                 continue;
--- a/crates/hazelgrade-identity/src/policy.rs
+++ b/crates/hazelgrade-identity/src/policy.rs
@@ -44,8 +44,10 @@
             let id = CallerId(callers.rights.len());
             for certificate in fields.text_list(&format!("caller/{name}/certificates")) {
                 if callers.by_certificate.insert(certificate.clone(), id).is_some() {
-                    let (caller, certificate) = (name.to_owned(), certificate.clone());
-                    return Err(PolicyError::AmbiguousCertificate { caller, certificate });
+                    return Err(PolicyError::AmbiguousCertificate {
+                        caller: name.to_owned(),
+                        certificate: certificate.clone(),
+                    });
                 }
             }
             callers.by_name.insert(name.to_owned(), id);
--- a/crates/hazelgrade-stream/src/control_service/mod.rs
+++ b/crates/hazelgrade-stream/src/control_service/mod.rs
@@ -180,7 +180,8 @@
     /// Starts the tasks of the lessor: its rounds, and a connection to the control service of each other site.
     fn spawn_lessor(self: &Rc<Self>) {
         let Some(lessor) = &self.lessor else { return };
-        let (rounds, service) = (lessor.clone(), self.clone());
+        let rounds = lessor.clone();
+        let service = self.clone();
         let send = move |to, message: &PublisherMessage| service.send(to, message);
         self.executor.spawn(async move { rounds.run(send).await }).detach();
         for (site, address) in self.config.lessor.iter().flat_map(|lessor| lessor.peers.clone()) {
--- a/crates/hazelgrade-stream/src/lessor_service/mod.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/mod.rs
@@ -156,7 +156,10 @@
                 ownership::Action::Store(ledger) => {
                     let result = self.store.borrow_mut().write_ledger(&ledger);
                     if let Err(reason) = &result {
-                        tracing::error!(reason, "the ledger can't be stored: other sites don't hear of it");
+                        tracing::error!(
+                            reason,
+                            "the ledger can't be stored: nothing is reported to other sites"
+                        );
                     }
                     self.is_ledger_unsaved.set(result.is_err());
                 }
--- a/crates/hazelgrade-stream/src/publisher/versions.rs
+++ b/crates/hazelgrade-stream/src/publisher/versions.rs
@@ -84,7 +84,7 @@
         }
         let Some(current) = &self.current else { return false };
         let document = current.document.clone();
-        actions.push(Action::Log(format!("the counter was behind: subscribers know version {known}")));
+        actions.push(Action::Log(format!("the stored counter is behind: subscribers know version {known}")));
         let last_number = self.counter.last.map_or(0, |last| last.number);
         self.store_number(known.number.max(last_number) + 1, document, actions);
         true
--- a/crates/hazelgrade-stream/src/subscriber/mod.rs
+++ b/crates/hazelgrade-stream/src/subscriber/mod.rs
@@ -162,7 +162,7 @@
             Event::Disconnected => self.on_disconnected(now, actions),
             Event::Received(message) => self.on_message(now, message, actions),
             Event::Undecodable(reason) => {
-                actions.push(Action::Log(format!("the control service sent no message: {reason}")));
+                actions.push(Action::Log(format!("the control service sent a malformed message: {reason}")));
                 actions.push(Action::Disconnect);
             }
             Event::Stored { ticket, result } => self.on_stored(now, ticket, result, actions),
