--- a/crates/hazelgrade-stream/src/protocol/encode.rs
+++ b/crates/hazelgrade-stream/src/protocol/encode.rs
@@ -1,4 +1,4 @@
-//! Messages as lines. The keys of an object are written in alphabetical order.
+//! Encodes messages as lines. The keys of an object are written in alphabetical order.
 
 use super::limits::truncate_reason;
 use super::message::{Content, Offer, PublisherMessage, SubscriberMessage};
@@ -103,7 +103,7 @@
     }
 }
 
-/// The word that stands for a rejection on the wire.
+/// The code of a rejection on the wire.
 fn rejection_code(rejection: &Rejection) -> &'static str {
     match rejection {
         Rejection::Draining => "leaving",
--- a/crates/hazelgrade/src/deadline.rs
+++ b/crates/hazelgrade/src/deadline.rs
@@ -4,7 +4,7 @@
 use crate::job_table::TrackedJob;
 use crate::time::{Span, Time};
 
-/// The answer slack that is kept free is at most this ratio of the time that the job has.
+/// Answers are given before they are due by the answer slack, or by this ratio of the job's time if that is less.
 const MAX_SLACK_RATIO: f64 = 0.1;
 
 /// The points in time by which a job is judged, fixed at its arrival.
@@ -16,7 +16,7 @@
 }
 
 impl Deadlines {
-    /// By the caller's deadline, or the class's where callers tell none.
+    /// From the caller's deadline, or that of the class if the caller states none.
     pub fn new(job: &Job, class: &JobClass, limits: &ServiceLimits) -> Deadlines {
         let due = job.caller_deadline.unwrap_or(job.received_at + class.deadline);
         let for_work = job.expected_work.map_or(Span::ZERO, |work| work * class.objective_per_work);
@@ -42,7 +42,7 @@
 /// Until when a call is waited for. While calls are slow, one that may be left out is waited for only as long as leaves
 /// time to finish the run without it: up to `mean_core_time` earlier.
 ///
-/// `latency_excess` says how much slower calls are than at best, 0 for not at all to 1 for twice as slow or more.
+/// `latency_excess` is how much slower calls are than at their best, from 0 (not at all) to 1 (twice as slow or more).
 pub(crate) fn call_deadline(
     class: &JobClass,
     worthless_from: Time,
@@ -53,8 +53,8 @@
     worthless_from - mean_core_time * excess
 }
 
-/// How long a call of this job may take in all, which the call queue's wait budget and capacity go by: no longer than
-/// an answer is worth anything.
+/// How long a call of this job may take in all, which determines the call queue's wait budget and capacity: the time
+/// until its caller stops waiting or its answer is worth nothing, whichever is shorter.
 pub(crate) fn call_time_budget(tracked: &TrackedJob, now: Time, worthless_from: Time) -> Span {
     let caller_waits = tracked
         .job
