--- a/crates/hazelgrade-server/tests/budgets/main.rs
+++ b/crates/hazelgrade-server/tests/budgets/main.rs
@@ -93,7 +93,7 @@
 }
 
 fn word(group: &Group, word: OperatorCommand) -> Result<Value, String> {
-    group.service.word(word)
+    group.service.word(word).map_err(|error| error.to_string())
 }
 
 /// Of the job class that callers ask for.
