--- a/crates/hazelgrade-demo/src/measure/budgets.rs
+++ b/crates/hazelgrade-demo/src/measure/budgets.rs
@@ -183,7 +183,7 @@
     let number =
         |group: &Group, field: &str| group.service.budgets()["budgets"]["calls"][field].as_u64().unwrap_or(0);
     let setting = Shared { whole: 12, call: Duration::from_millis(100), ..Shared::default() };
-    let mut group = Group::start_with(&program, &[SELF], 5, 40.0, Some(setting))?;
+    let mut group = Group::start_with(&program, &[SELF], 5, 40.0, Some(setting)).map_err(failed)?;
     let all = |group: &mut Group| number(group, "granted") == 12;
     let (mut deaths, mut starts) = (Vec::new(), Vec::new());
     for turn in 0..5 {
@@ -222,7 +222,7 @@
     println!("the whole was passed {:?} times; rules broken: {}", account.passed, account.violations().len());
 
     let served = |setting: Option<Shared>| -> Result<(String, String), String> {
-        let mut group = Group::start_with(&program, &[SELF], 3, 40.0, setting)?;
+        let mut group = Group::start_with(&program, &[SELF], 3, 40.0, setting).map_err(failed)?;
         let from: usize = group.members.iter().map(|member| member.jobs()).sum();
         group.wait_until(SOON, |group| {
             group.members.iter().map(|member| member.jobs()).sum::<usize>() >= from + 1500
--- a/crates/hazelgrade-demo/src/measure/identity.rs
+++ b/crates/hazelgrade-demo/src/measure/identity.rs
@@ -223,7 +223,7 @@
             world: World::new(work).map_err(failed)?,
             signer: Signer::generate("EdDSA").map_err(failed)?,
         };
-        let serving = document(&[READ, BOOK], 50, "")?;
+        let serving = document(&[READ, BOOK], 50, "").map_err(failed)?;
         std::fs::write(setting.file("first.toml"), serving.to_toml()).map_err(failed)?;
         std::fs::write(setting.file("identity.toml"), set(&setting.signer, 100, 3600.0)?.to_toml())
             .map_err(failed)?;
--- a/crates/hazelgrade-demo/src/measure/streaming.rs
+++ b/crates/hazelgrade-demo/src/measure/streaming.rs
@@ -175,7 +175,8 @@
         std::fs::create_dir_all(&documents)
             .and_then(|()| std::fs::create_dir_all(&stores))
             .map_err(failed)?;
-        let version = |number: u64| document(&[("read", 1000 + number as u32, 9000, 1)], 50, "");
+        let version =
+            |number: u64| document(&[("read", 1000 + number as u32, 9000, 1)], 50, "").map_err(failed);
         let publish = |document: &Document| {
             let next = documents.join("next");
             std::fs::write(&next, document.to_toml()).map_err(failed)?;
@@ -256,7 +257,7 @@
         table(["customers", "whole, bytes", "one field changed", "a customer more", "all quotas changed"]);
     for tenants in [5, 50, 500] {
         let cases = [READ, BOOK];
-        let before = document(&cases, tenants, "")?;
+        let before = document(&cases, tenants, "").map_err(failed)?;
         let length = |content: Content| {
             let version = Version { number: 1000, digest: before.digest() };
             PublisherMessage::Offer(Offer { nonce: 1000, lineage: "measure".into(), version, content })
@@ -268,8 +269,8 @@
             let difference = before.fields().difference(after.fields());
             length(Content::Delta { base, difference }).to_string()
         };
-        let field = document(&[READ, ("book", 1500, 3000, 2)], tenants, "")?;
-        let more = document(&cases, tenants + 1, "")?;
+        let field = document(&[READ, ("book", 1500, 3000, 2)], tenants, "").map_err(failed)?;
+        let more = document(&cases, tenants + 1, "").map_err(failed)?;
         let all = text(&cases, tenants, "").replace("quota_per_s = ", "quota_per_s = 1");
         let all = Document::read(&all, "all").map_err(|faults| faults[0].to_string())?;
         let whole = length(Content::Full(before.to_toml())).to_string();
@@ -364,7 +365,7 @@
     let mut table = table(["a node starts", "start to ready, ms: median (lowest to highest)", "runs"]);
     let work = Work { cores: 4, takes: Duration::from_millis(4), calls: false };
     let world = World::new(work).map_err(failed)?;
-    let serving = document(&[READ, BOOK], 500, "")?;
+    let serving = document(&[READ, BOOK], 500, "").map_err(failed)?;
     let file = world.folder.path().join("first.toml");
     std::fs::write(&file, serving.to_toml()).map_err(failed)?;
     let gone = free_address();
--- a/crates/hazelgrade-demo/src/measure/trouble.rs
+++ b/crates/hazelgrade-demo/src/measure/trouble.rs
@@ -113,7 +113,7 @@
     let (mut took, mut jobs, mut broken) = (Vec::new(), Vec::new(), 0);
     for seed in 1..=PLANS {
         let began = Instant::now();
-        let played = play(&Plan::draw(seed, 5, 14), &program()?, &[SELF])?;
+        let played = play(&Plan::draw(seed, 5, 14), &program()?, &[SELF]).map_err(failed)?;
         took.push(began.elapsed().as_secs_f64());
         jobs.push(played.history.jobs.len() as f64);
         broken += usize::from(!played.violations.is_empty());
--- a/crates/hazelgrade-demo/src/scenes/budgets.rs
+++ b/crates/hazelgrade-demo/src/scenes/budgets.rs
@@ -24,7 +24,7 @@
 
 pub fn play() -> Result<bool, String> {
     let setting = Setting { whole: WHOLE, call: Duration::from_millis(150), ..Setting::default() };
-    let mut group = Group::start_with(&program()?, &[SELF], 3, 60.0, Some(setting))?;
+    let mut group = Group::start_with(&program()?, &[SELF], 3, 60.0, Some(setting)).map_err(failed)?;
     let mut table = Table::new();
     table.load_style(ASCII_MARKDOWN);
     table.set_header(["act", "came after", "parts of n0, n1, n2", "whole", "in hand at the dependency"]);
--- a/crates/hazelgrade-demo/src/scenes/streaming.rs
+++ b/crates/hazelgrade-demo/src/scenes/streaming.rs
@@ -76,7 +76,7 @@
 
 /// `true` if every rule was kept and every act ended as it should.
 pub fn play() -> Result<bool, String> {
-    let first = document(&[READ], 2, "")?;
+    let first = document(&[READ], 2, "").map_err(failed)?;
     let control = control_service(&first)?;
     let work = Work { cores: 4, takes: Duration::from_millis(20), calls: true };
     let stage = |name: &str| -> Result<Stage, String> {
--- a/crates/hazelgrade-demo/src/trouble.rs
+++ b/crates/hazelgrade-demo/src/trouble.rs
@@ -75,7 +75,7 @@
 }
 
 fn once(plan: &Plan) -> Result<PlanResult, String> {
-    play_plan(plan, &program()?, &[SELF])
+    play_plan(plan, &program()?, &[SELF]).map_err(failed)
 }
 
 /// `true` if no rule was broken.
--- a/crates/hazelgrade-fakes/src/documents.rs
+++ b/crates/hazelgrade-fakes/src/documents.rs
@@ -1,6 +1,6 @@
 //! Documents for tests and the demo.
 
-use hazelgrade_config::Document;
+use hazelgrade_config::{ConfigError, Document, error_summary};
 
 /// A job class by its name, latency objective, deadline in ms, and priority weight.
 pub type Case<'a> = (&'a str, u32, u32, u32);
@@ -8,6 +8,17 @@
 pub const READ: Case = ("read", 1000, 3000, 1);
 pub const BOOK: Case = ("book", 1000, 3000, 2);
 
+/// Errors that are shown of a document.
+const SHOWN_ERRORS: usize = 5;
+
+/// A document that cannot be read. Its text names the first five errors and counts the others.
+#[derive(Debug, thiserror::Error)]
+#[error("{}", error_summary(.errors, SHOWN_ERRORS))]
+pub struct DocumentError {
+    /// What is wrong, each with file, line and field.
+    pub errors: Vec<ConfigError>,
+}
+
 /// A document in TOML with these job classes, so many tenants, and further lines at its end.
 pub fn text(cases: &[Case], tenants: usize, rest: &str) -> String {
     let mut text = String::new();
@@ -24,7 +35,10 @@
 }
 
 /// The same, read.
-pub fn document(cases: &[Case], tenants: usize, rest: &str) -> Result<Document, String> {
-    let read = Document::read(&text(cases, tenants, rest), "a fake document");
-    read.map_err(|faults| hazelgrade_config::error_summary(&faults, 5))
+///
+/// # Errors
+///
+/// [`DocumentError`] with every error of the document.
+pub fn document(cases: &[Case], tenants: usize, rest: &str) -> Result<Document, DocumentError> {
+    Document::read(&text(cases, tenants, rest), "a fake document").map_err(|errors| DocumentError { errors })
 }
--- a/crates/hazelgrade-fakes/src/service.rs
+++ b/crates/hazelgrade-fakes/src/service.rs
@@ -4,7 +4,7 @@
 use crate::node::send;
 use hazelgrade_budget::protocol::OperatorCommand;
 use hazelgrade_config::Document;
-use hazelgrade_stream::control_service;
+use hazelgrade_stream::control_service::{self, RequestError};
 use rustix::process::Signal;
 use serde_json::Value;
 use std::io;
@@ -87,9 +87,8 @@
             .unwrap_or_default()
     }
 
-    pub fn word(&self, word: OperatorCommand) -> Result<Value, String> {
+    pub fn word(&self, word: OperatorCommand) -> Result<Value, RequestError> {
         control_service::send_budget_command(self.address, word, Duration::from_secs(2))
-            .map_err(|error| error.to_string())
     }
 
     pub fn publish(&self, text: &str) -> io::Result<()> {
--- a/crates/hazelgrade-fault-injection/src/group.rs
+++ b/crates/hazelgrade-fault-injection/src/group.rs
@@ -7,7 +7,7 @@
 use crate::shared_budget::{Setting, Shared};
 use hazelgrade_config::{Document, Version};
 use hazelgrade_fakes::callers::{Callers, Fate};
-use hazelgrade_fakes::documents::{BOOK, Case, READ, document};
+use hazelgrade_fakes::documents::{BOOK, Case, DocumentError, READ, document};
 use hazelgrade_fakes::executor::{Executor, Work};
 use hazelgrade_fakes::node::{Node, Plan};
 use hazelgrade_fakes::registry::Registry;
@@ -30,6 +30,20 @@
 const AT_LAST: Duration = Duration::from_secs(40);
 const LOOK_EVERY: Duration = Duration::from_millis(40);
 
+/// Why a group does not start.
+#[derive(Debug, thiserror::Error)]
+pub enum GroupError {
+    /// A process, file or socket could not be made.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// A node did not become ready in time.
+    #[error("the group doesn't start: {status}")]
+    NotReady {
+        /// The control service's status at that time.
+        status: Value,
+    },
+}
+
 pub struct Member {
     pub node: Node,
     pub executor: Executor,
@@ -74,7 +88,7 @@
 }
 
 /// A document that differs from all others by a job class of its own.
-fn numbered(count: u64, harmful: bool) -> Result<Document, String> {
+fn numbered(count: u64, harmful: bool) -> Result<Document, DocumentError> {
     let mark = format!("v{count}");
     let own: Case = (&mark, 1000, 3000, 1);
     let read = if harmful { ("read", 2, 10, 1) } else { READ };
@@ -113,7 +127,7 @@
 
 impl Group {
     /// Starts all processes and waits until each node has the first version as its good one and callers are answered.
-    pub fn start(program: &Path, words: &[&str], nodes: usize, rate: f64) -> Result<Group, String> {
+    pub fn start(program: &Path, words: &[&str], nodes: usize, rate: f64) -> Result<Group, GroupError> {
         Group::start_with(program, words, nodes, rate, None)
     }
 
@@ -124,8 +138,8 @@
         nodes: usize,
         rate: f64,
         setting: Option<Setting>,
-    ) -> Result<Group, String> {
-        Group::begin(program, words, nodes, rate, setting).map_err(|error| error.to_string())?.set_out()
+    ) -> Result<Group, GroupError> {
+        Group::begin(program, words, nodes, rate, setting)?.set_out()
     }
 
     fn begin(
@@ -218,9 +232,9 @@
         })
     }
 
-    fn set_out(mut self) -> Result<Group, String> {
+    fn set_out(mut self) -> Result<Group, GroupError> {
         if !self.all_well() {
-            return Err(format!("the group doesn't start: {}", self.service.status()));
+            return Err(GroupError::NotReady { status: self.service.status() });
         }
         Ok(self)
     }
--- a/crates/hazelgrade-fault-injection/src/plan.rs
+++ b/crates/hazelgrade-fault-injection/src/plan.rs
@@ -4,6 +4,31 @@
 use hazelgrade::random::MultiplyWithCarry;
 use serde::{Deserialize, Serialize};
 
+/// Why a text is not a fault plan.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum PlanError {
+    /// The text is not TOML, or has other fields than a plan.
+    #[error(transparent)]
+    Toml(#[from] toml::de::Error),
+    /// A step names a node that the plan does not have.
+    #[error("node {node}: there are {nodes} nodes, from 0")]
+    UnknownNode {
+        /// The greatest number that a step names.
+        node: usize,
+        /// How many nodes the plan has.
+        nodes: usize,
+    },
+    /// The plan has no node.
+    #[error("nodes: expected one at least")]
+    NoNodes,
+    /// A shared budget has neither one nor two sites.
+    #[error("shared.sites: expected 1 or 2")]
+    Sites,
+    /// The rate of jobs is out of its range.
+    #[error("rate: expected above 0, to 1000")]
+    Rate,
+}
+
 /// What has to have happened, since the step before, for a step to be taken.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -178,9 +203,13 @@
         toml::to_string(self).unwrap_or_else(|error| format!("# {error}\n"))
     }
 
-    /// Reads a plan; says where it is wrong.
-    pub fn read(text: &str) -> Result<Plan, String> {
-        let plan: Plan = toml::from_str(text).map_err(|error| error.to_string())?;
+    /// Reads a plan.
+    ///
+    /// # Errors
+    ///
+    /// [`PlanError`] if the text is not a plan, or a value is out of its range.
+    pub fn read(text: &str) -> Result<Plan, PlanError> {
+        let plan: Plan = toml::from_str(text)?;
         let named = plan.step.iter().filter_map(|step| step.fault.node()).chain(plan.step.iter().filter_map(
             |step| match step.trigger {
                 Trigger::OnTrial(node)
@@ -191,14 +220,12 @@
             },
         ));
         match named.max() {
-            Some(most) if most >= plan.nodes => {
-                Err(format!("node {most}: there are {} nodes, from 0", plan.nodes))
-            }
-            _ if plan.nodes == 0 => Err("nodes: expected one at least".into()),
+            Some(node) if node >= plan.nodes => Err(PlanError::UnknownNode { node, nodes: plan.nodes }),
+            _ if plan.nodes == 0 => Err(PlanError::NoNodes),
             _ if plan.shared.is_some_and(|shared| shared.sites == 0 || shared.sites > 2) => {
-                Err("shared.sites: expected 1 or 2".into())
+                Err(PlanError::Sites)
             }
-            _ if !(plan.rate > 0.0 && plan.rate <= 1000.0) => Err("rate: expected above 0, to 1000".into()),
+            _ if !(plan.rate > 0.0 && plan.rate <= 1000.0) => Err(PlanError::Rate),
             _ => Ok(plan),
         }
     }
--- a/crates/hazelgrade-fault-injection/src/plan_run.rs
+++ b/crates/hazelgrade-fault-injection/src/plan_run.rs
@@ -1,8 +1,8 @@
 //! Plays a plan on a group: waits for what each step waits for, brings its fault about, and judges at the end.
 
-use crate::group::{Group, Member};
+use crate::group::{Group, GroupError, Member};
 use crate::history::{History, Violation};
-use crate::plan::{Plan, SharedSeed, Trigger};
+use crate::plan::{Plan, SharedSeed, Step, Trigger};
 use crate::shared_budget::Setting;
 use std::path::Path;
 use std::time::Duration;
@@ -18,7 +18,28 @@
     pub unmet: usize,
 }
 
-pub fn play(plan: &Plan, program: &Path, words: &[&str]) -> Result<PlanResult, String> {
+/// Why a plan could not be played to its end.
+#[derive(Debug, thiserror::Error)]
+pub enum PlanRunError {
+    /// The group did not start.
+    #[error(transparent)]
+    Start(#[from] GroupError),
+    /// A step's fault could not be injected.
+    #[error("{step:?}: {source}")]
+    Step {
+        /// The step.
+        step: Step,
+        /// What the operating system said.
+        source: std::io::Error,
+    },
+}
+
+/// Starts a group by the plan, injects its faults, and judges what happened.
+///
+/// # Errors
+///
+/// [`PlanRunError`] if the group does not start or a fault cannot be injected; a broken rule is no error.
+pub fn play(plan: &Plan, program: &Path, words: &[&str]) -> Result<PlanResult, PlanRunError> {
     let setting =
         plan.shared.map(|SharedSeed { sites, whole }| Setting { sites, whole, ..Setting::default() });
     let mut group = Group::start_with(program, words, plan.nodes, plan.rate, setting)?;
@@ -27,7 +48,7 @@
         if !await_trigger(&mut group, step.trigger) {
             unmet += 1;
         }
-        group.inject(step.fault).map_err(|error| format!("{step:?}: {error}"))?;
+        group.inject(step.fault).map_err(|source| PlanRunError::Step { step: *step, source })?;
     }
     let history = group.finish();
     Ok(PlanResult { violations: history.violations(), history, unmet })
--- a/crates/hazelgrade-fault-injection/tests/pure.rs
+++ b/crates/hazelgrade-fault-injection/tests/pure.rs
@@ -118,7 +118,7 @@
         assert_eq!(Plan::read(&plan.to_toml()), Ok(plan));
     }
     assert_ne!(Plan::draw(1, 5, 14).step, Plan::draw(2, 5, 14).step);
-    let wrong = |text: &str| Plan::read(text).expect_err("it is wrong");
+    let wrong = |text: &str| Plan::read(text).expect_err("it is wrong").to_string();
     assert!(
         wrong("seed = 1\nnodes = 2\nrate = 9.0\n[[step]]\ncue = \"now\"\nfault = { kill = { node = 2 } }\n")
             .contains("node 2")
