--- a/crates/hazelgrade-demo/src/measure/budgets.rs
+++ b/crates/hazelgrade-demo/src/measure/budgets.rs
@@ -4,11 +4,11 @@
 use crate::SELF;
 use crate::parts::{failed, program};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
-use hazelgrade_fakes::callers::Fate;
+use hazelgrade_fakes::callers::JobOutcome;
 use hazelgrade_fakes::fleet::{DivisionPolicy, Fault, Fleet, FleetConfig, RestartStore};
 use hazelgrade_fault_injection::group::Group;
 use hazelgrade_fault_injection::plan::{Disk, Fault as Trouble};
-use hazelgrade_fault_injection::shared_budget::Setting as Shared;
+use hazelgrade_fault_injection::shared_budget::SharedBudgetConfig;
 use std::time::{Duration, Instant};
 
 const SEEDS: u64 = 9;
@@ -180,9 +180,14 @@
 
 fn processes() -> Result<(), String> {
     let program = program()?;
-    let number =
-        |group: &Group, field: &str| group.service.budgets()["budgets"]["calls"][field].as_u64().unwrap_or(0);
-    let setting = Shared { whole: 12, call: Duration::from_millis(100), ..Shared::default() };
+    let number = |group: &Group, field: &str| {
+        group.control_service.budget_status()["budgets"]["calls"][field].as_u64().unwrap_or(0)
+    };
+    let setting = SharedBudgetConfig {
+        total: 12,
+        call_duration: Duration::from_millis(100),
+        ..SharedBudgetConfig::default()
+    };
     let mut group = Group::start_with(&program, &[SELF], 5, 40.0, Some(setting)).map_err(failed)?;
     let all = |group: &mut Group| number(group, "granted") == 12;
     let (mut deaths, mut starts) = (Vec::new(), Vec::new());
@@ -191,7 +196,7 @@
         let began = Instant::now();
         group.inject(Trouble::Kill { node: turn }).map_err(failed)?;
         let moved = |group: &mut Group| {
-            let calls = group.service.budgets()["budgets"]["calls"].clone();
+            let calls = group.control_service.budget_status()["budgets"]["calls"].clone();
             let holders = calls["holders"].as_array().into_iter().flatten();
             let gone = format!("n{turn}");
             holders
@@ -219,26 +224,34 @@
             vec!["the keeper is started anew: all is granted".into(), spread(starts, 0)],
         ],
     );
-    println!("the whole was passed {:?} times; rules broken: {}", account.passed, account.violations().len());
+    println!(
+        "the whole was passed {:?} times; rules broken: {}",
+        account.budget_overloads,
+        account.violations().len()
+    );
 
-    let served = |setting: Option<Shared>| -> Result<(String, String), String> {
+    let served = |setting: Option<SharedBudgetConfig>| -> Result<(String, String), String> {
         let mut group = Group::start_with(&program, &[SELF], 3, 40.0, setting).map_err(failed)?;
-        let from: usize = group.members.iter().map(|member| member.jobs()).sum();
+        let from: usize = group.nodes.iter().map(|member| member.job_count()).sum();
         group.wait_until(SOON, |group| {
-            group.members.iter().map(|member| member.jobs()).sum::<usize>() >= from + 1500
+            group.nodes.iter().map(|member| member.job_count()).sum::<usize>() >= from + 1500
         });
         let account = group.finish();
         let mut took: Vec<f64> = account
             .jobs
             .iter()
-            .filter(|job| job.fate == Fate::Succeeded)
-            .map(|job| job.after.as_ms())
+            .filter(|job| job.outcome == JobOutcome::Succeeded)
+            .map(|job| job.latency.as_ms())
             .collect();
         took.sort_by(f64::total_cmp);
         let at = |part: f64| format!("{:.1}", took[((took.len() - 1) as f64 * part) as usize]);
         Ok((at(0.5), at(0.99)))
     };
-    let roomy = Shared { whole: 60, call: Duration::from_millis(2), ..Shared::default() };
+    let roomy = SharedBudgetConfig {
+        total: 60,
+        call_duration: Duration::from_millis(2),
+        ..SharedBudgetConfig::default()
+    };
     let (on, off) = (served(Some(roomy))?, served(None)?);
     println!("A job, from its caller, where the whole is never short (3 nodes, 40 jobs a second each), ms:");
     table(&["budgets", "p50", "p99"], vec![vec!["on".into(), on.0, on.1], vec!["off".into(), off.0, off.1]]);
--- a/crates/hazelgrade-demo/src/measure/identity.rs
+++ b/crates/hazelgrade-demo/src/measure/identity.rs
@@ -6,12 +6,12 @@
 use comfy_table::Table;
 use hazelgrade::time::Time;
 use hazelgrade_config::{Document, Fields, Kind, Scalar, error_summary};
-use hazelgrade_fakes::callers::{Fate, Token, Told};
+use hazelgrade_fakes::callers::{JobOutcome, JobResult, Token};
 use hazelgrade_fakes::documents::{BOOK, READ, document};
-use hazelgrade_fakes::executor::Work;
-use hazelgrade_fakes::node::Node;
-use hazelgrade_fakes::world::{World, callers_with};
-use hazelgrade_fakes::{comes_true, free_address};
+use hazelgrade_fakes::executor::Workload;
+use hazelgrade_fakes::node_process::NodeProcess;
+use hazelgrade_fakes::test_environment::{TestEnvironment, start_callers_with_token};
+use hazelgrade_fakes::{free_address, wait_until};
 use hazelgrade_identity::signer::{PublicKey, Signer};
 use hazelgrade_identity::token::Claims;
 use hazelgrade_identity::{AccessPolicy, Authenticator, CallerId, Credentials};
@@ -208,7 +208,7 @@
 // On sockets.
 
 struct Setting {
-    world: World,
+    world: TestEnvironment,
     signer: Signer,
 }
 
@@ -218,9 +218,9 @@
 
 impl Setting {
     fn new() -> Result<Setting, String> {
-        let work = Work { cores: 4, takes: Duration::from_millis(10), calls: true };
+        let work = Workload { cores: 4, job_duration: Duration::from_millis(10), makes_call: true };
         let setting = Setting {
-            world: World::new(work).map_err(failed)?,
+            world: TestEnvironment::new(work).map_err(failed)?,
             signer: Signer::generate("EdDSA").map_err(failed)?,
         };
         let serving = document(&[READ, BOOK], 50, "").map_err(failed)?;
@@ -231,20 +231,20 @@
     }
 
     fn file(&self, name: &str) -> std::path::PathBuf {
-        self.world.folder.path().join(name)
+        self.world.directory.path().join(name)
     }
 
     /// A node with these tables in its operator's file.
-    fn node(&self, name: &str, tables: &str, control: SocketAddr) -> Result<Node, String> {
+    fn node(&self, name: &str, tables: &str, control: SocketAddr) -> Result<NodeProcess, String> {
         self.world.executor.restart();
         let stream = format!(
             "lineage = \"demo\"\ndocument = {:?}\n[stream.trial]\nspan_ms = 100\n{tables}",
             self.file("first.toml")
         );
-        let mut plan = self.world.plan(name, &program()?, &[SELF], control, &stream);
+        let mut plan = self.world.node_config(name, &program()?, &[SELF], control, &stream);
         plan.log = "off".into();
         let node = plan.start().map_err(failed)?;
-        if comes_true(Duration::from_secs(10), || TcpStream::connect(node.plan.listen).is_ok()) {
+        if wait_until(Duration::from_secs(10), || TcpStream::connect(node.config.listen).is_ok()) {
             Ok(node)
         } else {
             Err(format!("{name} does not listen in time"))
@@ -260,10 +260,10 @@
     }
 }
 
-fn quantile(told: &[Told], part: f64) -> f64 {
+fn quantile(told: &[JobResult], part: f64) -> f64 {
     let Ok(mut waits) = Histogram::<u64>::new(3) else { return 0.0 };
-    let succeeded = told.iter().filter(|told| told.fate == Fate::Succeeded);
-    succeeded.for_each(|told| waits.record(told.after.as_micros() as u64).unwrap_or_default());
+    let succeeded = told.iter().filter(|told| told.outcome == JobOutcome::Succeeded);
+    succeeded.for_each(|told| waits.record(told.latency.as_micros() as u64).unwrap_or_default());
     waits.value_at_quantile(part) as f64 / 1000.0
 }
 
@@ -285,7 +285,7 @@
         ("a known token with each job", true, false),
         ("the same under a flood of bad tokens", true, true),
     ];
-    let mut runs: Vec<Vec<Vec<Told>>> = vec![Vec::new(); ways.len()];
+    let mut runs: Vec<Vec<Vec<JobResult>>> = vec![Vec::new(); ways.len()];
     let mut floods = vec![0u64; ways.len()];
     for _ in 0..ROUNDS {
         for (place, (_, named, flooded)) in ways.iter().enumerate() {
@@ -293,8 +293,8 @@
             let node = setting.node(&format!("n{place}"), &tables, gone)?;
             let token: Option<Token> =
                 named.then(|| setting.token(0).map(|token| Arc::new(Mutex::new(token)))).transpose()?;
-            let callers = callers_with(node.plan.listen, 200.0, &["read"], token);
-            let (listen, until) = (node.plan.listen, Instant::now() + lasts);
+            let callers = start_callers_with_token(node.config.listen, 200.0, &["read"], token);
+            let (listen, until) = (node.config.listen, Instant::now() + lasts);
             let flood = flooded.then(|| std::thread::spawn(move || flood(listen, until)));
             std::thread::sleep(lasts);
             floods[place] += flood.and_then(|flood| flood.join().ok()).unwrap_or(0);
@@ -303,7 +303,7 @@
     }
     for ((name, _, _), (runs, flood)) in ways.iter().zip(runs.iter().zip(&floods)) {
         let all: usize = runs.iter().map(Vec::len).sum();
-        let succeeded = runs.iter().flatten().filter(|told| told.fate == Fate::Succeeded).count();
+        let succeeded = runs.iter().flatten().filter(|told| told.outcome == JobOutcome::Succeeded).count();
         table.add_row([
             (*name).to_owned(),
             spread(runs.iter().map(|run| quantile(run, 0.5)).collect()),
@@ -405,7 +405,7 @@
         for _ in 0..COUNT {
             let config = if resumes { kept.clone() } else { config()? };
             let began = Instant::now();
-            let stream = TcpStream::connect(node.plan.listen).map_err(failed)?;
+            let stream = TcpStream::connect(node.config.listen).map_err(failed)?;
             stream.set_nodelay(true).map_err(failed)?;
             let mut line = String::new();
             if tables.is_empty() {
@@ -463,9 +463,11 @@
     let mut runs = Vec::new();
     for run in 0..RUNS {
         let token: Token = Arc::new(Mutex::new(setting.token(run)?));
-        let callers = callers_with(node.plan.listen, 300.0, &["read"], Some(token));
-        let served = |callers: &[Told]| callers.iter().filter(|told| told.fate == Fate::Succeeded).count();
-        if !comes_true(Duration::from_secs(10), || served(&callers.told()) > 30) {
+        let callers = start_callers_with_token(node.config.listen, 300.0, &["read"], Some(token));
+        let served = |callers: &[JobResult]| {
+            callers.iter().filter(|told| told.outcome == JobOutcome::Succeeded).count()
+        };
+        if !wait_until(Duration::from_secs(10), || served(&callers.results()) > 30) {
             return Err(format!("caller {run} is not served in time"));
         }
         let table = format!("[caller.caller-{run}]\n");
@@ -473,7 +475,8 @@
         publish(&right.replace(&table, &format!("{table}revoked = true\n")))?;
         std::thread::sleep(Duration::from_millis(700));
         let told = callers.stop().0;
-        let last = told.iter().filter(|told| told.fate == Fate::Succeeded).map(|told| told.sent).max();
+        let last =
+            told.iter().filter(|told| told.outcome == JobOutcome::Succeeded).map(|told| told.sent).max();
         runs.push(last.map_or(0.0, |last| last.saturating_duration_since(began).as_secs_f64() * 1000.0));
     }
     table.add_row([
--- a/crates/hazelgrade-demo/src/measure/streaming.rs
+++ b/crates/hazelgrade-demo/src/measure/streaming.rs
@@ -10,11 +10,11 @@
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::operator::Trial;
 use hazelgrade_config::{Document, Kind, Version};
-use hazelgrade_fakes::callers::{Fate, Told};
+use hazelgrade_fakes::callers::{JobOutcome, JobResult};
 use hazelgrade_fakes::documents::{BOOK, READ, document, text};
-use hazelgrade_fakes::executor::Work;
-use hazelgrade_fakes::world::{World, callers};
-use hazelgrade_fakes::{comes_true, free_address, node::settings};
+use hazelgrade_fakes::executor::Workload;
+use hazelgrade_fakes::test_environment::{TestEnvironment, start_callers};
+use hazelgrade_fakes::{free_address, node_process::settings, wait_until};
 use hazelgrade_net::notify::Notify;
 use hazelgrade_store::Store;
 use hazelgrade_stream::admission::Admission;
@@ -363,20 +363,20 @@
 fn start() -> Result<Table, String> {
     const RUNS: usize = 15;
     let mut table = table(["a node starts", "start to ready, ms: median (lowest to highest)", "runs"]);
-    let work = Work { cores: 4, takes: Duration::from_millis(4), calls: false };
-    let world = World::new(work).map_err(failed)?;
+    let work = Workload { cores: 4, job_duration: Duration::from_millis(4), makes_call: false };
+    let world = TestEnvironment::new(work).map_err(failed)?;
     let serving = document(&[READ, BOOK], 500, "").map_err(failed)?;
-    let file = world.folder.path().join("first.toml");
+    let file = world.directory.path().join("first.toml");
     std::fs::write(&file, serving.to_toml()).map_err(failed)?;
     let gone = free_address();
     let trial = "[stream.trial]\nspan_ms = 100\n";
     // A node that has kept a good version.
     let control = control_service(&serving)?;
     let stream = format!("lineage = \"demo\"\n{trial}");
-    let mut plan = world.plan("kept", &program()?, &[SELF], control.address, &stream);
+    let mut plan = world.node_config("kept", &program()?, &[SELF], control.address, &stream);
     plan.log = "off".into();
     let mut node = plan.start().map_err(failed)?;
-    let good = comes_true(WITHIN, || {
+    let good = wait_until(WITHIN, || {
         std::thread::sleep(Duration::from_millis(50));
         control.status()["nodes"][0]["standing"] == "good"
     });
@@ -385,11 +385,11 @@
     }
     node.kill();
     drop(control);
-    let ready = |plan: &hazelgrade_fakes::node::Plan| -> Result<f64, String> {
+    let ready = |plan: &hazelgrade_fakes::node_process::NodeConfig| -> Result<f64, String> {
         world.executor.restart();
         let began = Instant::now();
         let node = plan.start().map_err(failed)?;
-        if !comes_true(WITHIN, || node.check() == Some(true)) {
+        if !wait_until(WITHIN, || node.health_check() == Some(true)) {
             return Err(format!("{} is not ready in time", plan.name));
         }
         Ok(began.elapsed().as_secs_f64() * 1000.0)
@@ -403,25 +403,25 @@
     plan.control = vec![gone];
     add("from its store, control service gone", (0..RUNS).map(|_| ready(&plan)).collect())?;
     let stream = format!("document = {file:?}\n{trial}");
-    let mut plan = world.plan("filed", &program()?, &[SELF], gone, &stream);
+    let mut plan = world.node_config("filed", &program()?, &[SELF], gone, &stream);
     plan.log = "off".into();
-    let fresh = |plan: &hazelgrade_fakes::node::Plan| {
-        let _ = std::fs::remove_file(plan.store());
+    let fresh = |plan: &hazelgrade_fakes::node_process::NodeConfig| {
+        let _ = std::fs::remove_file(plan.store_file());
         ready(plan)
     };
     add("from its file, a new store, control service gone", (0..RUNS).map(|_| fresh(&plan)).collect())?;
     add("from its file, its store there, control service gone", (0..RUNS).map(|_| ready(&plan)).collect())?;
     let control = control_service(&serving)?;
-    let mut plan = world.plan("first", &program()?, &[SELF], control.address, trial);
+    let mut plan = world.node_config("first", &program()?, &[SELF], control.address, trial);
     plan.log = "off".into();
-    comes_true(WITHIN, || !control.status().is_null());
+    wait_until(WITHIN, || !control.status().is_null());
     add("from the control service, a new store", (0..RUNS).map(|_| fresh(&plan)).collect())?;
     add("without streaming, as on the platform", (0..RUNS).map(|_| plain(&world)).collect())?;
     Ok(table)
 }
 
 /// A node without an operator's file.
-fn plain(world: &World) -> Result<f64, String> {
+fn plain(world: &TestEnvironment) -> Result<f64, String> {
     world.executor.restart();
     let mut of = settings();
     of["classes"] = serde_json::json!([{"name": "read", "aim": 1000, "giveUp": 3000}]);
@@ -431,13 +431,13 @@
         "executor": world.executor.address.to_string(), "registry": world.registry.address.to_string(),
         "settings": of
     });
-    let path = world.folder.path().join("plain.json");
+    let path = world.directory.path().join("plain.json");
     std::fs::write(&path, configuration.to_string()).map_err(failed)?;
     let began = Instant::now();
     let mut command = Command::new(program()?);
     command.args([SELF, "serve", "--log", "off", "--config"]).arg(&path);
     let mut child = command.stderr(std::process::Stdio::null()).spawn().map_err(failed)?;
-    let up = comes_true(WITHIN, || std::net::TcpStream::connect(listen).is_ok());
+    let up = wait_until(WITHIN, || std::net::TcpStream::connect(listen).is_ok());
     let lasted = began.elapsed();
     let _ = child.kill();
     let _ = child.wait();
@@ -456,16 +456,16 @@
         "satisfied of all",
         "rounds of 6 s",
     ]);
-    let work = Work { cores: 4, takes: Duration::from_millis(10), calls: true };
-    let world = World::new(work).map_err(failed)?;
+    let work = Workload { cores: 4, job_duration: Duration::from_millis(10), makes_call: true };
+    let world = TestEnvironment::new(work).map_err(failed)?;
     let version = |number: u32| text(&[("read", 1000 + number, 9000, 1), BOOK], 50, "");
     let first = Document::read(&version(0), "first").map_err(|faults| faults[0].to_string())?;
     let control = control_service(&first)?;
     let stream = "lineage = \"demo\"\n[stream.trial]\nspan_ms = 300\n";
-    let mut plan = world.plan("n1", &program()?, &[SELF], control.address, stream);
+    let mut plan = world.node_config("n1", &program()?, &[SELF], control.address, stream);
     plan.log = "off".into();
     let node = plan.start().map_err(failed)?;
-    if !node.becomes(true) {
+    if !node.wait_until_ready(true) {
         return Err("the node is not ready in time".into());
     }
     let mut runs = [Vec::new(), Vec::new()];
@@ -473,7 +473,7 @@
     // The two in turn, so that what changes on the machine bears on both.
     for _ in 0..ROUNDS {
         for (streamed, runs) in runs.iter_mut().enumerate() {
-            let callers = callers(node.plan.listen, 200.0, &["read", "book"]);
+            let callers = start_callers(node.config.listen, 200.0, &["read", "book"]);
             let began = Instant::now();
             while began.elapsed() < lasts {
                 std::thread::sleep(Duration::from_secs(1));
@@ -487,16 +487,16 @@
     }
     for (name, runs) in ["no version comes", "a version comes each second"].iter().zip(&runs) {
         let quantile = |part: f64| {
-            let of_run = |run: &Vec<Told>| {
+            let of_run = |run: &Vec<JobResult>| {
                 let mut waits = Histogram::<u64>::new(3).ok()?;
-                let succeeded = run.iter().filter(|told| told.fate == Fate::Succeeded);
-                succeeded.for_each(|told| waits.record(told.after.as_micros() as u64).unwrap_or_default());
+                let succeeded = run.iter().filter(|told| told.outcome == JobOutcome::Succeeded);
+                succeeded.for_each(|told| waits.record(told.latency.as_micros() as u64).unwrap_or_default());
                 Some(waits.value_at_quantile(part) as f64 / 1000.0)
             };
             spread(runs.iter().filter_map(of_run).collect())
         };
         let all: usize = runs.iter().map(Vec::len).sum();
-        let succeeded = runs.iter().flatten().filter(|told| told.fate == Fate::Succeeded).count();
+        let succeeded = runs.iter().flatten().filter(|told| told.outcome == JobOutcome::Succeeded).count();
         table.add_row([
             (*name).to_owned(),
             quantile(0.5),
--- a/crates/hazelgrade-demo/src/measure/trouble.rs
+++ b/crates/hazelgrade-demo/src/measure/trouble.rs
@@ -3,8 +3,8 @@
 use crate::SELF;
 use crate::parts::{failed, program};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
-use hazelgrade_fault_injection::plan::Plan;
-use hazelgrade_fault_injection::plan_run::play;
+use hazelgrade_fault_injection::plan::FaultPlan;
+use hazelgrade_fault_injection::plan_run::run_plan;
 use hazelgrade_fault_injection::proxy::FaultProxy;
 use hdrhistogram::Histogram;
 use std::io::{BufRead, BufReader, Write};
@@ -113,7 +113,7 @@
     let (mut took, mut jobs, mut broken) = (Vec::new(), Vec::new(), 0);
     for seed in 1..=PLANS {
         let began = Instant::now();
-        let played = play(&Plan::draw(seed, 5, 14), &program()?, &[SELF]).map_err(failed)?;
+        let played = run_plan(&FaultPlan::draw(seed, 5, 14), &program()?, &[SELF]).map_err(failed)?;
         took.push(began.elapsed().as_secs_f64());
         jobs.push(played.history.jobs.len() as f64);
         broken += usize::from(!played.violations.is_empty());
--- a/crates/hazelgrade-demo/src/parts.rs
+++ b/crates/hazelgrade-demo/src/parts.rs
@@ -2,7 +2,7 @@
 
 use crate::SELF;
 use hazelgrade_config::Document;
-use hazelgrade_fakes::service::Service;
+use hazelgrade_fakes::control_process::ControlServiceProcess;
 use std::path::PathBuf;
 
 pub fn failed(error: impl std::fmt::Display) -> String {
@@ -14,6 +14,6 @@
 }
 
 /// A control service as a process, with its folder.
-pub fn control(document: &Document) -> Result<Service, String> {
-    Service::start(&program()?, &[SELF], "demo", document).map_err(failed)
+pub fn control(document: &Document) -> Result<ControlServiceProcess, String> {
+    ControlServiceProcess::start(&program()?, &[SELF], "demo", document).map_err(failed)
 }
--- a/crates/hazelgrade-demo/src/scenes/budgets.rs
+++ b/crates/hazelgrade-demo/src/scenes/budgets.rs
@@ -6,24 +6,28 @@
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use hazelgrade_fault_injection::group::Group;
 use hazelgrade_fault_injection::plan::{Disk, Fault};
-use hazelgrade_fault_injection::shared_budget::Setting;
+use hazelgrade_fault_injection::shared_budget::SharedBudgetConfig;
 use std::time::{Duration, Instant};
 
 const WITHIN: Duration = Duration::from_secs(20);
 const WHOLE: u32 = 12;
 
 fn parts(group: &Group) -> Vec<u64> {
-    let calls = group.service.budgets()["budgets"]["calls"].clone();
+    let calls = group.control_service.budget_status()["budgets"]["calls"].clone();
     let of = |node: usize| {
         let holders = calls["holders"].as_array().into_iter().flatten();
         let named = holders.filter(|one| one["holder"] == format!("n{node}").as_str());
         named.filter_map(|one| one["granted"].as_u64()).sum()
     };
-    (0..group.members.len()).map(of).collect()
+    (0..group.nodes.len()).map(of).collect()
 }
 
 pub fn play() -> Result<bool, String> {
-    let setting = Setting { whole: WHOLE, call: Duration::from_millis(150), ..Setting::default() };
+    let setting = SharedBudgetConfig {
+        total: WHOLE,
+        call_duration: Duration::from_millis(150),
+        ..SharedBudgetConfig::default()
+    };
     let mut group = Group::start_with(&program()?, &[SELF], 3, 60.0, Some(setting)).map_err(failed)?;
     let mut table = Table::new();
     table.load_style(ASCII_MARKDOWN);
@@ -34,7 +38,7 @@
         let came = group.wait_until(WITHIN, |group| so(&parts(group)));
         good &= came;
         let (after, shown) = (began.elapsed().as_secs_f64(), parts(group));
-        let in_hand = group.shared.as_ref().map_or(0, |shared| shared.dependency.in_hand());
+        let in_hand = group.shared_budget.as_ref().map_or(0, |shared| shared.dependency.in_flight());
         println!("{name}: {shown:?}");
         table.add_row([
             name.to_owned(),
@@ -52,15 +56,18 @@
     act(&mut group, "n0 is killed: its part moves", WHOLE, &|parts| parts[1] + parts[2] == 12);
     group.inject(Fault::Start { node: 0, disk: Disk::Own }).map_err(failed)?;
     act(&mut group, "n0 is back: it gets a share", WHOLE, &|parts| parts[0] >= 3);
-    group.inject(Fault::Whole { units: WHOLE / 2 }).map_err(failed)?;
+    group.inject(Fault::SetBudgetTotal { units: WHOLE / 2 }).map_err(failed)?;
     act(&mut group, "the whole is halved in use", WHOLE / 2, &|parts| sum(parts) == 6);
     group.inject(Fault::KillControl).map_err(failed)?;
     group.inject(Fault::StartControl { disk: Disk::Own }).map_err(failed)?;
     act(&mut group, "the keeper died and is back", WHOLE / 2, &|parts| sum(parts) == 6);
-    let peak = group.shared.as_ref().map_or(0, |shared| shared.dependency.peak());
+    let peak = group.shared_budget.as_ref().map_or(0, |shared| shared.dependency.peak());
     let account = group.finish();
     println!("\n{table}\n");
-    println!("calls at the dependency at once: {peak} at most; past the whole: {:?}", account.passed);
+    println!(
+        "calls at the dependency at once: {peak} at most; past the whole: {:?}",
+        account.budget_overloads
+    );
     let breaks = account.violations();
     breaks.iter().for_each(|broken| println!("BROKEN {broken}"));
     println!("rules: {}", if breaks.is_empty() { "all kept" } else { "BROKEN" });
--- a/crates/hazelgrade-demo/src/scenes/streaming.rs
+++ b/crates/hazelgrade-demo/src/scenes/streaming.rs
@@ -4,13 +4,13 @@
 use crate::SELF;
 use crate::parts::{control as control_service, failed, program};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
-use hazelgrade_fakes::callers::{Callers, Fate, Told};
+use hazelgrade_fakes::callers::{Callers, JobOutcome, JobResult};
+use hazelgrade_fakes::control_process::ControlServiceProcess;
 use hazelgrade_fakes::documents::{BOOK, READ, document, text};
-use hazelgrade_fakes::executor::Work;
-use hazelgrade_fakes::node::Node;
-use hazelgrade_fakes::service::Service;
-use hazelgrade_fakes::world::{World, callers};
-use hazelgrade_fakes::{comes_true, rules};
+use hazelgrade_fakes::executor::Workload;
+use hazelgrade_fakes::node_process::NodeProcess;
+use hazelgrade_fakes::test_environment::{TestEnvironment, start_callers};
+use hazelgrade_fakes::{rule_check, wait_until};
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
@@ -23,8 +23,8 @@
 const GRACE: Duration = Duration::from_millis(250);
 
 struct Stage {
-    world: World,
-    node: Node,
+    world: TestEnvironment,
+    node: NodeProcess,
     callers: Callers,
 }
 
@@ -44,9 +44,9 @@
 }
 
 /// Waits until both nodes stand so with a version of this number.
-fn wait(control: &Service, number: u64, word: &str) -> Result<(), String> {
+fn wait(control: &ControlServiceProcess, number: u64, word: &str) -> Result<(), String> {
     let mut status = Value::Null;
-    let so = comes_true(WITHIN, || {
+    let so = wait_until(WITHIN, || {
         std::thread::sleep(LOOK);
         status = control.status();
         ["n1", "n2"].iter().all(|node| {
@@ -58,7 +58,7 @@
 }
 
 fn act(
-    control: &Service,
+    control: &ControlServiceProcess,
     name: &'static str,
     what: impl FnOnce() -> Result<(), String>,
 ) -> Result<Act, String> {
@@ -78,17 +78,17 @@
 pub fn play() -> Result<bool, String> {
     let first = document(&[READ], 2, "").map_err(failed)?;
     let control = control_service(&first)?;
-    let work = Work { cores: 4, takes: Duration::from_millis(20), calls: true };
+    let work = Workload { cores: 4, job_duration: Duration::from_millis(20), makes_call: true };
     let stage = |name: &str| -> Result<Stage, String> {
-        let world = World::new(work).map_err(failed)?;
+        let world = TestEnvironment::new(work).map_err(failed)?;
         let stream = format!("lineage = \"demo\"\n{TRIAL}");
-        let mut plan = world.plan(name, &program()?, &[SELF], control.address, &stream);
+        let mut plan = world.node_config(name, &program()?, &[SELF], control.address, &stream);
         plan.log = "off".into();
         let node = plan.start().map_err(failed)?;
-        if !node.becomes(true) {
+        if !node.wait_until_ready(true) {
             return Err(format!("{name} is not ready in time"));
         }
-        let callers = callers(node.plan.listen, 60.0, &["read"]);
+        let callers = start_callers(node.config.listen, 60.0, &["read"]);
         Ok(Stage { world, node, callers })
     };
     println!("a control service at {}, two nodes that follow it, 60 jobs a second to each", control.address);
@@ -103,7 +103,7 @@
         })?,
         act(&control, "a document that is wrong: told, not published", || {
             control.publish("[use_case.read]\ngoal_ms = \"soon\"\n").map_err(failed)?;
-            let told = comes_true(WITHIN, || {
+            let told = wait_until(WITHIN, || {
                 std::thread::sleep(LOOK);
                 control.status()["folder"].is_string()
             });
@@ -120,29 +120,30 @@
     for stage in &stages {
         stage.node.signal("TERM");
     }
-    let clean = stages.iter_mut().all(|stage| stage.node.ended().is_some_and(|status| status.success()));
-    let mut told: Vec<Told> = Vec::new();
+    let clean =
+        stages.iter_mut().all(|stage| stage.node.wait_for_exit().is_some_and(|status| status.success()));
+    let mut told: Vec<JobResult> = Vec::new();
     let mut kept = clean;
     println!();
     for Stage { world, node, callers } in stages {
         let (of_node, twice) = callers.stop();
-        let verdict = rules::check(&of_node, twice, &world.executor.runs(), CUT_OFF, GRACE);
-        println!("{}: {verdict}", node.plan.name);
-        kept &= verdict.kept();
+        let verdict = rule_check::check(&of_node, twice, &world.executor.runs(), CUT_OFF, GRACE);
+        println!("{}: {verdict}", node.config.name);
+        kept &= verdict.passed();
         told.extend(of_node);
     }
     let mut table = Table::new();
     table.load_style(ASCII_MARKDOWN);
     table.set_header(["act", "jobs", "satisfied", "bounced", "written off", "versions at its end"]);
     for Act { name, from, to, versions } in &acts {
-        let of_act: Vec<&Told> = told.iter().filter(|told| (*from..*to).contains(&told.sent)).collect();
-        let count = |fate| of_act.iter().filter(|told| told.fate == fate).count().to_string();
+        let of_act: Vec<&JobResult> = told.iter().filter(|told| (*from..*to).contains(&told.sent)).collect();
+        let count = |fate| of_act.iter().filter(|told| told.outcome == fate).count().to_string();
         table.add_row([
             (*name).to_owned(),
             of_act.len().to_string(),
-            count(Fate::Succeeded),
-            count(Fate::Rejected),
-            count(Fate::Failed),
+            count(JobOutcome::Succeeded),
+            count(JobOutcome::Rejected),
+            count(JobOutcome::Failed),
             versions.join(", "),
         ]);
     }
--- a/crates/hazelgrade-demo/src/trouble.rs
+++ b/crates/hazelgrade-demo/src/trouble.rs
@@ -4,9 +4,9 @@
 use crate::SELF;
 use crate::parts::{failed, program};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
-use hazelgrade_fakes::callers::Fate;
-use hazelgrade_fault_injection::plan::Plan;
-use hazelgrade_fault_injection::plan_run::{PlanResult, play as play_plan};
+use hazelgrade_fakes::callers::JobOutcome;
+use hazelgrade_fault_injection::plan::FaultPlan;
+use hazelgrade_fault_injection::plan_run::{PlanResult, run_plan};
 use hazelgrade_fault_injection::shrink::shrink;
 use pico_args::Arguments;
 use std::collections::BTreeMap;
@@ -56,17 +56,17 @@
     plans: usize,
     faults: usize,
     unmet: usize,
-    jobs: BTreeMap<Fate, usize>,
+    jobs: BTreeMap<JobOutcome, usize>,
     failed: Vec<(u64, Vec<String>)>,
 }
 
 impl Sum {
-    fn add(&mut self, plan: &Plan, played: &PlanResult) {
+    fn add(&mut self, plan: &FaultPlan, played: &PlanResult) {
         self.plans += 1;
-        self.faults += plan.step.len();
-        self.unmet += played.unmet;
+        self.faults += plan.steps.len();
+        self.unmet += played.missed_triggers;
         for job in &played.history.jobs {
-            *self.jobs.entry(job.fate).or_default() += 1;
+            *self.jobs.entry(job.outcome).or_default() += 1;
         }
         if !played.violations.is_empty() {
             self.failed.push((plan.seed, played.violations.iter().map(ToString::to_string).collect()));
@@ -74,8 +74,8 @@
     }
 }
 
-fn once(plan: &Plan) -> Result<PlanResult, String> {
-    play_plan(plan, &program()?, &[SELF]).map_err(failed)
+fn once(plan: &FaultPlan) -> Result<PlanResult, String> {
+    run_plan(plan, &program()?, &[SELF]).map_err(failed)
 }
 
 /// `true` if no rule was broken.
@@ -88,15 +88,15 @@
         Some(path) => {
             let shown = path.display();
             let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
-            Some(Plan::read(&text).map_err(|error| format!("{shown}: {error}"))?)
+            Some(FaultPlan::read(&text).map_err(|error| format!("{shown}: {error}"))?)
         }
     };
     let mut sum = Sum::default();
     let mut seed = asked.seed;
     loop {
         let plan = given.clone().unwrap_or_else(|| match asked.shared {
-            Some((sites, whole)) => Plan::draw_shared(seed, asked.nodes, asked.faults, sites, whole),
-            None => Plan::draw(seed, asked.nodes, asked.faults),
+            Some((sites, whole)) => FaultPlan::draw_shared(seed, asked.nodes, asked.faults, sites, whole),
+            None => FaultPlan::draw(seed, asked.nodes, asked.faults),
         });
         let at = Instant::now();
         let played = once(&plan)?;
@@ -105,7 +105,7 @@
             "{:>6.0} s  seed {:<8} {:>2} steps, {:>4} jobs, {:>5.1} s: {}",
             began.elapsed().as_secs_f64(),
             plan.seed,
-            plan.step.len(),
+            plan.steps.len(),
             played.history.jobs.len(),
             at.elapsed().as_secs_f64(),
             if played.violations.is_empty() { "kept" } else { "BROKEN" }
@@ -138,9 +138,9 @@
         sum.faults.to_string(),
         sum.unmet.to_string(),
         sum.jobs.values().sum::<usize>().to_string(),
-        of(Fate::Succeeded),
-        of(Fate::Rejected),
-        of(Fate::Lost),
+        of(JobOutcome::Succeeded),
+        of(JobOutcome::Rejected),
+        of(JobOutcome::Lost),
         sum.failed.len().to_string(),
     ]);
     println!("\n{table}\n");
@@ -153,10 +153,10 @@
 }
 
 /// Plays a plan that failed again, with fewer and fewer steps.
-fn tell_least(plan: &Plan) {
+fn tell_least(plan: &FaultPlan) {
     println!("         shrinking, at most {TRIES} plans");
     let least = shrink(plan, TRIES, |plan| once(plan).is_ok_and(|played| !played.violations.is_empty()));
-    if least.step.len() < plan.step.len() || once(plan).is_ok_and(|played| !played.violations.is_empty()) {
+    if least.steps.len() < plan.steps.len() || once(plan).is_ok_and(|played| !played.violations.is_empty()) {
         println!("the least plan that failed, for --plan:\n\n{}", least.to_toml());
     } else {
         println!("played again, it kept the rules; the whole plan, for --plan:\n\n{}", plan.to_toml());
--- a/crates/hazelgrade-fakes/src/callers.rs
+++ b/crates/hazelgrade-fakes/src/callers.rs
@@ -16,7 +16,7 @@
 const OPEN: usize = 12;
 
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct CallersConfig {
     pub node: SocketAddr,
     pub connections: usize,
     /// Jobs a second in all.
@@ -32,7 +32,7 @@
 pub type Token = Arc<Mutex<String>>;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fate {
+pub enum JobOutcome {
     Succeeded,
     Rejected,
     /// Its caller may not ask for it.
@@ -48,17 +48,17 @@
 
 /// What became of a job.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct JobResult {
     pub id: String,
     pub job_class: String,
     pub sent: Instant,
-    pub after: Duration,
-    pub fate: Fate,
+    pub latency: Duration,
+    pub outcome: JobOutcome,
 }
 
 #[derive(Default)]
 struct Record {
-    told: Mutex<Vec<Told>>,
+    told: Mutex<Vec<JobResult>>,
     /// Answers to calls that were not open.
     twice: AtomicU64,
     stop: AtomicBool,
@@ -76,7 +76,7 @@
 }
 
 impl Callers {
-    pub fn start(plan: &Plan) -> Callers {
+    pub fn start(plan: &CallersConfig) -> Callers {
         let record = Arc::new(Record::default());
         // Ids are told apart by process, connection and count.
         static CONNECTIONS: AtomicUsize = AtomicUsize::new(0);
@@ -89,7 +89,7 @@
     }
 
     /// What became of the jobs so far.
-    pub fn told(&self) -> Vec<Told> {
+    pub fn results(&self) -> Vec<JobResult> {
         lock(&self.record.told).clone()
     }
 
@@ -100,7 +100,7 @@
 
     /// Sends no more, waits for the answers that are open, and gives what became of all jobs, and how many answers came
     /// for none.
-    pub fn stop(self) -> (Vec<Told>, u64) {
+    pub fn stop(self) -> (Vec<JobResult>, u64) {
         self.record.stop.store(true, Ordering::Relaxed);
         for thread in self.threads {
             // A thread that panicked has told what it knew.
@@ -110,20 +110,20 @@
     }
 }
 
-fn fate(answer: &Value) -> Fate {
+fn outcome(answer: &Value) -> JobOutcome {
     if answer["result"]["body"].is_string() {
-        return Fate::Succeeded;
+        return JobOutcome::Succeeded;
     }
     match answer["error"]["code"].as_i64() {
-        Some(-32066) if answer["error"]["data"]["denied"] == 1 => Fate::Denied,
-        Some(-32066) => Fate::Rejected,
-        Some(-32000) => Fate::Failed,
-        _ => Fate::Wrong,
+        Some(-32066) if answer["error"]["data"]["denied"] == 1 => JobOutcome::Denied,
+        Some(-32066) => JobOutcome::Rejected,
+        Some(-32000) => JobOutcome::Failed,
+        _ => JobOutcome::Wrong,
     }
 }
 
 /// One connection after the other, until it is to stop.
-fn call(plan: &Plan, place: usize, record: &Arc<Record>) {
+fn call(plan: &CallersConfig, place: usize, record: &Arc<Record>) {
     let mut count = 0;
     while !record.stop.load(Ordering::Relaxed) {
         match TcpStream::connect(plan.node) {
@@ -150,15 +150,15 @@
                 let _ = stream.shutdown(std::net::Shutdown::Both);
                 let ended = reading.join().unwrap_or_else(|_| Instant::now());
                 let lost = std::mem::take(&mut *lock(&open));
-                lock(&record.told).extend(lost.into_values().map(|(id, job_class, sent)| Told {
+                lock(&record.told).extend(lost.into_values().map(|(id, job_class, sent)| JobResult {
                     id,
                     job_class,
                     sent,
-                    after: ended.saturating_duration_since(sent),
-                    fate: if ended.saturating_duration_since(sent) <= CROSSED {
-                        Fate::Crossed
+                    latency: ended.saturating_duration_since(sent),
+                    outcome: if ended.saturating_duration_since(sent) <= CROSSED {
+                        JobOutcome::Crossed
                     } else {
-                        Fate::Lost
+                        JobOutcome::Lost
                     },
                 }));
             }
@@ -168,7 +168,7 @@
 }
 
 fn send(
-    plan: &Plan,
+    plan: &CallersConfig,
     place: usize,
     mut stream: &TcpStream,
     open: &Open,
@@ -225,7 +225,8 @@
         }
         match answer["id"].as_u64().and_then(|call| lock(open).remove(&call)) {
             Some((id, job_class, sent)) => {
-                let told = Told { id, job_class, sent, after: sent.elapsed(), fate: fate(&answer) };
+                let told =
+                    JobResult { id, job_class, sent, latency: sent.elapsed(), outcome: outcome(&answer) };
                 lock(&record.told).push(told);
             }
             None => {
--- a/crates/hazelgrade-fakes/src/control.rs
+++ b/crates/hazelgrade-fakes/src/control_service.rs
@@ -1,6 +1,6 @@
 //! A control service that says what a script has it say, right or wrong.
 
-use crate::{SOON, comes_true};
+use crate::{EVENT_TIMEOUT, wait_until};
 use hazelgrade_config::{Difference, Document, Version};
 use hazelgrade_stream::protocol::{Content, Offer, PublisherMessage, SubscriberMessage};
 use std::io::{BufRead, BufReader, Write};
@@ -8,7 +8,7 @@
 
 pub const LINEAGE: &str = "test";
 
-pub struct Control {
+pub struct FakeControlService {
     listener: TcpListener,
     pub address: SocketAddr,
 }
@@ -21,25 +21,25 @@
     nonces: u64,
 }
 
-impl Control {
-    pub fn start() -> std::io::Result<Control> {
+impl FakeControlService {
+    pub fn start() -> std::io::Result<FakeControlService> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
-        Ok(Control { listener, address })
+        Ok(FakeControlService { listener, address })
     }
 
     /// The next subscriber, and what it says it has; none if none comes in time.
-    pub fn subscriber(&self) -> Option<Subscriber> {
+    pub fn accept_subscriber(&self) -> Option<Subscriber> {
         let mut came = None;
-        comes_true(SOON, || {
+        wait_until(EVENT_TIMEOUT, || {
             came = self.listener.accept().ok();
             came.is_some()
         });
         let (stream, _) = came?;
         stream.set_nonblocking(false).ok()?;
         stream.set_nodelay(true).ok()?;
-        stream.set_read_timeout(Some(SOON)).ok()?;
+        stream.set_read_timeout(Some(EVENT_TIMEOUT)).ok()?;
         let mut reader = BufReader::new(stream);
         let mut line = Vec::new();
         reader.read_until(b'\n', &mut line).ok()?;
@@ -59,7 +59,7 @@
     }
 
     /// The next thing it says, but for pongs; none if it ends or says nothing in time.
-    pub fn hear(&mut self) -> Option<SubscriberMessage> {
+    pub fn receive(&mut self) -> Option<SubscriberMessage> {
         loop {
             let mut line = Vec::new();
             self.reader.read_until(b'\n', &mut line).ok().filter(|read| *read > 0)?;
@@ -75,21 +75,21 @@
     }
 
     pub fn offer(&mut self, version: Version, content: Content) -> u64 {
-        self.offer_of(LINEAGE, version, content)
+        self.offer_in_lineage(LINEAGE, version, content)
     }
 
-    pub fn offer_of(&mut self, lineage: &str, version: Version, content: Content) -> u64 {
+    pub fn offer_in_lineage(&mut self, lineage: &str, version: Version, content: Content) -> u64 {
         self.nonces += 1;
         let offer = Offer { nonce: self.nonces, lineage: lineage.into(), version, content };
         self.write(PublisherMessage::Offer(offer).encode().as_bytes());
         self.nonces
     }
 
-    pub fn offer_whole(&mut self, number: u64, document: &Document) -> u64 {
+    pub fn offer_full(&mut self, number: u64, document: &Document) -> u64 {
         self.offer(version(number, document), Content::Full(document.to_toml()))
     }
 
-    pub fn offer_change(&mut self, number: u64, base: (u64, &Document), document: &Document) -> u64 {
+    pub fn offer_delta(&mut self, number: u64, base: (u64, &Document), document: &Document) -> u64 {
         let difference: Difference = base.1.fields().difference(document.fields());
         let base = version(base.0, base.1);
         self.offer(version(number, document), Content::Delta { base, difference })
--- a/crates/hazelgrade-fakes/src/dependency.rs
+++ b/crates/hazelgrade-fakes/src/dependency.rs
@@ -12,33 +12,33 @@
 type Call = (u64, String);
 
 struct State {
-    takes: Duration,
+    call_duration: Duration,
     /// What it lives through now.
-    most: usize,
-    in_hand: BTreeMap<Call, Arc<Mutex<TcpStream>>>,
+    capacity: usize,
+    in_flight: BTreeMap<Call, Arc<Mutex<TcpStream>>>,
     due: BinaryHeap<Reverse<(Instant, Call, bool)>>,
     /// The most that was in hand at once.
     peak: usize,
     /// How often more came than it lives through, and by how much at worst.
-    passed: usize,
-    worst: usize,
+    overloads: usize,
+    worst_excess: usize,
     calls: u64,
     /// In-hand integrated over time, for its mean.
-    area: f64,
-    since: Instant,
+    call_seconds: f64,
+    integrated_until: Instant,
 }
 
 impl State {
-    fn account(&mut self) {
-        self.area += self.in_hand.len() as f64 * self.since.elapsed().as_secs_f64();
-        self.since = Instant::now();
+    fn integrate(&mut self) {
+        self.call_seconds += self.in_flight.len() as f64 * self.integrated_until.elapsed().as_secs_f64();
+        self.integrated_until = Instant::now();
     }
 
-    fn came(&mut self) {
-        self.peak = self.peak.max(self.in_hand.len());
-        if self.in_hand.len() > self.most {
-            self.passed += 1;
-            self.worst = self.worst.max(self.in_hand.len() - self.most);
+    fn record_arrival(&mut self) {
+        self.peak = self.peak.max(self.in_flight.len());
+        if self.in_flight.len() > self.capacity {
+            self.overloads += 1;
+            self.worst_excess = self.worst_excess.max(self.in_flight.len() - self.capacity);
         }
     }
 }
@@ -67,16 +67,16 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let state = State {
-            takes,
-            most,
-            in_hand: BTreeMap::new(),
+            call_duration: takes,
+            capacity: most,
+            in_flight: BTreeMap::new(),
             due: BinaryHeap::new(),
             peak: 0,
-            passed: 0,
-            worst: 0,
+            overloads: 0,
+            worst_excess: 0,
             calls: 0,
-            area: 0.0,
-            since: Instant::now(),
+            call_seconds: 0.0,
+            integrated_until: Instant::now(),
         };
         let shared = Arc::new(Shared { state: Mutex::new(state), changed: Condvar::new() });
         let timing = shared.clone();
@@ -91,17 +91,17 @@
         Ok(Dependency { shared, address })
     }
 
-    pub fn change(&self, takes: Duration) {
-        self.shared.lock().takes = takes;
+    pub fn set_call_duration(&self, takes: Duration) {
+        self.shared.lock().call_duration = takes;
     }
 
     /// From now on it lives through so many.
-    pub fn lives_through(&self, most: usize) {
-        self.shared.lock().most = most;
+    pub fn set_capacity(&self, most: usize) {
+        self.shared.lock().capacity = most;
     }
 
-    pub fn in_hand(&self) -> usize {
-        self.shared.lock().in_hand.len()
+    pub fn in_flight(&self) -> usize {
+        self.shared.lock().in_flight.len()
     }
 
     pub fn peak(&self) -> usize {
@@ -109,9 +109,9 @@
     }
 
     /// How often there was more than it lives through, and by how much at worst.
-    pub fn passed(&self) -> (usize, usize) {
+    pub fn overloads(&self) -> (usize, usize) {
         let state = self.shared.lock();
-        (state.passed, state.worst)
+        (state.overloads, state.worst_excess)
     }
 
     pub fn calls(&self) -> u64 {
@@ -121,8 +121,8 @@
     /// Calls in hand, summed up over time since the start: by seconds.
     pub fn call_seconds(&self) -> f64 {
         let mut state = self.shared.lock();
-        state.account();
-        state.area
+        state.integrate();
+        state.call_seconds
     }
 }
 
@@ -132,8 +132,8 @@
         let next = state.due.peek().map(|Reverse((at, ..))| *at);
         if next.is_some_and(|at| at <= Instant::now()) {
             if let Some(Reverse((_, call, answered))) = state.due.pop() {
-                state.account();
-                let stream = state.in_hand.remove(&call);
+                state.integrate();
+                let stream = state.in_flight.remove(&call);
                 if let Some(stream) = stream {
                     let answer = if answered { "ROWS 4\r\nrows\r\n" } else { "TIMEOUT\r\n" };
                     let mut stream = stream.lock().unwrap_or_else(PoisonError::into_inner);
@@ -166,18 +166,18 @@
                 reader.read_exact(&mut body).ok()?;
                 let within = Duration::from_millis(within.parse().ok()?);
                 let mut state = shared.lock();
-                state.account();
+                state.integrate();
                 let call = (connection, id.to_owned());
-                state.in_hand.insert(call.clone(), writing.clone());
+                state.in_flight.insert(call.clone(), writing.clone());
                 state.calls += 1;
-                state.came();
-                let (after, answered) = (state.takes.min(within), state.takes <= within);
+                state.record_arrival();
+                let (after, answered) = (state.call_duration.min(within), state.call_duration <= within);
                 state.due.push(Reverse((Instant::now() + after, call, answered)));
             }
             ["X", id] => {
                 let mut state = shared.lock();
-                state.account();
-                state.in_hand.remove(&(connection, id.to_owned()));
+                state.integrate();
+                state.in_flight.remove(&(connection, id.to_owned()));
             }
             _ => {}
         }
--- a/crates/hazelgrade-fakes/src/documents.rs
+++ b/crates/hazelgrade-fakes/src/documents.rs
@@ -3,10 +3,10 @@
 use hazelgrade_config::{ConfigError, Document, error_summary};
 
 /// A job class by its name, latency objective, deadline in ms, and priority weight.
-pub type Case<'a> = (&'a str, u32, u32, u32);
+pub type JobClassEntry<'a> = (&'a str, u32, u32, u32);
 
-pub const READ: Case = ("read", 1000, 3000, 1);
-pub const BOOK: Case = ("book", 1000, 3000, 2);
+pub const READ: JobClassEntry = ("read", 1000, 3000, 1);
+pub const BOOK: JobClassEntry = ("book", 1000, 3000, 2);
 
 /// Errors that are shown of a document.
 const SHOWN_ERRORS: usize = 5;
@@ -20,7 +20,7 @@
 }
 
 /// A document in TOML with these job classes, so many tenants, and further lines at its end.
-pub fn text(cases: &[Case], tenants: usize, rest: &str) -> String {
+pub fn text(cases: &[JobClassEntry], tenants: usize, rest: &str) -> String {
     let mut text = String::new();
     for (name, goal, deadline, priority_weight) in cases {
         text.push_str(&format!(
@@ -39,6 +39,6 @@
 /// # Errors
 ///
 /// [`DocumentError`] with every error of the document.
-pub fn document(cases: &[Case], tenants: usize, rest: &str) -> Result<Document, DocumentError> {
+pub fn document(cases: &[JobClassEntry], tenants: usize, rest: &str) -> Result<Document, DocumentError> {
     Document::read(&text(cases, tenants, rest), "a fake document").map_err(|errors| DocumentError { errors })
 }
--- a/crates/hazelgrade-fakes/src/executor.rs
+++ b/crates/hazelgrade-fakes/src/executor.rs
@@ -10,12 +10,12 @@
 use std::time::{Duration, Instant};
 
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
+pub struct Workload {
     pub cores: usize,
     /// How long a job takes, half of it before its call.
-    pub takes: Duration,
+    pub job_duration: Duration,
     /// Jobs stand at a call once.
-    pub calls: bool,
+    pub makes_call: bool,
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -25,11 +25,11 @@
 }
 
 struct State {
-    work: Work,
+    workload: Workload,
     free_at: Vec<Instant>,
     link: Option<TcpStream>,
     /// Counts links: a new one replaces the one before, and what comes late on that counts no more.
-    links: u64,
+    link_generation: u64,
     /// All notices, the first with number 1.
     notices: Vec<Value>,
     /// Of the jobs that run, when each began.
@@ -58,13 +58,13 @@
 }
 
 impl State {
-    fn notice(&mut self, mut notice: Value) {
+    fn publish_notice(&mut self, mut notice: Value) {
         notice["cursor"] = json!(self.notices.len() + 1);
-        self.say(&notice);
+        self.send(&notice);
         self.notices.push(notice);
     }
 
-    fn say(&mut self, message: &Value) {
+    fn send(&mut self, message: &Value) {
         if let Some(link) = &mut self.link
             && link.write_all(format!("{message}\n").as_bytes()).is_err()
         {
@@ -88,16 +88,16 @@
         }
         *self.runs.entry(id.to_owned()).or_default() += 1;
         self.running.insert(id.to_owned(), Instant::now());
-        let Work { takes, calls, .. } = self.work;
+        let Workload { job_duration: takes, makes_call: calls, .. } = self.workload;
         let (part, due) =
             if calls { (takes / 2, Due::AtCall(id.into())) } else { (takes, Due::Over(id.into())) };
         let at = self.occupy(part);
         self.due.push(Reverse((at, due)));
     }
 
-    fn go_on(&mut self, id: &str) {
+    fn resume(&mut self, id: &str) {
         if self.running.contains_key(id) {
-            let at = self.occupy(self.work.takes / 2);
+            let at = self.occupy(self.workload.job_duration / 2);
             self.due.push(Reverse((at, Due::Over(id.into()))));
         }
     }
@@ -106,19 +106,22 @@
         if let Some(began) = self.running.remove(id) {
             let body = if fate == "good" { "cmVzdWx0" } else { "" };
             let lasted = began.elapsed().as_millis() as u64;
-            self.notice(json!({"event": "EXIT", "handle": id, "fate": fate, "lasted": lasted, "arg": body}));
+            self.publish_notice(
+                json!({"event": "EXIT", "handle": id, "fate": fate, "lasted": lasted, "arg": body}),
+            );
         }
     }
 
-    fn hear(&mut self, command: &Value) {
+    fn handle(&mut self, command: &Value) {
         let id = command["handle"].as_str().unwrap_or_default();
         match command["event"].as_str() {
             Some("EXEC") => self.start(id),
-            Some("RETURN" | "BYPASS") => self.go_on(id),
+            Some("RETURN" | "BYPASS") => self.resume(id),
             Some("KILL") => self.end(id, "cut"),
             Some("METER") => {
-                let used = self.running.len().min(self.work.cores) as f64 / self.work.cores.max(1) as f64;
-                self.say(&json!({"event": "METERS", "ticket": command["ticket"], "figures": [3, used]}));
+                let used =
+                    self.running.len().min(self.workload.cores) as f64 / self.workload.cores.max(1) as f64;
+                self.send(&json!({"event": "METERS", "ticket": command["ticket"], "figures": [3, used]}));
             }
             _ => {}
         }
@@ -126,15 +129,15 @@
 }
 
 impl Executor {
-    pub fn start(work: Work) -> std::io::Result<Executor> {
+    pub fn start(work: Workload) -> std::io::Result<Executor> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let now = Instant::now();
         let state = State {
-            work,
+            workload: work,
             free_at: vec![now; work.cores.max(1)],
             link: None,
-            links: 0,
+            link_generation: 0,
             notices: Vec::new(),
             running: BTreeMap::new(),
             runs: BTreeMap::new(),
@@ -163,9 +166,9 @@
     }
 
     /// Other work from now on.
-    pub fn change(&self, work: Work) {
+    pub fn set_workload(&self, work: Workload) {
         let mut state = self.shared.lock();
-        state.work = work;
+        state.workload = work;
         state.free_at.resize(work.cores.max(1), Instant::now());
     }
 
@@ -173,7 +176,7 @@
     pub fn restart(&self) {
         let mut state = self.shared.lock();
         state.link = None;
-        state.links += 1;
+        state.link_generation += 1;
         state.notices.clear();
         state.running.clear();
         state.due.clear();
@@ -188,7 +191,7 @@
             Some(at) if at <= Instant::now() => match state.due.pop() {
                 Some(Reverse((_, Due::Over(id)))) => state.end(&id, "good"),
                 Some(Reverse((_, Due::AtCall(id)))) if state.running.contains_key(&id) => {
-                    state.notice(json!({"event": "CALLOUT", "handle": id, "arg": "cXVlcnk="}));
+                    state.publish_notice(json!({"event": "CALLOUT", "handle": id, "arg": "cXVlcnk="}));
                 }
                 _ => {}
             },
@@ -211,14 +214,14 @@
         let mut state = shared.lock();
         if command["event"] == "JOIN" {
             state.link = writing.take();
-            state.links += 1;
-            own = state.links;
+            state.link_generation += 1;
+            own = state.link_generation;
             let read = command["cursor"].as_u64().unwrap_or(0) as usize;
-            state.say(&json!({"event": "WELCOME", "fate": "old", "lasted": 1000}));
+            state.send(&json!({"event": "WELCOME", "fate": "old", "lasted": 1000}));
             let missed: Vec<Value> = state.notices.iter().skip(read).cloned().collect();
-            missed.iter().for_each(|notice| state.say(notice));
-        } else if own == state.links {
-            state.hear(&command);
+            missed.iter().for_each(|notice| state.send(notice));
+        } else if own == state.link_generation {
+            state.handle(&command);
         } else {
             return;
         }
--- a/crates/hazelgrade-fakes/src/lib.rs
+++ b/crates/hazelgrade-fakes/src/lib.rs
@@ -3,25 +3,25 @@
 //! the protocols. Nothing here is part of the program.
 
 pub mod callers;
-pub mod control;
+pub mod control_process;
+pub mod control_service;
 pub mod database;
 pub mod dependency;
 pub mod documents;
 pub mod executor;
 pub mod fleet;
-pub mod node;
+pub mod node_process;
 pub mod registry;
-pub mod rules;
-pub mod service;
-pub mod world;
+pub mod rule_check;
+pub mod test_environment;
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// What ought to come at once has come by then, or it doesn't.
-pub const SOON: Duration = Duration::from_secs(10);
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// An address that nothing else uses: each has a loopback host of its own, by process and count. It isn't tried out
 /// first: a process that is being started in another thread would hold it for a moment longer.
@@ -33,7 +33,7 @@
 }
 
 /// Waits until something is so; `false` if it isn't in time.
-pub fn comes_true(within: Duration, mut so: impl FnMut() -> bool) -> bool {
+pub fn wait_until(within: Duration, mut so: impl FnMut() -> bool) -> bool {
     let by = Instant::now() + within;
     loop {
         if so() {
@@ -42,7 +42,7 @@
         if Instant::now() >= by {
             return false;
         }
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
--- a/crates/hazelgrade-fakes/src/node.rs
+++ b/crates/hazelgrade-fakes/src/node_process.rs
@@ -1,6 +1,6 @@
 //! A node as a process, with its files.
 
-use crate::{SOON, comes_true};
+use crate::{EVENT_TIMEOUT, wait_until};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpStream};
@@ -10,12 +10,12 @@
 
 /// How a node is started.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct NodeConfig {
     /// The program, and the words before `serve`, if any.
     pub program: PathBuf,
-    pub words: Vec<String>,
+    pub arguments: Vec<String>,
     /// Where its files go.
-    pub folder: PathBuf,
+    pub directory: PathBuf,
     pub name: String,
     pub listen: SocketAddr,
     pub executor: SocketAddr,
@@ -29,13 +29,13 @@
 }
 
 /// Sends a signal to a child of ours that was not waited for, so its id is still its own.
-pub fn send(child: &Child, signal: Signal) -> bool {
+pub fn send_signal(child: &Child, signal: Signal) -> bool {
     let id = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
     id.is_some_and(|id| kill_process(id, signal).is_ok())
 }
 
-pub struct Node {
-    pub plan: Plan,
+pub struct NodeProcess {
+    pub config: NodeConfig,
     child: Child,
 }
 
@@ -52,17 +52,17 @@
     })
 }
 
-impl Plan {
-    pub fn store(&self) -> PathBuf {
-        self.folder.join(format!("{}.store", self.name))
+impl NodeConfig {
+    pub fn store_file(&self) -> PathBuf {
+        self.directory.join(format!("{}.store", self.name))
     }
 
-    pub fn operator(&self) -> PathBuf {
-        self.folder.join(format!("{}.operator.toml", self.name))
+    pub fn operator_file(&self) -> PathBuf {
+        self.directory.join(format!("{}.operator.toml", self.name))
     }
 
-    fn configuration(&self) -> PathBuf {
-        self.folder.join(format!("{}.json", self.name))
+    fn config_file(&self) -> PathBuf {
+        self.directory.join(format!("{}.json", self.name))
     }
 
     /// Writes its files.
@@ -74,24 +74,24 @@
             "db": self.database.map(|database| database.to_string()),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings()
         });
-        std::fs::write(self.configuration(), configuration.to_string())?;
+        std::fs::write(self.config_file(), configuration.to_string())?;
         let control: Vec<String> = self.control.iter().map(ToString::to_string).collect();
         let operator =
-            format!("[stream]\ncontrol = {control:?}\nstore = {:?}\n{}\n", self.store(), self.stream);
-        std::fs::write(self.operator(), operator)
+            format!("[stream]\ncontrol = {control:?}\nstore = {:?}\n{}\n", self.store_file(), self.stream);
+        std::fs::write(self.operator_file(), operator)
     }
 
     /// Writes its files and starts it.
-    pub fn start(&self) -> std::io::Result<Node> {
+    pub fn start(&self) -> std::io::Result<NodeProcess> {
         self.write()?;
-        let child = self.spawn(&self.configuration())?;
-        Ok(Node { plan: self.clone(), child })
+        let child = self.spawn(&self.config_file())?;
+        Ok(NodeProcess { config: self.clone(), child })
     }
 
     fn spawn(&self, configuration: &Path) -> std::io::Result<Child> {
         let mut command = Command::new(&self.program);
-        command.args(&self.words).arg("serve").arg("--config").arg(configuration);
-        command.arg("--operator").arg(self.operator()).args(["--log", &self.log]);
+        command.args(&self.arguments).arg("serve").arg("--config").arg(configuration);
+        command.arg("--operator").arg(self.operator_file()).args(["--log", &self.log]);
         command.env_remove("PROXY_CONFIG").stdin(Stdio::null());
         if self.log == "off" {
             command.stderr(Stdio::null());
@@ -100,7 +100,7 @@
     }
 }
 
-impl Node {
+impl NodeProcess {
     pub fn signal(&self, name: &str) -> bool {
         let signal = match name {
             "TERM" => Signal::TERM,
@@ -109,11 +109,11 @@
             "CONT" => Signal::CONT,
             _ => Signal::KILL,
         };
-        send(&self.child, signal)
+        send_signal(&self.child, signal)
     }
 
     /// How it ended, if it has; without waiting.
-    pub fn has_ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
@@ -124,9 +124,9 @@
     }
 
     /// Started again with the files it had.
-    pub fn start_again(&mut self) -> std::io::Result<()> {
+    pub fn restart(&mut self) -> std::io::Result<()> {
         self.kill();
-        self.child = self.plan.spawn(&self.plan.configuration())?;
+        self.child = self.config.spawn(&self.config.config_file())?;
         Ok(())
     }
 
@@ -139,9 +139,9 @@
     }
 
     /// How it ended, once it has ended by itself.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn wait_for_exit(&mut self) -> Option<ExitStatus> {
         let mut status = None;
-        comes_true(SOON, || {
+        wait_until(EVENT_TIMEOUT, || {
             status = self.child.try_wait().ok().flatten();
             status.is_some()
         });
@@ -149,11 +149,11 @@
     }
 
     /// What it says to a health check; none if it can't be reached in time.
-    pub fn check(&self) -> Option<bool> {
+    pub fn health_check(&self) -> Option<bool> {
         use std::io::{BufRead, BufReader, Write};
         let mut stream = None;
-        comes_true(SOON, || {
-            stream = TcpStream::connect(self.plan.listen).ok();
+        wait_until(EVENT_TIMEOUT, || {
+            stream = TcpStream::connect(self.config.listen).ok();
             stream.is_some()
         });
         let stream = stream?;
@@ -165,12 +165,12 @@
     }
 
     /// Waits until it is ready, or not.
-    pub fn becomes(&self, ready: bool) -> bool {
-        comes_true(SOON, || self.check() == Some(ready))
+    pub fn wait_until_ready(&self, ready: bool) -> bool {
+        wait_until(EVENT_TIMEOUT, || self.health_check() == Some(ready))
     }
 }
 
-impl Drop for Node {
+impl Drop for NodeProcess {
     fn drop(&mut self) {
         self.kill();
     }
--- a/crates/hazelgrade-fakes/src/registry.rs
+++ b/crates/hazelgrade-fakes/src/registry.rs
@@ -6,7 +6,7 @@
 
 #[derive(Clone)]
 pub struct Registry {
-    last: Arc<Mutex<BTreeMap<String, String>>>,
+    states: Arc<Mutex<BTreeMap<String, String>>>,
     pub address: SocketAddr,
 }
 
@@ -14,8 +14,8 @@
     /// Hears until the process ends.
     pub fn start() -> std::io::Result<Registry> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
-        let registry = Registry { last: Arc::default(), address: socket.local_addr()? };
-        let last = registry.last.clone();
+        let registry = Registry { states: Arc::default(), address: socket.local_addr()? };
+        let last = registry.states.clone();
         std::thread::spawn(move || {
             let mut report = [0; 256];
             while let Ok(length) = socket.recv(&mut report) {
@@ -30,7 +30,7 @@
     }
 
     /// What a node reported last.
-    pub fn says(&self, name: &str) -> Option<String> {
-        self.last.lock().unwrap_or_else(PoisonError::into_inner).get(name).cloned()
+    pub fn last_state(&self, name: &str) -> Option<String> {
+        self.states.lock().unwrap_or_else(PoisonError::into_inner).get(name).cloned()
     }
 }
--- a/crates/hazelgrade-fakes/src/world.rs
+++ b/crates/hazelgrade-fakes/src/test_environment.rs
@@ -1,8 +1,8 @@
 //! All that a node needs round it, but for its control service.
 
-use crate::callers::{Callers, Plan as Calling, Token};
-use crate::executor::{Executor, Work};
-use crate::node::Plan;
+use crate::callers::{Callers, CallersConfig, Token};
+use crate::executor::{Executor, Workload};
+use crate::node_process::NodeConfig;
 use crate::registry::Registry;
 use crate::{database, free_address};
 use std::io;
@@ -14,17 +14,17 @@
 /// How long a call below takes.
 const CALL: Duration = Duration::from_millis(2);
 
-pub struct World {
-    pub folder: TempDir,
+pub struct TestEnvironment {
+    pub directory: TempDir,
     pub executor: Executor,
     pub registry: Registry,
     pub database: SocketAddr,
 }
 
-impl World {
-    pub fn new(work: Work) -> io::Result<World> {
-        Ok(World {
-            folder: tempfile::tempdir()?,
+impl TestEnvironment {
+    pub fn new(work: Workload) -> io::Result<TestEnvironment> {
+        Ok(TestEnvironment {
+            directory: tempfile::tempdir()?,
             executor: Executor::start(work)?,
             registry: Registry::start()?,
             database: database::start(CALL)?,
@@ -32,18 +32,18 @@
     }
 
     /// A node of this name, started by these words, that follows `control`.
-    pub fn plan(
+    pub fn node_config(
         &self,
         name: &str,
         program: &Path,
         words: &[&str],
         control: SocketAddr,
         stream: &str,
-    ) -> Plan {
-        Plan {
+    ) -> NodeConfig {
+        NodeConfig {
             program: PathBuf::from(program),
-            words: words.iter().map(|word| (*word).to_owned()).collect(),
-            folder: self.folder.path().into(),
+            arguments: words.iter().map(|word| (*word).to_owned()).collect(),
+            directory: self.directory.path().into(),
             name: name.into(),
             listen: free_address(),
             executor: self.executor.address,
@@ -58,12 +58,17 @@
 }
 
 /// Four connections that ask a node for these job classes, as the first tenant.
-pub fn callers(node: SocketAddr, rate: f64, job_classes: &[&str]) -> Callers {
-    callers_with(node, rate, job_classes, None)
+pub fn start_callers(node: SocketAddr, rate: f64, job_classes: &[&str]) -> Callers {
+    start_callers_with_token(node, rate, job_classes, None)
 }
 
 /// The same, with a token.
-pub fn callers_with(node: SocketAddr, rate: f64, job_classes: &[&str], token: Option<Token>) -> Callers {
+pub fn start_callers_with_token(
+    node: SocketAddr,
+    rate: f64,
+    job_classes: &[&str],
+    token: Option<Token>,
+) -> Callers {
     let job_classes = job_classes.iter().map(|name| (*name).to_owned()).collect();
-    Callers::start(&Calling { node, connections: 4, rate, job_classes, owner: "c0".into(), token })
+    Callers::start(&CallersConfig { node, connections: 4, rate, job_classes, owner: "c0".into(), token })
 }
--- a/crates/hazelgrade-fault-injection/src/direction.rs
+++ b/crates/hazelgrade-fault-injection/src/direction.rs
@@ -19,15 +19,15 @@
 pub struct LinkConditions {
     pub delay: Span,
     /// Bytes a second; as fast as may be without it.
-    pub rate: Option<f64>,
+    pub bytes_per_s: Option<f64>,
     /// Nothing comes through until it is let go.
     pub held: bool,
     /// The connection is reset once exactly so many bytes have passed on this way.
     pub reset_after: Option<u64>,
     /// Parts of the datagrams, from 0 to 1.
     pub lost: f64,
-    pub doubled: f64,
-    pub overtaken: f64,
+    pub duplicated: f64,
+    pub reordered: f64,
 }
 
 /// What is to be done now.
@@ -77,7 +77,7 @@
         }
         let left = rules.reset_after.map_or(usize::MAX, |after| (after - self.passed) as usize);
         // At a rate, in pieces of what passes in ten milliseconds.
-        let piece = rules.rate.map_or(usize::MAX, |rate| (rate / 100.0).max(1.0) as usize);
+        let piece = rules.bytes_per_s.map_or(usize::MAX, |rate| (rate / 100.0).max(1.0) as usize);
         let count = bytes.len().min(left).min(piece);
         let rest = bytes.split_off(count);
         let out = std::mem::replace(bytes, rest);
@@ -86,7 +86,8 @@
         }
         self.bytes -= out.len();
         self.passed += out.len() as u64;
-        self.free_at = rules.rate.map(|rate| now + Span::from_ms(out.len() as f64 * 1000.0 / rate.max(1.0)));
+        self.free_at =
+            rules.bytes_per_s.map(|rate| now + Span::from_ms(out.len() as f64 * 1000.0 / rate.max(1.0)));
         Delivery::Pass(out)
     }
 }
@@ -109,8 +110,8 @@
         if rules.held || draws[0] < rules.lost || self.waiting.len() >= DATAGRAMS {
             return;
         }
-        let late = if draws[1] < rules.overtaken { Span::from_ms(OVERTAKEN_MS) } else { Span::ZERO };
-        for _ in 0..if draws[2] < rules.doubled { 2 } else { 1 } {
+        let late = if draws[1] < rules.reordered { Span::from_ms(OVERTAKEN_MS) } else { Span::ZERO };
+        for _ in 0..if draws[2] < rules.duplicated { 2 } else { 1 } {
             self.count += 1;
             self.waiting.push((now + rules.delay + late, self.count, datagram.to_vec()));
         }
--- a/crates/hazelgrade-fault-injection/src/history.rs
+++ b/crates/hazelgrade-fault-injection/src/history.rs
@@ -3,7 +3,7 @@
 //! saw, so that a group that is wrong about itself is found out.
 
 use hazelgrade::time::{Span, Time};
-use hazelgrade_fakes::callers::Fate;
+use hazelgrade_fakes::callers::JobOutcome;
 use std::collections::BTreeMap;
 use std::fmt::{Display, Formatter};
 
@@ -46,8 +46,8 @@
     pub node: usize,
     pub id: String,
     pub sent: Time,
-    pub after: Span,
-    pub fate: Fate,
+    pub latency: Span,
+    pub outcome: JobOutcome,
 }
 
 /// What a node was seen to serve by, by the control service that it follows.
@@ -73,20 +73,20 @@
     /// How often each job was started, by node.
     pub runs: Vec<BTreeMap<String, u32>>,
     /// Answers for no open call.
-    pub answered_twice: u64,
-    pub seen: Vec<NodeObservation>,
+    pub unmatched_answers: u64,
+    pub observations: Vec<NodeObservation>,
     /// When each node was last looked at.
-    pub looks: BTreeMap<usize, Time>,
+    pub last_observed: BTreeMap<usize, Time>,
     /// What was published: digests of documents that do harm.
     pub harmful: Vec<String>,
     /// The control service was given an old counter or none, or there are two: numbers may come again with other documents.
-    pub numbers_anew: bool,
+    pub version_numbers_reused: bool,
     /// What came together at the dependency was more than the whole: how often, and by how much at worst.
-    pub passed: Option<(usize, usize)>,
+    pub budget_overloads: Option<(usize, usize)>,
     /// Processes that ended otherwise than they should.
-    pub ends: Vec<(usize, String)>,
+    pub unexpected_exits: Vec<(usize, String)>,
     /// What did not come in time, once all faults were over.
-    pub missing: Vec<String>,
+    pub unmet_expectations: Vec<String>,
 }
 
 /// A rule that was broken, and by what.
@@ -103,20 +103,20 @@
 }
 
 impl History {
-    pub fn begins(&mut self, node: usize, fault_kind: FaultKind, from: Time) {
-        if !self.lasts(node, fault_kind) {
+    pub fn fault_begins(&mut self, node: usize, fault_kind: FaultKind, from: Time) {
+        if !self.fault_lasts(node, fault_kind) {
             self.fault_intervals.push(FaultInterval { node, fault_kind, from, to: None });
         }
     }
 
-    pub fn ends(&mut self, node: usize, fault_kind: FaultKind, to: Time) {
+    pub fn fault_ends(&mut self, node: usize, fault_kind: FaultKind, to: Time) {
         let open = |interval: &&mut FaultInterval| {
             interval.node == node && interval.fault_kind == fault_kind && interval.to.is_none()
         };
         self.fault_intervals.iter_mut().filter(open).for_each(|interval| interval.to = Some(to));
     }
 
-    pub fn lasts(&self, node: usize, fault_kind: FaultKind) -> bool {
+    pub fn fault_lasts(&self, node: usize, fault_kind: FaultKind) -> bool {
         self.fault_intervals.iter().any(|interval| {
             interval.node == node && interval.fault_kind == fault_kind && interval.to.is_none()
         })
@@ -124,19 +124,19 @@
 
     /// What was seen of a node: noted only when it differs from before.
     pub fn record_observation(&mut self, mut seen: NodeObservation) {
-        seen.since = self.looks.insert(seen.node, seen.at).unwrap_or(seen.at);
-        let before = self.seen.iter().rev().find(|before| before.node == seen.node);
+        seen.since = self.last_observed.insert(seen.node, seen.at).unwrap_or(seen.at);
+        let before = self.observations.iter().rev().find(|before| before.node == seen.node);
         if before.is_none_or(|before| {
             NodeObservation { at: before.at, since: before.since, ..seen.clone() } != *before
         }) {
-            self.seen.push(seen);
+            self.observations.push(seen);
         }
     }
 
     /// Whether one of these troubles of the node touches the time from the job's sending to its end.
     fn excused(&self, job: &Job, by: &[FaultKind]) -> bool {
         let (unsure, crossing) = (Span::from_ms(UNSURE_MS), Span::from_ms(CROSSING_MS));
-        let (from, to) = (job.sent - unsure, job.sent + job.after + unsure);
+        let (from, to) = (job.sent - unsure, job.sent + job.latency + unsure);
         self.fault_intervals
             .iter()
             .filter(|interval| interval.node == job.node && by.contains(&interval.fault_kind))
@@ -157,10 +157,16 @@
         use FaultKind::*;
         for job in &self.jobs {
             let shown = || {
-                format!("job {} of node {}, {:?} after {} ms", job.id, job.node, job.fate, job.after.as_ms())
+                format!(
+                    "job {} of node {}, {:?} after {} ms",
+                    job.id,
+                    job.node,
+                    job.outcome,
+                    job.latency.as_ms()
+                )
             };
-            match job.fate {
-                Fate::Lost => {
+            match job.outcome {
+                JobOutcome::Lost => {
                     let by_force = self.excused(job, &[Killed, CallersReset, CallersHeld]);
                     let refused = !self.ran(job) && self.excused(job, &[Gone]);
                     if !by_force && !refused {
@@ -168,8 +174,8 @@
                     }
                 }
                 // It never reached the node, or the node had left: it is sent again elsewhere.
-                Fate::Crossed => {}
-                _ if job.after > self.deadline + self.grace
+                JobOutcome::Crossed => {}
+                _ if job.latency > self.deadline + self.grace
                     && !self.excused(job, &[Stopped, CallersHeld]) =>
                 {
                     say("no job late", shown());
@@ -190,18 +196,18 @@
                 }
             }
         }
-        if self.answered_twice > 0 {
-            say("one answer", format!("{} answers for no open call", self.answered_twice));
+        if self.unmatched_answers > 0 {
+            say("one answer", format!("{} answers for no open call", self.unmatched_answers));
         }
-        if let Some((times, worst)) = self.passed.filter(|(times, _)| *times > 0) {
+        if let Some((times, worst)) = self.budget_overloads.filter(|(times, _)| *times > 0) {
             say(
                 "never more than the whole",
                 format!("{times} calls came past it, {worst} too many at worst"),
             );
         }
         self.check_versions(&mut say);
-        self.ends.iter().for_each(|(node, how)| say("safe drain", format!("node {node} {how}")));
-        self.missing.iter().for_each(|what| say("all is well again", what.clone()));
+        self.unexpected_exits.iter().for_each(|(node, how)| say("safe drain", format!("node {node} {how}")));
+        self.unmet_expectations.iter().for_each(|what| say("all is well again", what.clone()));
         violations
     }
 
@@ -210,7 +216,7 @@
         let mut documents: BTreeMap<u64, &NodeObservation> = BTreeMap::new();
         let mut last: BTreeMap<usize, &NodeObservation> = BTreeMap::new();
         let mut own: BTreeMap<(usize, u32, u64), &str> = BTreeMap::new();
-        for seen in &self.seen {
+        for seen in &self.observations {
             let first = *own.entry((seen.node, seen.disk, seen.number)).or_insert(&seen.digest);
             if first != seen.digest {
                 let what =
@@ -218,7 +224,7 @@
                 say("one document a number", what);
             }
             let first = documents.entry(seen.number).or_insert(seen);
-            if first.digest != seen.digest && !self.numbers_anew {
+            if first.digest != seen.digest && !self.version_numbers_reused {
                 let what = format!(
                     "number {} is {} for node {} and {} for node {}",
                     seen.number, first.digest, first.node, seen.digest, seen.node
@@ -254,17 +260,18 @@
 
     /// The part of a node's jobs, sent in this time, that were succeeded within `goal`; none if it had none.
     pub fn served_ratio(&self, node: usize, from: Time, to: Time, goal: Span) -> Option<f64> {
-        self.part(node, from, to, |job| job.fate == Fate::Succeeded && job.after <= goal)
+        self.ratio(node, from, to, |job| job.outcome == JobOutcome::Succeeded && job.latency <= goal)
     }
 
     /// What was answered by then, whatever the answer, in parts of all.
     pub fn answered_ratio(&self, node: usize, from: Time, to: Time, within: Span) -> Option<f64> {
-        self.part(node, from, to, |job| job.fate != Fate::Lost && job.after <= within)
+        self.ratio(node, from, to, |job| job.outcome != JobOutcome::Lost && job.latency <= within)
     }
 
-    fn part(&self, node: usize, from: Time, to: Time, so: impl Fn(&Job) -> bool) -> Option<f64> {
-        let sent =
-            |job: &&Job| job.node == node && job.sent >= from && job.sent < to && job.fate != Fate::Crossed;
+    fn ratio(&self, node: usize, from: Time, to: Time, so: impl Fn(&Job) -> bool) -> Option<f64> {
+        let sent = |job: &&Job| {
+            job.node == node && job.sent >= from && job.sent < to && job.outcome != JobOutcome::Crossed
+        };
         let (all, those) = self
             .jobs
             .iter()
--- a/crates/hazelgrade-fault-injection/src/plan.rs
+++ b/crates/hazelgrade-fault-injection/src/plan.rs
@@ -110,11 +110,14 @@
         link: Link,
     },
     /// Datagrams to the registry: parts of a hundred.
-    Garble {
+    #[serde(rename = "garble")]
+    DegradeDatagrams {
         node: usize,
         lost: u32,
-        doubled: u32,
-        overtaken: u32,
+        #[serde(rename = "doubled")]
+        duplicated: u32,
+        #[serde(rename = "overtaken")]
+        reordered: u32,
     },
     Heal {
         node: usize,
@@ -162,7 +165,8 @@
     },
     HealKeepers,
     /// Publishes budgets with another whole.
-    Whole {
+    #[serde(rename = "whole")]
+    SetBudgetTotal {
         units: u32,
     },
     /// The whole machine stands still, control service and nodes together.
@@ -179,26 +183,27 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Plan {
+pub struct FaultPlan {
     pub seed: u64,
     pub nodes: usize,
     /// Jobs a second to each node.
     pub rate: f64,
     /// The nodes share a budget of calls below.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub shared: Option<SharedSeed>,
-    #[serde(default)]
-    pub step: Vec<Step>,
+    pub shared: Option<SharedBudgetPlan>,
+    #[serde(default, rename = "step")]
+    pub steps: Vec<Step>,
 }
 
 /// What of a shared budget a plan names; the rest is as usual.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct SharedSeed {
+pub struct SharedBudgetPlan {
     pub sites: usize,
-    pub whole: u32,
+    #[serde(rename = "whole")]
+    pub total: u32,
 }
 
-impl Plan {
+impl FaultPlan {
     pub fn to_toml(&self) -> String {
         toml::to_string(self).unwrap_or_else(|error| format!("# {error}\n"))
     }
@@ -208,17 +213,17 @@
     /// # Errors
     ///
     /// [`PlanError`] if the text is not a plan, or a value is out of its range.
-    pub fn read(text: &str) -> Result<Plan, PlanError> {
-        let plan: Plan = toml::from_str(text)?;
-        let named = plan.step.iter().filter_map(|step| step.fault.node()).chain(plan.step.iter().filter_map(
-            |step| match step.trigger {
+    pub fn read(text: &str) -> Result<FaultPlan, PlanError> {
+        let plan: FaultPlan = toml::from_str(text)?;
+        let named = plan.steps.iter().filter_map(|step| step.fault.node()).chain(
+            plan.steps.iter().filter_map(|step| match step.trigger {
                 Trigger::OnTrial(node)
                 | Trigger::Draining(node)
                 | Trigger::Ended(node)
                 | Trigger::Ready(node) => Some(node),
                 _ => None,
-            },
-        ));
+            }),
+        );
         match named.max() {
             Some(node) if node >= plan.nodes => Err(PlanError::UnknownNode { node, nodes: plan.nodes }),
             _ if plan.nodes == 0 => Err(PlanError::NoNodes),
@@ -232,13 +237,13 @@
 
     /// A plan of faults between nodes that share budgets. Bytes on the way to the dependency are not held: what a network
     /// holds back past the longest use and delivers all the same is counted by nobody.
-    pub fn draw_shared(seed: u64, nodes: usize, faults: usize, sites: usize, whole: u32) -> Plan {
-        let mut plan = Plan::draw(seed, nodes, faults);
+    pub fn draw_shared(seed: u64, nodes: usize, faults: usize, sites: usize, whole: u32) -> FaultPlan {
+        let mut plan = FaultPlan::draw(seed, nodes, faults);
         let mut chance = MultiplyWithCarry::new(seed ^ 0x5eed);
         let mut pick = |of: usize| ((chance.next_f64() * of as f64) as usize).min(of.saturating_sub(1));
         let mut step = Vec::new();
         let (mut keepers_cut, mut other_out, mut lowered) = (false, None, false);
-        for one in plan.step {
+        for one in plan.steps {
             let fault = match one.fault {
                 Fault::Cut { link: Link::Database, node, .. }
                 | Fault::Rate { link: Link::Database, node, .. } => {
@@ -260,8 +265,8 @@
                         disk: [Disk::Own, Disk::Own, Disk::Own, Disk::Old][pick(4)],
                     }),
                 },
-                5 if !lowered => Some(Fault::Whole { units: whole / 2 }),
-                6 if lowered => Some(Fault::Whole { units: whole }),
+                5 if !lowered => Some(Fault::SetBudgetTotal { units: whole / 2 }),
+                6 if lowered => Some(Fault::SetBudgetTotal { units: whole }),
                 _ => None,
             };
             match more {
@@ -269,18 +274,18 @@
                 Some(Fault::HealKeepers) => keepers_cut = false,
                 Some(Fault::KillOther | Fault::StopOther) => other_out = more,
                 Some(Fault::WakeOther | Fault::StartOther { .. }) => other_out = None,
-                Some(Fault::Whole { units }) => lowered = units < whole,
+                Some(Fault::SetBudgetTotal { units }) => lowered = units < whole,
                 _ => {}
             }
             step.extend(more.map(|fault| Step { trigger, fault }));
         }
-        plan.step = step;
-        plan.shared = Some(SharedSeed { sites, whole });
+        plan.steps = step;
+        plan.shared = Some(SharedBudgetPlan { sites, total: whole });
         plan
     }
 
     /// A plan of about so many faults, each with what ends it somewhere after.
-    pub fn draw(seed: u64, nodes: usize, faults: usize) -> Plan {
+    pub fn draw(seed: u64, nodes: usize, faults: usize) -> FaultPlan {
         let mut chance = MultiplyWithCarry::new(seed);
         let mut pick = |of: usize| ((chance.next_f64() * of as f64) as usize).min(of.saturating_sub(1));
         let mut step: Vec<Step> = Vec::new();
@@ -313,7 +318,10 @@
                 7 => {
                     let (lost, doubled, overtaken) = (pick(60) as u32, pick(30) as u32, pick(30) as u32);
                     let heal = Fault::Heal { node, link: Link::Registry };
-                    (Fault::Garble { node, lost, doubled, overtaken }, Some(heal))
+                    (
+                        Fault::DegradeDatagrams { node, lost, duplicated: doubled, reordered: overtaken },
+                        Some(heal),
+                    )
                 }
                 8 if !out.contains(&node) => (Fault::Stop { node }, Some(Fault::Wake { node })),
                 9 if !out.contains(&node) => (Fault::Kill { node }, Some(Fault::Start { node, disk })),
@@ -342,7 +350,7 @@
             step.push(Step { trigger, fault });
             open.extend(end);
         }
-        Plan { seed, nodes, rate: 40.0, shared: None, step }
+        FaultPlan { seed, nodes, rate: 40.0, shared: None, steps: step }
     }
 }
 
@@ -356,7 +364,7 @@
             | Fault::Reset { node, .. }
             | Fault::ResetAfter { node, .. }
             | Fault::Refuse { node, .. }
-            | Fault::Garble { node, .. }
+            | Fault::DegradeDatagrams { node, .. }
             | Fault::Heal { node, .. }
             | Fault::Stop { node }
             | Fault::Wake { node }
@@ -375,7 +383,7 @@
             | Fault::StartOther { .. }
             | Fault::CutKeepers { .. }
             | Fault::HealKeepers
-            | Fault::Whole { .. }
+            | Fault::SetBudgetTotal { .. }
             | Fault::Stall { .. } => None,
         }
     }
--- a/crates/hazelgrade-fault-injection/src/plan_run.rs
+++ b/crates/hazelgrade-fault-injection/src/plan_run.rs
@@ -1,9 +1,9 @@
 //! Plays a plan on a group: waits for what each step waits for, brings its fault about, and judges at the end.
 
-use crate::group::{Group, GroupError, Member};
+use crate::group::{Group, GroupError, GroupNode};
 use crate::history::{History, Violation};
-use crate::plan::{Plan, SharedSeed, Step, Trigger};
-use crate::shared_budget::Setting;
+use crate::plan::{FaultPlan, SharedBudgetPlan, Step, Trigger};
+use crate::shared_budget::SharedBudgetConfig;
 use std::path::Path;
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     pub history: History,
     pub violations: Vec<Violation>,
     /// Steps whose cue did not come.
-    pub unmet: usize,
+    pub missed_triggers: usize,
 }
 
 /// Why a plan could not be played to its end.
@@ -39,44 +39,47 @@
 /// # Errors
 ///
 /// [`PlanRunError`] if the group does not start or a fault cannot be injected; a broken rule is no error.
-pub fn play(plan: &Plan, program: &Path, words: &[&str]) -> Result<PlanResult, PlanRunError> {
-    let setting =
-        plan.shared.map(|SharedSeed { sites, whole }| Setting { sites, whole, ..Setting::default() });
+pub fn run_plan(plan: &FaultPlan, program: &Path, words: &[&str]) -> Result<PlanResult, PlanRunError> {
+    let setting = plan.shared.map(|SharedBudgetPlan { sites, total: whole }| SharedBudgetConfig {
+        sites,
+        total: whole,
+        ..SharedBudgetConfig::default()
+    });
     let mut group = Group::start_with(program, words, plan.nodes, plan.rate, setting)?;
     let mut unmet = 0;
-    for step in &plan.step {
+    for step in &plan.steps {
         if !await_trigger(&mut group, step.trigger) {
             unmet += 1;
         }
         group.inject(step.fault).map_err(|source| PlanRunError::Step { step: *step, source })?;
     }
     let history = group.finish();
-    Ok(PlanResult { violations: history.violations(), history, unmet })
+    Ok(PlanResult { violations: history.violations(), history, missed_triggers: unmet })
 }
 
 fn await_trigger(group: &mut Group, trigger: Trigger) -> bool {
-    let answers = |group: &Group| group.members.iter().map(Member::jobs).sum::<usize>() as u64;
+    let answers = |group: &Group| group.nodes.iter().map(GroupNode::job_count).sum::<usize>() as u64;
     let before = answers(group);
     let registry = group.registry.clone();
     group.wait_until(CUE_WITHIN, |group| {
         let stands = |node: usize, words: &[&str]| {
             let (of, standing) = &group.standings[node];
-            of.ends_with(&group.digest) && words.contains(&standing.as_str())
+            of.ends_with(&group.published_digest) && words.contains(&standing.as_str())
         };
         match trigger {
             Trigger::Now => true,
             Trigger::Answers(count) => answers(group) >= before + count,
             Trigger::Acknowledged(count) => {
                 let taken = ["on trial", "good"];
-                (0..group.members.len()).filter(|node| stands(*node, &taken)).count() >= count
+                (0..group.nodes.len()).filter(|node| stands(*node, &taken)).count() >= count
             }
             Trigger::OnTrial(node) => stands(node, &["on trial"]),
             Trigger::Draining(node) => {
-                let name = &group.members[node].node.plan.name;
-                !group.members[node].is_running() || registry.says(name).as_deref() == Some("draining")
+                let name = &group.nodes[node].node.config.name;
+                !group.nodes[node].is_running() || registry.last_state(name).as_deref() == Some("draining")
             }
-            Trigger::Ended(node) => !group.members[node].is_running(),
-            Trigger::Ready(node) => group.members[node].is_ready(),
+            Trigger::Ended(node) => !group.nodes[node].is_running(),
+            Trigger::Ready(node) => group.nodes[node].is_ready(),
         }
     })
 }
--- a/crates/hazelgrade-fault-injection/src/proxy.rs
+++ b/crates/hazelgrade-fault-injection/src/proxy.rs
@@ -54,13 +54,13 @@
 
 struct Shared {
     target: Mutex<SocketAddr>,
-    rules: Mutex<[LinkConditions; 2]>,
+    conditions: Mutex<[LinkConditions; 2]>,
     refuses: AtomicBool,
     /// Grows with each order to reset what stands.
     resets: AtomicU64,
     changed: Event,
     connections: AtomicU64,
-    passed: [AtomicU64; 2],
+    forwarded: [AtomicU64; 2],
 }
 
 /// A handle; clones are the same edge. It is there until the process ends.
@@ -78,12 +78,12 @@
     fn new(target: SocketAddr, address: SocketAddr) -> FaultProxy {
         let shared = Shared {
             target: Mutex::new(target),
-            rules: Mutex::default(),
+            conditions: Mutex::default(),
             refuses: AtomicBool::new(false),
             resets: AtomicU64::new(0),
             changed: Event::new(),
             connections: AtomicU64::new(0),
-            passed: Default::default(),
+            forwarded: Default::default(),
         };
         FaultProxy { shared: Arc::new(shared), address }
     }
@@ -108,39 +108,39 @@
     }
 
     /// The process behind it is elsewhere from now on.
-    pub fn lead_to(&self, target: SocketAddr) {
+    pub fn set_target(&self, target: SocketAddr) {
         *lock(&self.shared.target) = target;
     }
 
     /// Changes the rules of a way; what waits on it goes by the new ones.
-    pub fn set(&self, way: Direction, change: impl FnOnce(&mut LinkConditions)) {
-        change(&mut lock(&self.shared.rules)[way as usize]);
+    pub fn set_conditions(&self, way: Direction, change: impl FnOnce(&mut LinkConditions)) {
+        change(&mut lock(&self.shared.conditions)[way as usize]);
         self.shared.changed.notify(usize::MAX);
     }
 
-    pub fn set_both(&self, change: impl Fn(&mut LinkConditions)) {
-        [Direction::To, Direction::Back].into_iter().for_each(|way| self.set(way, &change));
+    pub fn set_both_conditions(&self, change: impl Fn(&mut LinkConditions)) {
+        [Direction::To, Direction::Back].into_iter().for_each(|way| self.set_conditions(way, &change));
     }
 
     /// Cut both ways: connections stand and nothing comes through.
     pub fn cut(&self) {
-        self.set_both(|rules| rules.held = true);
+        self.set_both_conditions(|rules| rules.held = true);
     }
 
     /// As if nothing had been; what was held goes on.
     pub fn heal(&self) {
         self.shared.refuses.store(false, Ordering::SeqCst);
-        self.set_both(|rules| *rules = LinkConditions::default());
+        self.set_both_conditions(|rules| *rules = LinkConditions::default());
     }
 
     /// Anything but a plain way.
     pub fn is_faulty(&self) -> bool {
         self.shared.refuses.load(Ordering::SeqCst)
-            || *lock(&self.shared.rules) != [LinkConditions::default(); 2]
+            || *lock(&self.shared.conditions) != [LinkConditions::default(); 2]
     }
 
     /// New connections are reset at once.
-    pub fn refuse(&self, refuses: bool) {
+    pub fn set_refusing(&self, refuses: bool) {
         self.shared.refuses.store(refuses, Ordering::SeqCst);
     }
 
@@ -156,8 +156,8 @@
     }
 
     /// Bytes that came through so far.
-    pub fn passed(&self, way: Direction) -> u64 {
-        self.shared.passed[way as usize].load(Ordering::SeqCst)
+    pub fn forwarded_bytes(&self, way: Direction) -> u64 {
+        self.shared.forwarded[way as usize].load(Ordering::SeqCst)
     }
 }
 
@@ -174,7 +174,7 @@
         self.broken.load(Ordering::SeqCst) || shared.resets.load(Ordering::SeqCst) != self.resets
     }
 
-    fn violations(&self, shared: &Shared) {
+    fn mark_broken(&self, shared: &Shared) {
         self.broken.store(true, Ordering::SeqCst);
         shared.changed.notify(usize::MAX);
     }
@@ -208,7 +208,7 @@
         if shared.resets.load(Ordering::SeqCst) != resets {
             return reset(&near);
         }
-        if !lock(&shared.rules)[Direction::To as usize].held {
+        if !lock(&shared.conditions)[Direction::To as usize].held {
             break;
         }
         changed.await;
@@ -248,9 +248,9 @@
         if ends.is_broken(&shared) {
             return;
         }
-        let rules = lock(&shared.rules)[way as usize];
+        let rules = lock(&shared.conditions)[way as usize];
         match lane.next(now(), &rules) {
-            Delivery::Reset => return ends.violations(&shared),
+            Delivery::Reset => return ends.mark_broken(&shared),
             Delivery::Pass(bytes) => {
                 let mut sink = to;
                 let written = async { sink.write_all(&bytes).await.is_ok() };
@@ -259,9 +259,9 @@
                     false
                 };
                 if !or(written, stopped).await {
-                    return ends.violations(&shared);
+                    return ends.mark_broken(&shared);
                 }
-                shared.passed[way as usize].fetch_add(bytes.len() as u64, Ordering::SeqCst);
+                shared.forwarded[way as usize].fetch_add(bytes.len() as u64, Ordering::SeqCst);
             }
             Delivery::Wait(_) if over && lane.is_empty() => {
                 let _ = to.get_ref().shutdown(Shutdown::Write);
@@ -278,7 +278,7 @@
                 match or(read, woken).await {
                     Some(Ok(0)) => over = true,
                     Some(Ok(count)) => lane.put(now(), &rules, &piece[..count]),
-                    Some(Err(_)) => return ends.violations(&shared),
+                    Some(Err(_)) => return ends.mark_broken(&shared),
                     None => {}
                 }
             }
@@ -294,7 +294,7 @@
             let target = *lock(&shared.target);
             // What can't be sent is lost, as datagrams are.
             let _ = socket.send_to(&bytes, target).await;
-            shared.passed[Direction::To as usize].fetch_add(bytes.len() as u64, Ordering::SeqCst);
+            shared.forwarded[Direction::To as usize].fetch_add(bytes.len() as u64, Ordering::SeqCst);
             continue;
         }
         let Delivery::Wait(at) = next else { continue };
@@ -304,7 +304,7 @@
             None
         };
         if let Some(count) = or(read, woken).await {
-            let rules = lock(&shared.rules)[Direction::To as usize];
+            let rules = lock(&shared.conditions)[Direction::To as usize];
             lane.put(now(), &rules, &datagram[..count]);
             shared.connections.fetch_add(1, Ordering::SeqCst);
         }
--- a/crates/hazelgrade-fault-injection/src/shared_budget.rs
+++ b/crates/hazelgrade-fault-injection/src/shared_budget.rs
@@ -3,8 +3,8 @@
 use crate::plan::{Directions, Disk};
 use crate::proxy::{Direction, FaultProxy};
 use hazelgrade_config::Document;
+use hazelgrade_fakes::control_process::{ControlServiceProcess, publish_file};
 use hazelgrade_fakes::dependency::Dependency;
-use hazelgrade_fakes::service::{Service, publish_as};
 use rustix::process::Signal;
 use serde_json::Value;
 use std::io;
@@ -13,36 +13,36 @@
 
 /// How a budget of calls in hand is divided in a group.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Setting {
-    pub whole: u32,
+pub struct SharedBudgetConfig {
+    pub total: u32,
     pub sites: usize,
     /// Set aside at each site, and what each of its nodes may use alone.
     pub set_aside: u32,
-    pub alone: u32,
+    pub unleased: u32,
     pub lease_ms: u32,
-    pub longest_use_ms: u32,
+    pub max_use_ms: u32,
     /// How long a call takes.
-    pub call: Duration,
+    pub call_duration: Duration,
 }
 
-impl Default for Setting {
+impl Default for SharedBudgetConfig {
     /// Leases short enough for tests; some of the whole for each of five nodes alone.
-    fn default() -> Setting {
-        Setting {
-            whole: 10,
+    fn default() -> SharedBudgetConfig {
+        SharedBudgetConfig {
+            total: 10,
             sites: 1,
             set_aside: 0,
-            alone: 0,
+            unleased: 0,
             lease_ms: 600,
-            longest_use_ms: 600,
-            call: Duration::from_millis(60),
+            max_use_ms: 600,
+            call_duration: Duration::from_millis(60),
         }
     }
 }
 
 pub const SITES: [&str; 2] = ["a", "b"];
 
-impl Setting {
+impl SharedBudgetConfig {
     /// The document with this whole, divided among the sites as evenly as may be.
     pub fn document(&self, whole: u32) -> String {
         let of =
@@ -54,91 +54,94 @@
              longest_use_ms = {}\n[budget.calls.site]\n{}\n",
             self.set_aside,
             self.lease_ms,
-            self.longest_use_ms,
+            self.max_use_ms,
             sites.join("\n")
         )
     }
 
     /// What a node's operator's file has of it.
-    pub fn operator(&self) -> String {
-        format!("[budgets]\nin_hand = \"calls\"\ntrial_ms = 300\n[budgets.alone]\ncalls = {}\n", self.alone)
+    pub fn operator_settings(&self) -> String {
+        format!(
+            "[budgets]\nin_hand = \"calls\"\ntrial_ms = 300\n[budgets.alone]\ncalls = {}\n",
+            self.unleased
+        )
     }
 }
 
-pub struct Shared {
-    pub setting: Setting,
+pub struct SharedBudget {
+    pub config: SharedBudgetConfig,
     pub dependency: Dependency,
     /// The second site's control service, if there is one.
-    pub other: Option<Service>,
-    pub other_stopped: bool,
+    pub second_control: Option<ControlServiceProcess>,
+    pub second_control_suspended: bool,
     /// From each keeper to the other.
-    pub between: Vec<FaultProxy>,
-    pub whole: u32,
+    pub lessor_links: Vec<FaultProxy>,
+    pub total: u32,
     /// The whole was made smaller: what the dependency lives through follows once that is in effect.
-    lowered: Option<u32>,
-    old: [Option<Vec<u8>>; 2],
+    pending_total: Option<u32>,
+    old_stores: [Option<Vec<u8>>; 2],
 }
 
-impl Shared {
+impl SharedBudget {
     /// Founds the keepers and gives the control services their words; does not start them.
     pub fn prepare(
-        setting: Setting,
+        setting: SharedBudgetConfig,
         program: &Path,
         words: &[&str],
-        first: &mut Service,
+        first: &mut ControlServiceProcess,
         document: &Document,
-    ) -> io::Result<Shared> {
-        let dependency = Dependency::start(setting.call, setting.whole as usize)?;
+    ) -> io::Result<SharedBudget> {
+        let dependency = Dependency::start(setting.call_duration, setting.total as usize)?;
         let mut other = match setting.sites {
-            2 => Some(Service::prepare(program, words, "test", document)?),
+            2 => Some(ControlServiceProcess::prepare(program, words, "test", document)?),
             _ => None,
         };
         let mut between = Vec::new();
-        first.extra = vec!["--keeper".into(), "a".into()];
+        first.extra_arguments = vec!["--keeper".into(), "a".into()];
         if let Some(other) = &mut other {
             between = vec![FaultProxy::tcp(other.address)?, FaultProxy::tcp(first.address)?];
-            first.extra.extend(["--peer".into(), format!("b={}", between[0].address)]);
-            other.extra =
+            first.extra_arguments.extend(["--peer".into(), format!("b={}", between[0].address)]);
+            other.extra_arguments =
                 vec!["--keeper".into(), "b".into(), "--peer".into(), format!("a={}", between[1].address)];
-            other.found("b", false)?;
+            other.initialize_lessor("b", false)?;
         }
-        first.found("a", false)?;
-        let shared = Shared {
-            setting,
+        first.initialize_lessor("a", false)?;
+        let shared = SharedBudget {
+            config: setting,
             dependency,
-            other,
-            other_stopped: false,
-            between,
-            whole: setting.whole,
-            lowered: None,
-            old: [None, None],
+            second_control: other,
+            second_control_suspended: false,
+            lessor_links: between,
+            total: setting.total,
+            pending_total: None,
+            old_stores: [None, None],
         };
-        shared.publish(first, &setting.document(setting.whole))?;
+        shared.publish(first, &setting.document(setting.total))?;
         Ok(shared)
     }
 
-    fn publish(&self, first: &Service, text: &str) -> io::Result<()> {
-        for service in std::iter::once(first).chain(&self.other) {
-            publish_as(service.documents.path(), "budgets.toml", text)?;
+    fn publish(&self, first: &ControlServiceProcess, text: &str) -> io::Result<()> {
+        for service in std::iter::once(first).chain(&self.second_control) {
+            publish_file(service.documents.path(), "budgets.toml", text)?;
         }
         Ok(())
     }
 
     /// Publishes another whole.
-    pub fn whole(&mut self, first: &Service, whole: u32) -> io::Result<()> {
-        if whole >= self.whole {
-            self.dependency.lives_through(whole.max(self.lowered.map_or(0, |_| self.whole)) as usize);
-            self.lowered = None;
+    pub fn set_total(&mut self, first: &ControlServiceProcess, whole: u32) -> io::Result<()> {
+        if whole >= self.total {
+            self.dependency.set_capacity(whole.max(self.pending_total.map_or(0, |_| self.total)) as usize);
+            self.pending_total = None;
         } else {
-            self.lowered = Some(whole);
+            self.pending_total = Some(whole);
         }
-        self.whole = whole;
-        self.publish(first, &self.setting.document(whole))
+        self.total = whole;
+        self.publish(first, &self.config.document(whole))
     }
 
     /// Once every keeper knows its holders and none has more in its books than it owns, a whole that was made smaller is what counts.
-    pub fn look(&mut self, reports: &[Value]) {
-        let Some(whole) = self.lowered else { return };
+    pub fn apply_pending_total(&mut self, reports: &[Value]) {
+        let Some(whole) = self.pending_total else { return };
         let in_effect = reports.iter().all(|report| {
             let calls = &report["budgets"]["calls"];
             let (owned, most) =
@@ -155,48 +158,49 @@
                 .sum::<u64>()
                 <= u64::from(whole)
         {
-            self.dependency.lives_through(whole as usize);
-            self.lowered = None;
+            self.dependency.set_capacity(whole as usize);
+            self.pending_total = None;
         }
     }
 
     /// Keeps what keepers' disks hold as yesterday's. As a crash would leave it: they stand still meanwhile.
-    pub fn remember(&mut self, first: &Service) {
-        for (place, service) in std::iter::once(first).chain(&self.other).enumerate() {
+    pub fn snapshot_stores(&mut self, first: &ControlServiceProcess) {
+        for (place, service) in std::iter::once(first).chain(&self.second_control).enumerate() {
             service.signal(Signal::STOP);
-            self.old[place] = std::fs::read(service.keeper_store()).ok().or(self.old[place].take());
+            self.old_stores[place] =
+                std::fs::read(service.lessor_store()).ok().or(self.old_stores[place].take());
             service.signal(Signal::CONT);
         }
     }
 
     /// Gives a keeper's store another past; `place` 0 for the first site.
-    pub fn disk(&self, place: usize, service: &Service, disk: Disk) -> io::Result<()> {
+    pub fn prepare_store(&self, place: usize, service: &ControlServiceProcess, disk: Disk) -> io::Result<()> {
         match disk {
             Disk::Own => Ok(()),
-            Disk::Old => match &self.old[place] {
-                Some(old) => std::fs::write(service.keeper_store(), old),
+            Disk::Old => match &self.old_stores[place] {
+                Some(old) => std::fs::write(service.lessor_store(), old),
                 None => Ok(()),
             },
             Disk::Empty => {
-                std::fs::remove_file(service.keeper_store())?;
-                service.found(SITES[place], true)
+                std::fs::remove_file(service.lessor_store())?;
+                service.initialize_lessor(SITES[place], true)
             }
         }
     }
 
-    pub fn cut(&self, directions: Directions) {
+    pub fn cut_lessors(&self, directions: Directions) {
         let (to, back) = (
             matches!(directions, Directions::Both | Directions::To),
             matches!(directions, Directions::Both | Directions::Back),
         );
         // What the first says to the second goes over both links, each in one of its ways.
-        for (proxy, first) in self.between.iter().zip([true, false]) {
-            proxy.set(Direction::To, |rules| rules.held |= if first { to } else { back });
-            proxy.set(Direction::Back, |rules| rules.held |= if first { back } else { to });
+        for (proxy, first) in self.lessor_links.iter().zip([true, false]) {
+            proxy.set_conditions(Direction::To, |rules| rules.held |= if first { to } else { back });
+            proxy.set_conditions(Direction::Back, |rules| rules.held |= if first { back } else { to });
         }
     }
 
     pub fn heal(&self) {
-        self.between.iter().for_each(FaultProxy::heal);
+        self.lessor_links.iter().for_each(FaultProxy::heal);
     }
 }
--- a/crates/hazelgrade-fault-injection/src/subscriber_fleet.rs
+++ b/crates/hazelgrade-fault-injection/src/subscriber_fleet.rs
@@ -95,7 +95,7 @@
     }
 
     /// How many serve by this document, and how many ever took it up more than once.
-    pub fn serve(&self, digest: &str) -> (usize, usize) {
+    pub fn serving(&self, digest: &str) -> (usize, usize) {
         let took = self.took.lock().unwrap_or_else(PoisonError::into_inner);
         let of = |took: &&Vec<String>| took.last().is_some_and(|last| last == digest);
         let again = |took: &&Vec<String>| took.iter().filter(|one| *one == digest).count() > 1;
--- a/crates/hazelgrade-fault-injection/tests/edges.rs
+++ b/crates/hazelgrade-fault-injection/tests/edges.rs
@@ -1,6 +1,6 @@
 //! Edges on real sockets: each fault, and that without any the bytes are those that were sent.
 
-use hazelgrade_fakes::comes_true;
+use hazelgrade_fakes::wait_until;
 use hazelgrade_fault_injection::proxy::{Direction, FaultProxy, ms};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream, UdpSocket};
@@ -58,15 +58,14 @@
     drop(far);
     hears(&mut near, b"and back");
     assert_eq!(near.read(&mut [0]).expect("an end"), 0);
-    assert!(
-        comes_true(SOON, || proxy.passed(Direction::To) == 3_000_000 && proxy.passed(Direction::Back) == 8)
-    );
+    assert!(wait_until(SOON, || proxy.forwarded_bytes(Direction::To) == 3_000_000
+        && proxy.forwarded_bytes(Direction::Back) == 8));
 }
 
 #[test]
 fn held_one_way_nothing_comes_through_there_and_all_of_it_once_it_is_let_go() {
     let Pair { proxy, mut near, mut far } = pair();
-    proxy.set(Direction::To, |rules| rules.held = true);
+    proxy.set_conditions(Direction::To, |rules| rules.held = true);
     near.write_all(b"held").expect("it takes them");
     far.write_all(b"free").expect("it takes them");
     hears(&mut near, b"free");
@@ -77,19 +76,19 @@
     proxy.cut();
     let mut later = TcpStream::connect(proxy.address).expect("it listens");
     later.write_all(b"later").expect("it takes them");
-    assert!(comes_true(SOON, || proxy.connections() == 2));
+    assert!(wait_until(SOON, || proxy.connections() == 2));
 }
 
 #[test]
 fn delay_and_rate_hold_at_least_what_they_say() {
     let Pair { proxy, mut near, mut far } = pair();
-    proxy.set(Direction::To, |rules| rules.delay = ms(80.0));
+    proxy.set_conditions(Direction::To, |rules| rules.delay = ms(80.0));
     let began = Instant::now();
     near.write_all(b"late").expect("it takes them");
     hears(&mut far, b"late");
     assert!(began.elapsed() >= Duration::from_millis(80), "{:?}", began.elapsed());
     proxy.heal();
-    proxy.set(Direction::Back, |rules| rules.rate = Some(100_000.0));
+    proxy.set_conditions(Direction::Back, |rules| rules.bytes_per_s = Some(100_000.0));
     let began = Instant::now();
     far.write_all(&[7; 20_000]).expect("it takes them");
     hears(&mut near, &[7; 20_000]);
@@ -106,7 +105,7 @@
         let end = stream.read(&mut [0]).expect_err("a reset");
         assert_eq!(end.kind(), ErrorKind::ConnectionReset);
     }
-    proxy.refuse(true);
+    proxy.set_refusing(true);
     let mut refused = TcpStream::connect(proxy.address).expect("it listens");
     assert!(!matches!(refused.read(&mut [0]), Ok(1..)), "nothing to read there");
     proxy.heal();
@@ -117,13 +116,13 @@
 fn after_exactly_so_many_bytes_a_connection_is_cut() {
     for after in [1, 2, 7, 100] {
         let Pair { proxy, mut near, mut far } = pair();
-        proxy.set(Direction::To, |rules| rules.reset_after = Some(after));
+        proxy.set_conditions(Direction::To, |rules| rules.reset_after = Some(after));
         near.write_all(&[1; 200]).expect("it takes them");
         let mut got = Vec::new();
         let end = far.read_to_end(&mut got);
         // The system may drop what a reset overtakes; more than allowed is never there.
         assert!(got.len() as u64 <= after && end.is_err(), "{} {end:?}", got.len());
-        assert_eq!(proxy.passed(Direction::To), after);
+        assert_eq!(proxy.forwarded_bytes(Direction::To), after);
     }
 }
 
@@ -141,13 +140,13 @@
     };
     say("one");
     assert_eq!(hear(), "one");
-    proxy.set(Direction::To, |rules| rules.doubled = 1.0);
+    proxy.set_conditions(Direction::To, |rules| rules.duplicated = 1.0);
     say("two");
     assert_eq!((hear(), hear()), ("two".to_owned(), "two".to_owned()));
     proxy.heal();
-    proxy.set(Direction::To, |rules| rules.lost = 1.0);
+    proxy.set_conditions(Direction::To, |rules| rules.lost = 1.0);
     say("three");
-    assert!(comes_true(SOON, || proxy.connections() == 3));
+    assert!(wait_until(SOON, || proxy.connections() == 3));
     proxy.heal();
     say("four");
     assert_eq!(hear(), "four");
--- a/crates/hazelgrade-fault-injection/tests/pure.rs
+++ b/crates/hazelgrade-fault-injection/tests/pure.rs
@@ -3,10 +3,10 @@
 
 use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
-use hazelgrade_fakes::callers::Fate;
+use hazelgrade_fakes::callers::JobOutcome;
 use hazelgrade_fault_injection::direction::{Datagrams, Delivery, LinkConditions, Stream};
 use hazelgrade_fault_injection::history::{FaultKind, History, Job, NodeObservation};
-use hazelgrade_fault_injection::plan::{Fault, Plan, Step, Trigger};
+use hazelgrade_fault_injection::plan::{Directions, Fault, FaultPlan, Link, SharedBudgetPlan, Step, Trigger};
 use hazelgrade_fault_injection::shrink::shrink;
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -33,7 +33,7 @@
             if chance.next_f64() < 0.1 {
                 rules.held = chance.next_f64() < 0.3;
                 rules.delay = ms(chance.next_f64() * 30.0);
-                rules.rate = (chance.next_f64() < 0.5).then(|| 1000.0 + chance.next_f64() * 100_000.0);
+                rules.bytes_per_s = (chance.next_f64() < 0.5).then(|| 1000.0 + chance.next_f64() * 100_000.0);
                 rules.reset_after = resets_at;
                 paced = (now, 0);
             }
@@ -67,7 +67,8 @@
                 }
             }
             // A piece of ten milliseconds may have passed just before.
-            let most = rules.rate.map_or(f64::INFINITY, |rate| rate * (now - paced.0 + 21.0) / 1000.0 + 2.0);
+            let most =
+                rules.bytes_per_s.map_or(f64::INFINITY, |rate| rate * (now - paced.0 + 21.0) / 1000.0 + 2.0);
             if paced.1 as f64 > most {
                 return Err(format!("{} bytes in {} ms, {most} at most", paced.1, now - paced.0));
             }
@@ -93,7 +94,7 @@
 
 #[test]
 fn datagrams_are_lost_doubled_and_overtaken_as_often_as_is_asked() {
-    let rules = LinkConditions { lost: 0.3, doubled: 0.2, overtaken: 0.1, ..LinkConditions::default() };
+    let rules = LinkConditions { lost: 0.3, duplicated: 0.2, reordered: 0.1, ..LinkConditions::default() };
     let mut lane = Datagrams::new(1);
     let mut got = Vec::new();
     for number in 0..1000u32 {
@@ -113,12 +114,12 @@
 #[test]
 fn plans_are_the_same_for_a_seed_and_come_back_from_what_is_written() {
     for seed in 0..200 {
-        let plan = Plan::draw(seed, 5, 14);
-        assert_eq!(plan, Plan::draw(seed, 5, 14));
-        assert_eq!(Plan::read(&plan.to_toml()), Ok(plan));
+        let plan = FaultPlan::draw(seed, 5, 14);
+        assert_eq!(plan, FaultPlan::draw(seed, 5, 14));
+        assert_eq!(FaultPlan::read(&plan.to_toml()), Ok(plan));
     }
-    assert_ne!(Plan::draw(1, 5, 14).step, Plan::draw(2, 5, 14).step);
-    let wrong = |text: &str| Plan::read(text).expect_err("it is wrong").to_string();
+    assert_ne!(FaultPlan::draw(1, 5, 14).steps, FaultPlan::draw(2, 5, 14).steps);
+    let wrong = |text: &str| FaultPlan::read(text).expect_err("it is wrong").to_string();
     assert!(
         wrong("seed = 1\nnodes = 2\nrate = 9.0\n[[step]]\ncue = \"now\"\nfault = { kill = { node = 2 } }\n")
             .contains("node 2")
@@ -131,21 +132,48 @@
     assert!(wrong("seed = 1\nnodes = 1\nrate = 0.0\n").contains("rate"));
 }
 
+#[test]
+fn plans_keep_their_keys_in_toml() {
+    let steps = [
+        "{ cut_keepers = { ways = \"to\" } }",
+        "{ garble = { node = 0, lost = 1, doubled = 2, overtaken = 3 } }",
+        "{ whole = { units = 5 } }",
+        "{ cut = { node = 1, link = \"callers\", ways = \"back\" } }",
+    ];
+    let mut text = "seed = 1\nnodes = 2\nrate = 9.0\n[shared]\nsites = 2\nwhole = 12\n".to_owned();
+    steps
+        .iter()
+        .for_each(|fault| text.push_str(&format!("[[step]]\ncue = {{ answers = 3 }}\nfault = {fault}\n")));
+    let plan = FaultPlan::read(&text).expect("it is right");
+    assert_eq!(
+        plan.steps.iter().map(|step| step.fault).collect::<Vec<_>>(),
+        [
+            Fault::CutKeepers { directions: Directions::To },
+            Fault::DegradeDatagrams { node: 0, lost: 1, duplicated: 2, reordered: 3 },
+            Fault::SetBudgetTotal { units: 5 },
+            Fault::Cut { node: 1, link: Link::Callers, directions: Directions::Back },
+        ]
+    );
+    assert_eq!(plan.shared, Some(SharedBudgetPlan { sites: 2, total: 12 }));
+    let written: toml::Table = toml::from_str(&plan.to_toml()).expect("it is TOML");
+    assert_eq!(written, toml::from_str(&text).expect("it is TOML"));
+}
+
 #[test]
 fn shrinking_leaves_just_the_steps_that_fail_together() {
-    let plan = Plan::draw(7, 5, 20);
-    let (one, other) = (plan.step[3], plan.step[plan.step.len() - 2]);
-    let needs = |plan: &Plan| plan.step.contains(&one) && plan.step.contains(&other);
+    let plan = FaultPlan::draw(7, 5, 20);
+    let (one, other) = (plan.steps[3], plan.steps[plan.steps.len() - 2]);
+    let needs = |plan: &FaultPlan| plan.steps.contains(&one) && plan.steps.contains(&other);
     let least = shrink(&plan, 1000, needs);
-    assert_eq!(least.step, vec![one, other]);
+    assert_eq!(least.steps, vec![one, other]);
     // With few plays it says what it has, which still fails.
     assert!(needs(&shrink(&plan, 3, needs)));
     let step = Step { trigger: Trigger::Now, fault: Fault::KillControl };
-    assert_eq!(shrink(&Plan { step: vec![step], ..plan }, 9, |_| false).step.len(), 1);
+    assert_eq!(shrink(&FaultPlan { steps: vec![step], ..plan }, 9, |_| false).steps.len(), 1);
 }
 
-fn job(node: usize, id: &str, sent: f64, after: f64, fate: Fate) -> Job {
-    Job { node, id: id.into(), sent: at(sent), after: ms(after), fate }
+fn job(node: usize, id: &str, sent: f64, after: f64, fate: JobOutcome) -> Job {
+    Job { node, id: id.into(), sent: at(sent), latency: ms(after), outcome: fate }
 }
 
 fn history(jobs: Vec<Job>) -> History {
@@ -164,7 +192,7 @@
 
 #[test]
 fn lost_and_late_jobs_are_breaks_unless_something_done_to_that_node_then_excuses_them() {
-    let lost = || history(vec![job(0, "a", 10_000.0, 800.0, Fate::Lost)]);
+    let lost = || history(vec![job(0, "a", 10_000.0, 800.0, JobOutcome::Lost)]);
     assert_eq!(rules(&lost()), ["no job lost"]);
     for (fault_kind, node, from, to, excused) in [
         (FaultKind::Killed, 0, 10_200.0, Some(10_500.0), true),
@@ -177,23 +205,23 @@
         (FaultKind::Gone, 0, 9000.0, None, true),
     ] {
         let mut history = lost();
-        history.begins(node, fault_kind, at(from));
-        to.into_iter().for_each(|to| history.ends(node, fault_kind, at(to)));
+        history.fault_begins(node, fault_kind, at(from));
+        to.into_iter().for_each(|to| history.fault_ends(node, fault_kind, at(to)));
         assert_eq!(rules(&history).is_empty(), excused, "{fault_kind:?} of {node} from {from} to {to:?}");
     }
     // What ran is not refused by a node that has left.
     let mut ran = lost();
-    ran.begins(0, FaultKind::Gone, at(9000.0));
+    ran.fault_begins(0, FaultKind::Gone, at(9000.0));
     ran.runs[0].insert("a".into(), 1);
     assert_eq!(rules(&ran), ["no job lost"]);
-    let late = || history(vec![job(0, "a", 10_000.0, 3200.0, Fate::Succeeded)]);
+    let late = || history(vec![job(0, "a", 10_000.0, 3200.0, JobOutcome::Succeeded)]);
     assert_eq!(rules(&late()), ["no job late"]);
     let mut stopped = late();
-    stopped.begins(0, FaultKind::Stopped, at(11_000.0));
-    stopped.ends(0, FaultKind::Stopped, at(12_000.0));
+    stopped.fault_begins(0, FaultKind::Stopped, at(11_000.0));
+    stopped.fault_ends(0, FaultKind::Stopped, at(12_000.0));
     assert!(rules(&stopped).is_empty());
-    assert!(rules(&history(vec![job(0, "a", 0.0, 3050.0, Fate::Rejected)])).is_empty());
-    assert!(rules(&history(vec![job(0, "a", 0.0, 9000.0, Fate::Crossed)])).is_empty());
+    assert!(rules(&history(vec![job(0, "a", 0.0, 3050.0, JobOutcome::Rejected)])).is_empty());
+    assert!(rules(&history(vec![job(0, "a", 0.0, 9000.0, JobOutcome::Crossed)])).is_empty());
 }
 
 #[test]
@@ -204,9 +232,15 @@
     let mut elsewhere = history(vec![]);
     elsewhere.runs = vec![BTreeMap::from([("a".to_owned(), 1)]); 2];
     assert_eq!(rules(&elsewhere), ["no effect twice"]);
-    assert_eq!(rules(&History { answered_twice: 1, ..history(vec![]) }), ["one answer"]);
-    assert_eq!(rules(&History { ends: vec![(0, "ended".into())], ..history(vec![]) }), ["safe drain"]);
-    assert_eq!(rules(&History { missing: vec!["x".into()], ..history(vec![]) }), ["all is well again"]);
+    assert_eq!(rules(&History { unmatched_answers: 1, ..history(vec![]) }), ["one answer"]);
+    assert_eq!(
+        rules(&History { unexpected_exits: vec![(0, "ended".into())], ..history(vec![]) }),
+        ["safe drain"]
+    );
+    assert_eq!(
+        rules(&History { unmet_expectations: vec!["x".into()], ..history(vec![]) }),
+        ["all is well again"]
+    );
 }
 
 #[test]
@@ -227,13 +261,13 @@
     };
     let conflict = || vec![seen(0, 0, 5, "(a)", "good"), seen(1, 0, 5, "(b)", "on trial")];
     assert_eq!(rules(&of(conflict())), ["one document a number"]);
-    assert!(rules(&History { numbers_anew: true, ..of(conflict()) }).is_empty());
+    assert!(rules(&History { version_numbers_reused: true, ..of(conflict()) }).is_empty());
     let second = of(vec![seen(0, 0, 5, "(a)", "good"), seen(0, 0, 6, "(c)", ""), seen(0, 0, 5, "(b)", "")]);
-    assert!(rules(&History { numbers_anew: true, ..second }).contains(&"one document a number"));
+    assert!(rules(&History { version_numbers_reused: true, ..second }).contains(&"one document a number"));
     assert_eq!(rules(&of(vec![seen(0, 0, 5, "(bad)", "good")])), ["no harm stays"]);
     assert!(rules(&of(vec![seen(0, 0, 5, "(bad)", "on trial")])).is_empty());
     let mut hampered = of(vec![seen(0, 0, 5, "(bad)", "good")]);
-    hampered.begins(0, FaultKind::Hampered, at(0.0));
+    hampered.fault_begins(0, FaultKind::Hampered, at(0.0));
     assert!(rules(&hampered).is_empty(), "there was nothing to judge it by");
     let back = |disk, standing: &str| of(vec![seen(0, 0, 5, "(a)", standing), seen(0, disk, 4, "(b)", "")]);
     assert_eq!(rules(&back(0, "good")), ["versions go on"]);
@@ -244,12 +278,12 @@
 #[test]
 fn the_part_served_counts_what_was_sent_then_and_answered_in_its_goal_time() {
     let jobs = vec![
-        job(0, "a", 100.0, 50.0, Fate::Succeeded),
-        job(0, "b", 200.0, 900.0, Fate::Succeeded),
-        job(0, "c", 300.0, 10.0, Fate::Rejected),
-        job(0, "d", 400.0, 10.0, Fate::Crossed),
-        job(0, "e", 2000.0, 10.0, Fate::Rejected),
-        job(1, "f", 100.0, 10.0, Fate::Rejected),
+        job(0, "a", 100.0, 50.0, JobOutcome::Succeeded),
+        job(0, "b", 200.0, 900.0, JobOutcome::Succeeded),
+        job(0, "c", 300.0, 10.0, JobOutcome::Rejected),
+        job(0, "d", 400.0, 10.0, JobOutcome::Crossed),
+        job(0, "e", 2000.0, 10.0, JobOutcome::Rejected),
+        job(1, "f", 100.0, 10.0, JobOutcome::Rejected),
     ];
     let part = history(jobs).served_ratio(0, at(0.0), at(1000.0), ms(500.0));
     assert_eq!(part, Some(1.0 / 3.0));
