--- a/crates/hazelgrade-server/tests/budgets/main.rs
+++ b/crates/hazelgrade-server/tests/budgets/main.rs
@@ -2,14 +2,14 @@
 //! counted there, and never more than the whole.
 
 use hazelgrade_budget::protocol::OperatorCommand;
-use hazelgrade_fakes::executor::{Executor, Work};
-use hazelgrade_fakes::{free_address, world};
+use hazelgrade_fakes::executor::{Executor, Workload};
+use hazelgrade_fakes::{free_address, test_environment};
 use hazelgrade_fault_injection::group::Group;
 use hazelgrade_fault_injection::history::History;
-use hazelgrade_fault_injection::plan::{Directions, Disk, Fault, Link, Plan};
-use hazelgrade_fault_injection::plan_run::play;
+use hazelgrade_fault_injection::plan::{Directions, Disk, Fault, FaultPlan, Link};
+use hazelgrade_fault_injection::plan_run::run_plan;
 use hazelgrade_fault_injection::proxy::{ms, now};
-use hazelgrade_fault_injection::shared_budget::Setting;
+use hazelgrade_fault_injection::shared_budget::SharedBudgetConfig;
 use serde_json::Value;
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -28,7 +28,7 @@
     Path::new(env!("CARGO_BIN_EXE_hazelgrade"))
 }
 
-fn group(nodes: usize, rate: f64, setting: Setting) -> Group {
+fn group(nodes: usize, rate: f64, setting: SharedBudgetConfig) -> Group {
     Group::start_with(program(), &[], nodes, rate, Some(setting)).expect("it starts")
 }
 
@@ -47,7 +47,7 @@
 
 /// What the first site's keeper says of the budget of calls.
 fn calls(group: &Group) -> Value {
-    group.service.budgets()["budgets"]["calls"].clone()
+    group.control_service.budget_status()["budgets"]["calls"].clone()
 }
 
 fn number(of: &Value, field: &str) -> u64 {
@@ -75,25 +75,25 @@
 }
 
 fn owned(group: &Group, site: usize) -> u64 {
-    let other = group.shared.as_ref().and_then(|shared| shared.other.as_ref());
+    let other = group.shared_budget.as_ref().and_then(|shared| shared.second_control.as_ref());
     let report = if site == 0 {
-        group.service.budgets()
+        group.control_service.budget_status()
     } else {
-        other.map(|other| other.budgets()).unwrap_or_default()
+        other.map(|other| other.budget_status()).unwrap_or_default()
     };
     number(&report["budgets"]["calls"], "owned")
 }
 
 fn peak(group: &Group) -> usize {
-    group.shared.as_ref().map_or(0, |shared| shared.dependency.peak())
+    group.shared_budget.as_ref().map_or(0, |shared| shared.dependency.peak())
 }
 
 fn in_hand(group: &Group) -> usize {
-    group.shared.as_ref().map_or(0, |shared| shared.dependency.in_hand())
+    group.shared_budget.as_ref().map_or(0, |shared| shared.dependency.in_flight())
 }
 
 fn word(group: &Group, word: OperatorCommand) -> Result<Value, String> {
-    group.service.word(word).map_err(|error| error.to_string())
+    group.control_service.send_budget_command(word).map_err(|error| error.to_string())
 }
 
 /// Of the job class that callers ask for.
@@ -103,28 +103,48 @@
 #[test]
 fn parts_move_with_nodes_that_come_go_and_stand_still() {
     let _one = one_at_a_time();
-    let setting = Setting { whole: 9, call: Duration::from_millis(150), ..Setting::default() };
+    let setting = SharedBudgetConfig {
+        total: 9,
+        call_duration: Duration::from_millis(150),
+        ..SharedBudgetConfig::default()
+    };
     let mut group = group(3, 60.0, setting);
-    assert!(divided(&mut group, 9), "{}", group.service.budgets());
+    assert!(divided(&mut group, 9), "{}", group.control_service.budget_status());
     let began = now();
     let call_seconds =
-        |group: &Group| group.shared.as_ref().map_or(0.0, |shared| shared.dependency.call_seconds());
+        |group: &Group| group.shared_budget.as_ref().map_or(0.0, |shared| shared.dependency.call_seconds());
     let before = call_seconds(&group);
 
     // Killed with its part in hand: it comes back under its name, as another.
     cause(&mut group, Fault::Kill { node: 0 });
-    assert!(group.wait_until(SOON, |group| have(group, &[1, 2]) == 9), "{}", group.service.budgets());
-    group.members[0].with_operator("[for_tests_only]\nclock_rate = 0.9998\n").expect("a file");
+    assert!(
+        group.wait_until(SOON, |group| have(group, &[1, 2]) == 9),
+        "{}",
+        group.control_service.budget_status()
+    );
+    group.nodes[0].set_operator_settings("[for_tests_only]\nclock_rate = 0.9998\n").expect("a file");
     cause(&mut group, Fault::Start { node: 0, disk: Disk::Own });
-    assert!(group.wait_until(SOON, |group| have(group, &[0]) >= 2), "{}", group.service.budgets());
+    assert!(
+        group.wait_until(SOON, |group| have(group, &[0]) >= 2),
+        "{}",
+        group.control_service.budget_status()
+    );
 
     // Stopped for longer than its lease, its part is given to others; woken, it uses none of it.
     cause(&mut group, Fault::Stop { node: 1 });
-    assert!(group.wait_until(SOON, |group| have(group, &[0, 2]) == 9), "{}", group.service.budgets());
+    assert!(
+        group.wait_until(SOON, |group| have(group, &[0, 2]) == 9),
+        "{}",
+        group.control_service.budget_status()
+    );
     let full = |group: &mut Group| in_hand(group) >= 8;
     assert!(group.wait_until(SOON, full), "the others use it");
     cause(&mut group, Fault::Wake { node: 1 });
-    assert!(group.wait_until(SOON, |group| have(group, &[1]) >= 2), "{}", group.service.budgets());
+    assert!(
+        group.wait_until(SOON, |group| have(group, &[1]) >= 2),
+        "{}",
+        group.control_service.budget_status()
+    );
 
     // What it says is lost, then what it is told: past its lease it has nothing, whatever is on its way.
     for directions in [Directions::To, Directions::Back] {
@@ -132,29 +152,30 @@
         assert!(
             group.wait_until(SOON, |group| have(group, &[0, 1]) == 9),
             "{directions:?} {}",
-            group.service.budgets()
+            group.control_service.budget_status()
         );
         assert!(group.wait_until(SOON, full));
         cause(&mut group, Fault::Heal { node: 2, link: Link::Control });
         assert!(
             group.wait_until(SOON, |group| have(group, &[2]) >= 2),
             "{directions:?} {}",
-            group.service.budgets()
+            group.control_service.budget_status()
         );
     }
 
     // Two processes under one name are two holders.
     let folder = tempfile::tempdir().expect("a folder");
     let executor =
-        Executor::start(Work { cores: 4, takes: Duration::from_millis(16), calls: true }).expect("it starts");
-    let plan = hazelgrade_fakes::node::Plan {
-        folder: folder.path().into(),
+        Executor::start(Workload { cores: 4, job_duration: Duration::from_millis(16), makes_call: true })
+            .expect("it starts");
+    let plan = hazelgrade_fakes::node_process::NodeConfig {
+        directory: folder.path().into(),
         listen: free_address(),
         executor: executor.address,
-        ..group.members[0].node.plan.clone()
+        ..group.nodes[0].node.config.clone()
     };
     let twin = plan.start().expect("it starts");
-    let callers = world::callers(plan.listen, 60.0, &["read"]);
+    let callers = test_environment::start_callers(plan.listen, 60.0, &["read"]);
     let two = |group: &mut Group| {
         let calls = calls(group);
         calls["holders"]
@@ -162,7 +183,7 @@
             .is_some_and(|all| all.iter().filter(|one| one["holder"] == "n0").count() == 2)
             && number(&calls, "granted") == 9
     };
-    assert!(group.wait_until(SOON, two), "{}", group.service.budgets());
+    assert!(group.wait_until(SOON, two), "{}", group.control_service.budget_status());
     callers.stop();
     drop(twin);
 
@@ -178,7 +199,7 @@
     let history = group.finish();
     kept(&history);
     // All through it most of the whole is in use, though a third of it lies still after each fault until its lease is over.
-    assert!(used >= 0.5 * f64::from(setting.whole), "{used} calls in hand in the mean");
+    assert!(used >= 0.5 * f64::from(setting.total), "{used} calls in hand in the mean");
     let part = history.served_ratio(0, began, over, ms(GOAL_MS)).unwrap_or(0.0);
     assert!(part >= 0.5, "node 0 served {part}");
     for node in [0, 2] {
@@ -192,17 +213,18 @@
 #[test]
 fn a_keeper_in_trouble_never_gives_away_what_may_be_in_use() {
     let _one = one_at_a_time();
-    let setting = Setting { whole: 10, set_aside: 3, alone: 1, ..Setting::default() };
+    let setting =
+        SharedBudgetConfig { total: 10, set_aside: 3, unleased: 1, ..SharedBudgetConfig::default() };
     let mut group = group(3, 60.0, setting);
     assert!(
         divided(&mut group, 10 - 3) || number(&calls(&group), "granted") == 7,
         "{}",
-        group.service.budgets()
+        group.control_service.budget_status()
     );
 
     // While it stands still, nodes go on with what they may use alone.
     cause(&mut group, Fault::StopControl);
-    let jobs = |group: &Group| group.members.iter().map(|member| member.jobs()).sum::<usize>();
+    let jobs = |group: &Group| group.nodes.iter().map(|member| member.job_count()).sum::<usize>();
     let before = jobs(&group);
     assert!(group.wait_until(SOON, |group| jobs(group) > before + 200));
     assert!(group.wait_until(SOON, |group| in_hand(group) <= 3));
@@ -210,35 +232,37 @@
     assert!(
         group.wait_until(SOON, |group| number(&calls(group), "granted") == 7),
         "{}",
-        group.service.budgets()
+        group.control_service.budget_status()
     );
 
     // Killed: the next start waits for all leases, and holders keep what they have.
-    group.shared.as_mut().expect("shared").remember(&group.service);
+    group.shared_budget.as_mut().expect("shared").snapshot_stores(&group.control_service);
     for disk in [Disk::Own, Disk::Own] {
         cause(&mut group, Fault::KillControl);
         cause(&mut group, Fault::StartControl { disk });
         assert!(
             group.wait_until(SOON, |group| number(&calls(group), "granted") == 7),
             "{}",
-            group.service.budgets()
+            group.control_service.budget_status()
         );
     }
 
     // Yesterday's store: holders know of later starts, and it closes until an operator has seen to it.
     cause(&mut group, Fault::KillControl);
-    let service = &group.service;
-    group.shared.as_ref().expect("shared").disk(0, service, Disk::Old).expect("a copy");
+    let service = &group.control_service;
+    group.shared_budget.as_ref().expect("shared").prepare_store(0, service, Disk::Old).expect("a copy");
     cause(&mut group, Fault::StartControl { disk: Disk::Own });
     let closed = |group: &mut Group| {
-        group.service.budgets()["held_up"].as_str().is_some_and(|why| why.contains("an old copy"))
+        group.control_service.budget_status()["held_up"]
+            .as_str()
+            .is_some_and(|why| why.contains("an old copy"))
     };
-    assert!(group.wait_until(SOON, closed), "{}", group.service.budgets());
+    assert!(group.wait_until(SOON, closed), "{}", group.control_service.budget_status());
     assert!(word(&group, OperatorCommand::Open).is_ok());
     assert!(
         group.wait_until(SOON, |group| number(&calls(group), "granted") == 7),
         "{}",
-        group.service.budgets()
+        group.control_service.budget_status()
     );
 
     // A copy of the store grants nothing at another address, and nobody starts without a store.
@@ -249,7 +273,7 @@
         (done.status.code(), String::from_utf8_lossy(&done.stderr).into_owned())
     };
     let copy = tempfile::tempdir().expect("a folder");
-    std::fs::copy(group.service.keeper_store(), copy.path().join(".keeper.store")).expect("a copy");
+    std::fs::copy(group.control_service.lessor_store(), copy.path().join(".keeper.store")).expect("a copy");
     let elsewhere = free_address().to_string();
     let (code, said) = program_says(&["--listen", &elsewhere, "--keeper", "a"], copy.path());
     assert!(code == Some(2) && said.contains("belongs to the keeper of a at"), "{code:?} {said}");
@@ -261,9 +285,9 @@
     cause(&mut group, Fault::KillControl);
     cause(&mut group, Fault::StartControl { disk: Disk::Empty });
     let waits = |group: &mut Group| {
-        group.service.budgets()["held_up"].as_str().is_some_and(|why| why.contains("ms more"))
+        group.control_service.budget_status()["held_up"].as_str().is_some_and(|why| why.contains("ms more"))
     };
-    assert!(group.wait_until(SOON, waits), "{}", group.service.budgets());
+    assert!(group.wait_until(SOON, waits), "{}", group.control_service.budget_status());
     kept(&group.finish());
 }
 
@@ -271,13 +295,17 @@
 #[test]
 fn a_whole_changes_while_it_is_in_use() {
     let _one = one_at_a_time();
-    let setting = Setting { whole: 12, call: Duration::from_millis(150), ..Setting::default() };
+    let setting = SharedBudgetConfig {
+        total: 12,
+        call_duration: Duration::from_millis(150),
+        ..SharedBudgetConfig::default()
+    };
     let mut group = group(3, 80.0, setting);
-    assert!(divided(&mut group, 12), "{}", group.service.budgets());
+    assert!(divided(&mut group, 12), "{}", group.control_service.budget_status());
     assert!(group.wait_until(SOON, |group| in_hand(group) >= 11));
     for whole in [6, 12, 2] {
-        cause(&mut group, Fault::Whole { units: whole });
-        assert!(divided(&mut group, u64::from(whole)), "{whole}: {}", group.service.budgets());
+        cause(&mut group, Fault::SetBudgetTotal { units: whole });
+        assert!(divided(&mut group, u64::from(whole)), "{whole}: {}", group.control_service.budget_status());
         assert!(group.wait_until(SOON, |group| in_hand(group) <= whole as usize));
     }
     // Two for three nodes: each has its turn.
@@ -285,7 +313,7 @@
         assert!(
             group.wait_until(SOON, |group| have(group, &[node]) >= 1),
             "{node}: {}",
-            group.service.budgets()
+            group.control_service.budget_status()
         );
     }
     kept(&group.finish());
@@ -295,15 +323,24 @@
 #[test]
 fn parts_move_between_sites_and_a_lost_sites_part_is_taken_over() {
     let _one = one_at_a_time();
-    let setting = Setting { whole: 12, sites: 2, call: Duration::from_millis(150), ..Setting::default() };
+    let setting = SharedBudgetConfig {
+        total: 12,
+        sites: 2,
+        call_duration: Duration::from_millis(150),
+        ..SharedBudgetConfig::default()
+    };
     let mut group = group(4, 60.0, setting);
     let both = |group: &Group| owned(group, 0) + owned(group, 1);
-    assert!(group.wait_until(SOON, |group| both(group) == 12), "{}", group.service.budgets());
+    assert!(group.wait_until(SOON, |group| both(group) == 12), "{}", group.control_service.budget_status());
 
     // Nobody at a: its part goes to b, and comes back when it is wanted.
     cause(&mut group, Fault::Kill { node: 0 });
     cause(&mut group, Fault::Kill { node: 2 });
-    assert!(group.wait_until(SOON, |group| owned(group, 1) >= 10), "{}", group.service.budgets());
+    assert!(
+        group.wait_until(SOON, |group| owned(group, 1) >= 10),
+        "{}",
+        group.control_service.budget_status()
+    );
     // Cut apart with some of it on its way.
     cause(&mut group, Fault::CutKeepers { directions: Directions::Back });
     cause(&mut group, Fault::Start { node: 0, disk: Disk::Own });
@@ -312,7 +349,7 @@
     assert!(
         group.wait_until(SOON, |group| owned(group, 0) >= 5 && both(group) == 12),
         "{}",
-        group.service.budgets()
+        group.control_service.budget_status()
     );
 
     // An operator's word is carried out once, and what is not free is not moved.
@@ -328,15 +365,19 @@
     assert!(word(&group, retire("r0")).is_err_and(|why| why.contains("ms more")));
     assert!(group.wait_until(SOON, |group| word(group, retire("r1")).is_ok()));
     assert!(word(&group, retire("r1")).is_ok_and(|told| told.to_string().contains("before")));
-    assert!(group.wait_until(SOON, |group| owned(group, 0) == 12), "{}", group.service.budgets());
+    assert!(
+        group.wait_until(SOON, |group| owned(group, 0) == 12),
+        "{}",
+        group.control_service.budget_status()
+    );
 
     // It comes back with its own books, hears of it, owns nothing, and gets what it is short of.
     cause(&mut group, Fault::StartOther { disk: Disk::Own });
     let told = |group: &mut Group| {
-        let other = group.shared.as_ref().and_then(|shared| shared.other.as_ref());
-        other.is_some_and(|other| other.budgets()["held_up"].is_null()) && both(group) == 12
+        let other = group.shared_budget.as_ref().and_then(|shared| shared.second_control.as_ref());
+        other.is_some_and(|other| other.budget_status()["held_up"].is_null()) && both(group) == 12
     };
-    assert!(group.wait_until(SOON, told), "{}", group.service.budgets());
+    assert!(group.wait_until(SOON, told), "{}", group.control_service.budget_status());
     kept(&group.finish());
 }
 
@@ -344,29 +385,34 @@
 #[test]
 fn a_keeper_killed_at_each_of_its_writes_comes_back_with_what_counts() {
     let _one = one_at_a_time();
-    let setting = Setting { whole: 6, lease_ms: 300, longest_use_ms: 300, ..Setting::default() };
+    let setting =
+        SharedBudgetConfig { total: 6, lease_ms: 300, max_use_ms: 300, ..SharedBudgetConfig::default() };
     let mut group = group(2, 40.0, setting);
-    assert!(divided(&mut group, 6), "{}", group.service.budgets());
-    let (usual, mut deaths) = (group.service.extra.clone(), 0);
+    assert!(divided(&mut group, 6), "{}", group.control_service.budget_status());
+    let (usual, mut deaths) = (group.control_service.extra_arguments.clone(), 0);
     for at in 0.. {
         cause(&mut group, Fault::KillControl);
-        group.service.extra = usual.clone();
-        group.service.extra.extend(["--keeper-dies-at-for-tests-only".into(), at.to_string()]);
+        group.control_service.extra_arguments = usual.clone();
+        group
+            .control_service
+            .extra_arguments
+            .extend(["--keeper-dies-at-for-tests-only".into(), at.to_string()]);
         cause(&mut group, Fault::StartControl { disk: Disk::Own });
         // It dies as it starts, or does all that a start writes.
-        let done = |group: &mut Group| !group.service.lives() || number(&calls(group), "granted") == 6;
-        assert!(group.wait_until(SOON, done), "{at}: {}", group.service.budgets());
-        if group.service.lives() {
+        let done =
+            |group: &mut Group| !group.control_service.is_alive() || number(&calls(group), "granted") == 6;
+        assert!(group.wait_until(SOON, done), "{at}: {}", group.control_service.budget_status());
+        if group.control_service.is_alive() {
             break;
         }
         deaths += 1;
         assert!(deaths < 100, "it always dies");
     }
     assert!(deaths >= 3, "{deaths} deaths");
-    group.service.extra = usual;
+    group.control_service.extra_arguments = usual;
     cause(&mut group, Fault::KillControl);
     cause(&mut group, Fault::StartControl { disk: Disk::Own });
-    assert!(divided(&mut group, 6), "{}", group.service.budgets());
+    assert!(divided(&mut group, 6), "{}", group.control_service.budget_status());
     assert!(peak(&group) >= 4);
     kept(&group.finish());
 }
@@ -375,8 +421,8 @@
 fn drawn_plans_never_pass_the_whole() {
     let _one = one_at_a_time();
     for (seed, sites) in [(5, 1), (9, 2)] {
-        let plan = Plan::draw_shared(seed, 5, 10, sites, 10);
-        let played = play(&plan, program(), &[]).expect("it can be played");
+        let plan = FaultPlan::draw_shared(seed, 5, 10, sites, 10);
+        let played = run_plan(&plan, program(), &[]).expect("it can be played");
         let violations: Vec<String> = played.violations.iter().map(ToString::to_string).collect();
         assert!(violations.is_empty(), "{}\n\n{}", violations.join("\n"), plan.to_toml());
     }
--- a/crates/hazelgrade-server/tests/group/control.rs
+++ b/crates/hazelgrade-server/tests/group/control.rs
@@ -1,8 +1,8 @@
 //! The control service in trouble, or cut off from some: killed, paused, with yesterday's counter, twice.
 
 use super::*;
+use hazelgrade_fakes::control_process::ControlServiceProcess;
 use hazelgrade_fakes::documents::{BOOK, READ, document};
-use hazelgrade_fakes::service::Service;
 use hazelgrade_fault_injection::plan::{Directions, Disk, Link};
 use hazelgrade_fault_injection::proxy::{Direction, FaultProxy};
 use hazelgrade_fault_injection::subscriber_fleet::SubscriberFleet;
@@ -18,7 +18,7 @@
     }
     cause(&mut group, Fault::Publish { harmful: false });
     let kept_number = |group: &mut Group| {
-        std::fs::read_to_string(group.service.counter()).is_ok_and(|text| text.contains(":2"))
+        std::fs::read_to_string(group.control_service.counter_file()).is_ok_and(|text| text.contains(":2"))
     };
     assert!(group.wait_until(SOON, kept_number));
     cause(&mut group, Fault::KillControl);
@@ -38,7 +38,7 @@
 fn paused_for_longer_than_nodes_wait_for_it_and_woken_the_service_goes_on() {
     let _alone = alone();
     let mut group = group();
-    let proxy = group.members[0].proxy(Link::Control).clone();
+    let proxy = group.nodes[0].proxy(Link::Control).clone();
     let before = proxy.connections();
     cause(&mut group, Fault::StopControl);
     // A node hangs up after fifteen seconds of silence and comes again, to a service that accepts nothing.
@@ -80,11 +80,11 @@
     let mut group = group();
     let mine = document(&[READ, BOOK], 2, "").expect("it is right");
     // Between nodes of one and of the other nothing holds but their own word; for each node it does.
-    group.history.numbers_anew = true;
-    let other = Service::start(program(), &[], "test", &mine).expect("it starts");
+    group.history.version_numbers_reused = true;
+    let other = ControlServiceProcess::start(program(), &[], "test", &mine).expect("it starts");
     for node in [3, 4] {
-        let proxy = group.members[node].proxy(Link::Control);
-        proxy.lead_to(other.address);
+        let proxy = group.nodes[node].proxy(Link::Control);
+        proxy.set_target(other.address);
         proxy.reset();
     }
     // Number 1 is another document there: both nodes say so, and it is offered again past what they know.
@@ -98,8 +98,8 @@
     };
     assert!(group.wait_until(SOON, takes), "{}", other.status());
     for node in [3, 4] {
-        let proxy = group.members[node].proxy(Link::Control);
-        proxy.lead_to(group.service.address);
+        let proxy = group.nodes[node].proxy(Link::Control);
+        proxy.set_target(group.control_service.address);
         proxy.reset();
     }
     // They know greater numbers than it has given: it says that somebody else publishes, and goes past them with time.
@@ -116,12 +116,12 @@
     let _alone = alone();
     let mut group = group();
     cause(&mut group, Fault::Cut { node: 2, link: Link::Control, directions: Directions::To });
-    let before = group.members[2].proxy(Link::Control).passed(Direction::Back);
+    let before = group.nodes[2].proxy(Link::Control).forwarded_bytes(Direction::Back);
     cause(&mut group, Fault::Publish { harmful: false });
     assert!(group.wait_until(SOON, |group| count(&stand(group, "good")) == NODES - 1), "{}", group.status());
     assert!(!stand(&group, "good")[2]);
     assert!(
-        group.members[2].proxy(Link::Control).passed(Direction::Back) > before,
+        group.nodes[2].proxy(Link::Control).forwarded_bytes(Direction::Back) > before,
         "the offer was not delivered"
     );
     assert!(group.serves_latest(2, SOON), "it was offered the version and doesn't serve by it");
@@ -152,7 +152,7 @@
     const LIGHT: usize = 980;
     let _alone = alone();
     let mut group = Group::start(program(), &[], REAL, 4.0).expect("it starts");
-    let proxy = FaultProxy::tcp(group.service.address).expect("a port");
+    let proxy = FaultProxy::tcp(group.control_service.address).expect("a port");
     let lights = SubscriberFleet::start(LIGHT, proxy.address);
     let connected = |group: &mut Group| {
         let nodes = group.status()["nodes"].as_array().cloned().unwrap_or_default();
@@ -177,7 +177,7 @@
     // Of a thousand no more than a third come at one moment.
     assert!(most < LIGHT as u64 / 3, "{most} came within 0.1 s");
     let digest = group.first_digest();
-    assert_eq!(lights.serve(&digest), (LIGHT, 0));
+    assert_eq!(lights.serving(&digest), (LIGHT, 0));
     // And the next version reaches all of them.
     cause(&mut group, Fault::Publish { harmful: false });
     assert!(
--- a/crates/hazelgrade-server/tests/group/main.rs
+++ b/crates/hazelgrade-server/tests/group/main.rs
@@ -7,8 +7,8 @@
 
 use hazelgrade_fault_injection::group::Group;
 use hazelgrade_fault_injection::history::History;
-use hazelgrade_fault_injection::plan::{Fault, Plan, Step, Trigger};
-use hazelgrade_fault_injection::plan_run::play;
+use hazelgrade_fault_injection::plan::{Fault, FaultPlan, Step, Trigger};
+use hazelgrade_fault_injection::plan_run::run_plan;
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -38,7 +38,7 @@
 
 /// Node by node, whether it has the latest version and stands so with it.
 fn stand(group: &Group, word: &str) -> Vec<bool> {
-    let digest = &group.digest;
+    let digest = &group.published_digest;
     group.standings.iter().map(|(of, standing)| of.ends_with(digest.as_str()) && standing == word).collect()
 }
 
@@ -58,11 +58,11 @@
 /// Plays steps, and on failure shows the plan to play again.
 fn plays(steps: &[(Trigger, Fault)]) -> History {
     let step = steps.iter().map(|(trigger, fault)| Step { trigger: *trigger, fault: *fault }).collect();
-    played(&Plan { seed: 0, nodes: NODES, rate: RATE, shared: None, step })
+    played(&FaultPlan { seed: 0, nodes: NODES, rate: RATE, shared: None, steps: step })
 }
 
-fn played(plan: &Plan) -> History {
-    let played = play(plan, program(), &[]).expect("it can be played");
+fn played(plan: &FaultPlan) -> History {
+    let played = run_plan(plan, program(), &[]).expect("it can be played");
     let violations: Vec<String> = played.violations.iter().map(ToString::to_string).collect();
     assert!(
         violations.is_empty(),
@@ -77,6 +77,6 @@
 fn drawn_plans_break_no_rule() {
     let _alone = alone();
     for seed in [3, 8] {
-        played(&Plan::draw(seed, NODES, 10));
+        played(&FaultPlan::draw(seed, NODES, 10));
     }
 }
--- a/crates/hazelgrade-server/tests/group/nodes.rs
+++ b/crates/hazelgrade-server/tests/group/nodes.rs
@@ -26,8 +26,9 @@
         links.iter().for_each(|link| cause(&mut group, cut(4, *link)));
         cause(&mut group, Fault::Publish { harmful: false });
         assert!(group.wait_until(SOON, |group| count(&stand(group, "good")[..4]) == 4), "{}", group.status());
-        let before: Vec<usize> = group.members.iter().map(|member| member.jobs()).collect();
-        let others = |group: &mut Group| (0..4).all(|node| group.members[node].jobs() >= before[node] + 40);
+        let before: Vec<usize> = group.nodes.iter().map(|member| member.job_count()).collect();
+        let others =
+            |group: &mut Group| (0..4).all(|node| group.nodes[node].job_count() >= before[node] + 40);
         assert!(group.wait_until(SOON, others));
         links.iter().for_each(|link| cause(&mut group, Fault::Heal { node: 4, link: *link }));
     }
@@ -35,7 +36,7 @@
     cause(&mut group, cut(4, Link::Database));
     cause(&mut group, cut(4, Link::Executor));
     cause(&mut group, Fault::Term { node: 4 });
-    assert!(group.wait_until(SOON, |group| !group.members[4].is_running()), "it does not leave");
+    assert!(group.wait_until(SOON, |group| !group.nodes[4].is_running()), "it does not leave");
     let over = now();
     // Runs that it could not stop are answered for; it leaves with 0.
     let history = group.finish();
@@ -54,7 +55,7 @@
         cause(&mut group, Fault::Hup { node });
         cause(&mut group, if node < 2 { Fault::Kill { node } } else { Fault::Term { node } });
     }
-    assert!(group.wait_until(SOON, |group| group.members.iter().all(|member| !member.is_running())));
+    assert!(group.wait_until(SOON, |group| group.nodes.iter().all(|member| !member.is_running())));
     for node in 0..NODES {
         cause(&mut group, Fault::Start { node, disk: Disk::Own });
     }
@@ -69,7 +70,7 @@
     let began = now();
     for node in 0..NODES {
         cause(&mut group, Fault::Term { node });
-        assert!(group.wait_until(SOON, |group| !group.members[node].is_running()));
+        assert!(group.wait_until(SOON, |group| !group.nodes[node].is_running()));
         if node == 2 {
             let at = group.folder.path().join("n2.json");
             let right = std::fs::read(&at).expect("it was started by it");
@@ -88,7 +89,7 @@
             std::fs::write(&at, &right).expect("a file");
         }
         cause(&mut group, Fault::Start { node, disk: Disk::Own });
-        assert!(group.wait_until(SOON, |group| group.members[node].is_ready()));
+        assert!(group.wait_until(SOON, |group| group.nodes[node].is_ready()));
     }
     let over = now();
     let history = group.finish();
@@ -108,13 +109,13 @@
     let mut group = group();
     cause(&mut group, Fault::Publish { harmful: false });
     cause(&mut group, Fault::Stall { ms: 2000 });
-    let before: Vec<usize> = group.members.iter().map(|member| member.jobs()).collect();
+    let before: Vec<usize> = group.nodes.iter().map(|member| member.job_count()).collect();
     let began = Instant::now();
     let all = |group: &mut Group| {
-        group.members.iter().zip(&before).all(|(member, before)| member.jobs() > before + 60)
+        group.nodes.iter().zip(&before).all(|(member, before)| member.job_count() > before + 60)
     };
     assert!(group.wait_until(SOON, all), "not all answer again after {:?}", began.elapsed());
-    assert!(group.wait_until(SOON, |group| group.members.iter().all(|member| member.is_ready())));
+    assert!(group.wait_until(SOON, |group| group.nodes.iter().all(|member| member.is_ready())));
     kept(&group.finish());
 }
 
@@ -125,10 +126,10 @@
     let mut group = group();
     for (node, clock) in [(1, "clock_off_ms = -3600000"), (2, "clock_rate = 1.5")] {
         cause(&mut group, Fault::Term { node });
-        assert!(group.wait_until(SOON, |group| !group.members[node].is_running()));
-        group.members[node].with_operator(&format!("[for_tests_only]\n{clock}\n")).expect("a file");
+        assert!(group.wait_until(SOON, |group| !group.nodes[node].is_running()));
+        group.nodes[node].set_operator_settings(&format!("[for_tests_only]\n{clock}\n")).expect("a file");
         cause(&mut group, Fault::Start { node, disk: Disk::Own });
-        assert!(group.wait_until(SOON, |group| group.members[node].is_ready()));
+        assert!(group.wait_until(SOON, |group| group.nodes[node].is_ready()));
     }
     cause(&mut group, Fault::Publish { harmful: false });
     assert!(group.wait_until(SOON, |group| count(&stand(group, "good")) == NODES), "{}", group.status());
--- a/crates/hazelgrade-server/tests/group/store.rs
+++ b/crates/hazelgrade-server/tests/group/store.rs
@@ -14,22 +14,22 @@
     let mut beyond = 0;
     for write in 0.. {
         cause(&mut group, Fault::Term { node: 0 });
-        assert!(group.wait_until(SOON, |group| !group.members[0].is_running()));
+        assert!(group.wait_until(SOON, |group| !group.nodes[0].is_running()));
         let operator = format!("[for_tests_only]\nstore_dies_at = {write}\n");
-        group.members[0].with_operator(&operator).expect("a file");
+        group.nodes[0].set_operator_settings(&operator).expect("a file");
         // It may die as it opens the store, or when a version comes, or not at all.
         group.starts_and_may_die(0).expect("it starts");
         cause(&mut group, Fault::Publish { harmful: false });
-        let settled = |group: &mut Group| !group.members[0].is_running() || stand(group, "good")[0];
+        let settled = |group: &mut Group| !group.nodes[0].is_running() || stand(group, "good")[0];
         assert!(group.wait_until(SOON, settled), "at {write}: {}", group.status());
-        let dead = !group.members[0].is_running();
-        group.members[0].with_operator("").expect("a file");
+        let dead = !group.nodes[0].is_running();
+        group.nodes[0].set_operator_settings("").expect("a file");
         if dead {
             died_at.insert(write);
             cause(&mut group, Fault::Start { node: 0, disk: Disk::Own });
             // A version with which it died once is offered again; with twice it would be suspect.
             assert!(
-                group.wait_until(SOON, |group| group.members[0].is_ready()),
+                group.wait_until(SOON, |group| group.nodes[0].is_ready()),
                 "after a death at {write}: {}",
                 group.status()
             );
@@ -42,7 +42,7 @@
         }
     }
     cause(&mut group, Fault::Term { node: 0 });
-    assert!(group.wait_until(SOON, |group| !group.members[0].is_running()));
+    assert!(group.wait_until(SOON, |group| !group.nodes[0].is_running()));
     cause(&mut group, Fault::Start { node: 0, disk: Disk::Own });
     assert!(died_at.len() >= 10, "it died at {died_at:?} only");
     println!("{} deaths, the last at write {:?}", died_at.len(), died_at.last());
--- a/crates/hazelgrade-server/tests/identity/main.rs
+++ b/crates/hazelgrade-server/tests/identity/main.rs
@@ -4,12 +4,12 @@
 mod tls;
 
 use hazelgrade_config::Document;
-use hazelgrade_fakes::callers::{Fate, Token, Told};
+use hazelgrade_fakes::callers::{JobOutcome, JobResult, Token};
 use hazelgrade_fakes::documents::{BOOK, READ, document};
-use hazelgrade_fakes::executor::Work;
-use hazelgrade_fakes::node::{Node, Plan};
-use hazelgrade_fakes::world::{World, callers_with};
-use hazelgrade_fakes::{comes_true, free_address, rules, unix_ms};
+use hazelgrade_fakes::executor::Workload;
+use hazelgrade_fakes::node_process::{NodeConfig, NodeProcess};
+use hazelgrade_fakes::test_environment::{TestEnvironment, start_callers_with_token};
+use hazelgrade_fakes::{free_address, rule_check, unix_ms, wait_until};
 use hazelgrade_stream::control_service;
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
@@ -22,7 +22,7 @@
 const SOON: Duration = Duration::from_secs(10);
 const DEADLINE: Duration = Duration::from_secs(3);
 const GRACE: Duration = Duration::from_millis(250);
-const QUICK: Work = Work { cores: 4, takes: Duration::from_millis(4), calls: false };
+const QUICK: Workload = Workload { cores: 4, job_duration: Duration::from_millis(4), makes_call: false };
 
 const CALLERS: &str = "audience = \"agenda\"\nlongest_token_s = 60\nskew_s = 0\n\n\
     [caller.front]\nuse_cases = [\"read\"]\ncustomers = [\"c0\"]\n\n\
@@ -38,7 +38,7 @@
 }
 
 struct Setting {
-    world: World,
+    world: TestEnvironment,
     control: SocketAddr,
     control_service: Child,
     documents: PathBuf,
@@ -52,9 +52,9 @@
 impl Setting {
     /// A control service with a serving document and an identity document with one key.
     fn new() -> Setting {
-        let world = World::new(QUICK).expect("ports");
+        let world = TestEnvironment::new(QUICK).expect("ports");
         let (documents, private) =
-            (world.folder.path().join("documents"), world.folder.path().join("private"));
+            (world.directory.path().join("documents"), world.directory.path().join("private"));
         std::fs::create_dir(&documents).expect("a folder");
         std::fs::write(documents.join(control_service::SERVING_DOCUMENT_FILE), serving().to_toml())
             .expect("a file");
@@ -73,12 +73,12 @@
         self.documents.join("identity.toml")
     }
 
-    fn node(&self, identity: &str) -> Node {
+    fn node(&self, identity: &str) -> NodeProcess {
         let program = Path::new(env!("CARGO_BIN_EXE_hazelgrade"));
         let stream = format!("lineage = \"test\"\n[stream.trial]\nspan_ms = 100\n{identity}");
-        let plan = self.world.plan("n1", program, &[], self.control, &stream);
-        let node = Plan { log: "error".into(), ..plan }.start().expect("it starts");
-        assert!(node.becomes(true));
+        let plan = self.world.node_config("n1", program, &[], self.control, &stream);
+        let node = NodeConfig { log: "error".into(), ..plan }.start().expect("it starts");
+        assert!(node.wait_until_ready(true));
         node
     }
 
@@ -105,8 +105,8 @@
 struct Connection(BufReader<TcpStream>);
 
 impl Connection {
-    fn connect(node: &Node) -> Connection {
-        let stream = TcpStream::connect(node.plan.listen).expect("it listens");
+    fn connect(node: &NodeProcess) -> Connection {
+        let stream = TcpStream::connect(node.config.listen).expect("it listens");
         stream.set_read_timeout(Some(SOON)).expect("a time-out");
         Connection(BufReader::new(stream))
     }
@@ -186,7 +186,7 @@
     setting.change(|text| text.replace("[caller.desk]\n", "[caller.desk]\nrevoked = true\n"));
     assert!(node.signal("HUP"));
     let mut call = 10;
-    assert!(comes_true(SOON, || {
+    assert!(wait_until(SOON, || {
         call += 1;
         !succeeded(&connection.job(call, "book", Some("c0"), Some(&desk)))
     }));
@@ -202,7 +202,7 @@
 fn a_token_that_expires_on_an_open_connection_lets_its_job_end_and_no_other_begin() {
     let setting = Setting::new();
     let file = setting.set();
-    setting.world.executor.change(Work { takes: Duration::from_millis(2500), ..QUICK });
+    setting.world.executor.set_workload(Workload { job_duration: Duration::from_millis(2500), ..QUICK });
     let patient = document(&[("read", 6000, 8000, 1)], 2, "").expect("it is right");
     std::fs::write(setting.documents.join(control_service::SERVING_DOCUMENT_FILE), patient.to_toml())
         .expect("a file");
@@ -227,7 +227,7 @@
     sign(&front, "front");
     sign(&leaves, "desk");
     let mut connection = Connection::connect(&node);
-    let ready = comes_true(SOON, || {
+    let ready = wait_until(SOON, || {
         succeeded(&connection.job(
             unix_ms() % 1_000_000,
             "read",
@@ -236,8 +236,8 @@
         ))
     });
     assert!(ready, "the first set arrives");
-    let load = callers_with(node.plan.listen, 100.0, &["read"], Some(front.clone()));
-    let load_of_desk = callers_with(node.plan.listen, 100.0, &["book"], Some(leaves.clone()));
+    let load = start_callers_with_token(node.config.listen, 100.0, &["read"], Some(front.clone()));
+    let load_of_desk = start_callers_with_token(node.config.listen, 100.0, &["book"], Some(leaves.clone()));
     for second in 0..5 {
         // The key signs from when it was sent; the node has it within the bound. Old ones sign on for a while.
         keys(&["rotate", "--lead", "0.3", "--overlap", "1"], &setting.set(), &setting.private);
@@ -253,18 +253,23 @@
     }
     let revoked_for = Duration::from_millis(1000);
     let ((told, twice), (of_desk, _)) = (load.stop(), load_of_desk.stop());
-    let verdict = rules::check(&told, twice, &setting.world.executor.runs(), DEADLINE, GRACE);
-    assert!(verdict.kept() && verdict.count > 300, "{verdict}");
-    let denials: Vec<&Told> = told.iter().filter(|told| told.fate == Fate::Denied).collect();
+    let verdict = rule_check::check(&told, twice, &setting.world.executor.runs(), DEADLINE, GRACE);
+    assert!(verdict.passed() && verdict.count > 300, "{verdict}");
+    let denials: Vec<&JobResult> = told.iter().filter(|told| told.outcome == JobOutcome::Denied).collect();
     assert!(denials.is_empty(), "a valid job was denied: {denials:?}");
     // Of the desk, the last ones: all denied, and none of them ran.
     let last = of_desk.iter().map(|told| told.sent).max().expect("some");
-    let late: Vec<&Told> =
+    let late: Vec<&JobResult> =
         of_desk.iter().filter(|told| told.sent > last - revoked_for + Duration::from_millis(400)).collect();
-    assert!(late.len() > 20 && late.iter().all(|told| told.fate == Fate::Denied), "{late:?}");
+    assert!(late.len() > 20 && late.iter().all(|told| told.outcome == JobOutcome::Denied), "{late:?}");
     let runs = setting.world.executor.runs();
-    assert!(of_desk.iter().filter(|told| told.fate == Fate::Denied).all(|told| !runs.contains_key(&told.id)));
-    let served = of_desk.iter().filter(|told| told.fate == Fate::Succeeded).count();
+    assert!(
+        of_desk
+            .iter()
+            .filter(|told| told.outcome == JobOutcome::Denied)
+            .all(|told| !runs.contains_key(&told.id))
+    );
+    let served = of_desk.iter().filter(|told| told.outcome == JobOutcome::Succeeded).count();
     assert!(served > 100, "{served} served before");
 }
 
@@ -274,12 +279,12 @@
     let file = setting.set();
     let node = setting.node(&format!("[identity]\ndocument = {file:?}\n"));
     let token: Token = Arc::new(Mutex::new(setting.token("front", "50")));
-    let load = callers_with(node.plan.listen, 100.0, &["read"], Some(token.clone()));
-    assert!(comes_true(SOON, || load.count() >= 20));
+    let load = start_callers_with_token(node.config.listen, 100.0, &["read"], Some(token.clone()));
+    assert!(wait_until(SOON, || load.count() >= 20));
     let good = token.lock().expect("a lock").clone();
     let flood: Vec<_> = (0..4)
         .map(|thread| {
-            let (listen, good) = (node.plan.listen, good.clone());
+            let (listen, good) = (node.config.listen, good.clone());
             std::thread::spawn(move || {
                 let until = Instant::now() + Duration::from_secs(2);
                 let mut sent = 0;
@@ -299,9 +304,12 @@
         .collect();
     let sent: u64 = flood.into_iter().map(|thread| thread.join().expect("it ends")).sum();
     let (told, twice) = load.stop();
-    let verdict = rules::check(&told, twice, &setting.world.executor.runs(), DEADLINE, GRACE);
+    let verdict = rule_check::check(&told, twice, &setting.world.executor.runs(), DEADLINE, GRACE);
     assert!(sent > 200, "{sent} is no flood");
-    assert!(verdict.kept() && verdict.of(Fate::Succeeded) == verdict.count, "{sent} bad ones: {verdict}");
-    let slowest = told.iter().map(|told| told.after).max().expect("some");
+    assert!(
+        verdict.passed() && verdict.count_of(JobOutcome::Succeeded) == verdict.count,
+        "{sent} bad ones: {verdict}"
+    );
+    let slowest = told.iter().map(|told| told.latency).max().expect("some");
     assert!(slowest < Duration::from_millis(1000), "{slowest:?}, within the latency objective");
 }
--- a/crates/hazelgrade-server/tests/identity/tls.rs
+++ b/crates/hazelgrade-server/tests/identity/tls.rs
@@ -76,7 +76,7 @@
 impl Files {
     fn new(setting: &Setting) -> Files {
         let files = Files {
-            folder: setting.world.folder.path().to_owned(),
+            folder: setting.world.directory.path().to_owned(),
             server: Authority::new(),
             clients: Authority::new(),
         };
@@ -130,8 +130,8 @@
 struct SecureConnection(BufReader<StreamOwned<ClientConnection, TcpStream>>);
 
 impl SecureConnection {
-    fn connect(node: &Node, config: &Arc<ClientConfig>) -> Option<SecureConnection> {
-        let stream = TcpStream::connect(node.plan.listen).ok()?;
+    fn connect(node: &NodeProcess, config: &Arc<ClientConfig>) -> Option<SecureConnection> {
+        let stream = TcpStream::connect(node.config.listen).ok()?;
         stream.set_read_timeout(Some(SOON)).ok()?;
         let name = ServerName::try_from("node.test").expect("a name");
         let client = ClientConnection::new(config.clone(), name).expect("a client");
@@ -161,17 +161,17 @@
 }
 
 /// A node under TLS can't be asked for its health by plain means.
-fn started(setting: &Setting, files: &Files) -> Node {
+fn started(setting: &Setting, files: &Files) -> NodeProcess {
     let program = Path::new(env!("CARGO_BIN_EXE_hazelgrade"));
     let stream = format!("lineage = \"test\"\n[stream.trial]\nspan_ms = 100\n{}", files.operator(setting));
-    let plan = setting.world.plan("n1", program, &[], setting.control, &stream);
-    let node = Plan { log: "error".into(), ..plan }.start().expect("it starts");
+    let plan = setting.world.node_config("n1", program, &[], setting.control, &stream);
+    let node = NodeConfig { log: "error".into(), ..plan }.start().expect("it starts");
     let ready = || {
         let up = SecureConnection::connect(&node, &files.client(None))
             .and_then(|mut secure| secure.request(&json!({"jsonrpc": "2.0", "id": 2, "method": "ping"})));
         up.is_some_and(|up| up["result"]["up"] == true)
     };
-    assert!(comes_true(SOON, ready), "it is ready in time");
+    assert!(wait_until(SOON, ready), "it is ready in time");
     node
 }
 
@@ -197,7 +197,7 @@
     files.write("revoked.pem", &files.clients.revoked(&[7], 2026));
     assert!(node.signal("HUP"));
     let mut call = 10;
-    assert!(comes_true(SOON, || {
+    assert!(wait_until(SOON, || {
         call += 1;
         !succeeded(&old.job(call, "read", None))
     }));
@@ -231,7 +231,7 @@
     assert!(node.signal("HUP"));
     let after = files.client(Some((&next, 7)));
     assert!(
-        comes_true(SOON, || SecureConnection::connect(&node, &after).is_some()),
+        wait_until(SOON, || SecureConnection::connect(&node, &after).is_some()),
         "the new authority's certificates are accepted"
     );
     assert!(SecureConnection::connect(&node, &before).is_none(), "the old one's are not");
@@ -247,7 +247,7 @@
     let began = Instant::now();
     let half: Vec<TcpStream> = (0..300)
         .filter_map(|place| {
-            let mut stream = TcpStream::connect(node.plan.listen).ok()?;
+            let mut stream = TcpStream::connect(node.config.listen).ok()?;
             // Some say nothing, some begin a record and go no further.
             (place % 2 == 0).then(|| stream.write_all(&[22, 3, 1, 2, 0, 1, 0, 1])).transpose().ok()?;
             Some(stream)
@@ -264,9 +264,9 @@
     };
     let most = |stream: &&TcpStream| !closed(stream);
     assert!(
-        comes_true(Duration::from_secs(1), || half.iter().filter(most).count() <= 130),
+        wait_until(Duration::from_secs(1), || half.iter().filter(most).count() <= 130),
         "past the bound the slowest are ended"
     );
-    assert!(comes_true(Duration::from_secs(4), || half.iter().all(closed)), "and all of them in time");
+    assert!(wait_until(Duration::from_secs(4), || half.iter().all(closed)), "and all of them in time");
     assert!(succeeded(&secure.job(3, "read", None)));
 }
--- a/crates/hazelgrade-server/tests/instance/fleet.rs
+++ b/crates/hazelgrade-server/tests/instance/fleet.rs
@@ -1,9 +1,9 @@
 //! Twenty processes at a time: what holds for each must hold for all of them together.
 
 use crate::common::*;
-use hazelgrade_fakes::callers::{Callers, Fate, Plan};
+use hazelgrade_fakes::callers::{Callers, CallersConfig, JobOutcome};
 use hazelgrade_fakes::dependency::Dependency;
-use hazelgrade_fakes::executor::{Executor, Work};
+use hazelgrade_fakes::executor::{Executor, Workload};
 use hazelgrade_fault_injection::proxy::FaultProxy;
 use serde_json::json;
 use std::io::{BufRead, BufReader, Write};
@@ -34,7 +34,7 @@
 /// Each with an executor and callers of its own, which ask for twice what the calls allow.
 fn fleet(dependency: &Dependency) -> Vec<Member> {
     let member = |_| {
-        let work = Work { cores: 4, takes: Duration::from_millis(8), calls: true };
+        let work = Workload { cores: 4, job_duration: Duration::from_millis(8), makes_call: true };
         let executor = Executor::start(work).expect("a port");
         let link = FaultProxy::tcp(executor.address).expect("a port");
         let instance = Instance::start_with(|configuration| {
@@ -47,7 +47,8 @@
         let rate = 2.0 * SHARE as f64 / CALL.as_secs_f64();
         let job_classes = vec!["read".to_owned()];
         let node = instance.listen;
-        let plan = Plan { node, connections: 3, rate, job_classes, owner: "acme".into(), token: None };
+        let plan =
+            CallersConfig { node, connections: 3, rate, job_classes, owner: "acme".into(), token: None };
         Member { instance, executor, link, callers: Callers::start(&plan) }
     };
     (0..NODES).map(member).collect()
@@ -72,8 +73,9 @@
 }
 
 fn served(members: &[Member]) -> Vec<usize> {
-    let served =
-        |member: &Member| member.callers.told().iter().filter(|told| told.fate == Fate::Succeeded).count();
+    let served = |member: &Member| {
+        member.callers.results().iter().filter(|told| told.outcome == JobOutcome::Succeeded).count()
+    };
     members.iter().map(served).collect()
 }
 
@@ -103,7 +105,7 @@
     }
     serve_on(&members, 10);
     println!("{} in flight at most, {crowded} before the restart, of {}", dependency.peak(), NODES * SHARE);
-    assert_eq!(dependency.passed(), (0, 0), "{} in flight at most", dependency.peak());
+    assert_eq!(dependency.overloads(), (0, 0), "{} in flight at most", dependency.peak());
     // Close to the limit was asked for, or nothing is shown.
     assert!(crowded * 2 > NODES * SHARE, "only {crowded} in flight");
 }
@@ -116,7 +118,7 @@
     let mut members = fleet(&dependency);
     serve_on(&members, 5);
     for member in &mut members {
-        member.link.refuse(true);
+        member.link.set_refusing(true);
         member.instance.kill();
         member.link.reset();
         member.executor.restart();
@@ -141,7 +143,7 @@
     ready.sort();
     let late = Duration::from_secs(2).saturating_sub(began.elapsed());
     std::thread::sleep(late);
-    members.iter().for_each(|member| member.link.refuse(false));
+    members.iter().for_each(|member| member.link.set_refusing(false));
     serve_on(&members, 5);
     println!(
         "ready after {:?} at the middle, {:?} nine in ten, {:?} at most; all served again after {:?}",
--- a/crates/hazelgrade-server/tests/recorded/main.rs
+++ b/crates/hazelgrade-server/tests/recorded/main.rs
@@ -11,13 +11,13 @@
 
 use hazelgrade_budget::protocol::OperatorCommand;
 use hazelgrade_config::{Document, Kind, Version};
-use hazelgrade_fakes::control::Control;
+use hazelgrade_fakes::control_process::ControlServiceProcess;
+use hazelgrade_fakes::control_service::FakeControlService;
 use hazelgrade_fakes::documents::{BOOK, READ, document};
-use hazelgrade_fakes::executor::Work;
-use hazelgrade_fakes::node::{Node, Plan};
-use hazelgrade_fakes::service::Service;
-use hazelgrade_fakes::world::{World, callers_with};
-use hazelgrade_fakes::{comes_true, unix_ms};
+use hazelgrade_fakes::executor::Workload;
+use hazelgrade_fakes::node_process::{NodeConfig, NodeProcess};
+use hazelgrade_fakes::test_environment::{TestEnvironment, start_callers_with_token};
+use hazelgrade_fakes::{unix_ms, wait_until};
 use hazelgrade_identity::signer::Signer;
 use hazelgrade_identity::token::Claims;
 use hazelgrade_stream::protocol::{Content, Rejection, SubscriberMessage};
@@ -39,23 +39,24 @@
     Path::new(env!("CARGO_BIN_EXE_hazelgrade"))
 }
 
-fn world() -> World {
-    World::new(Work { cores: 4, takes: Duration::from_millis(4), calls: true }).expect("ports")
+fn world() -> TestEnvironment {
+    TestEnvironment::new(Workload { cores: 4, job_duration: Duration::from_millis(4), makes_call: true })
+        .expect("ports")
 }
 
 /// A node of the recorded name that is started from a recorded store.
-fn node(world: &World, recorded: &Value, control: SocketAddr) -> Node {
+fn node(world: &TestEnvironment, recorded: &Value, control: SocketAddr) -> NodeProcess {
     let stream = "lineage = \"recorded\"\n[stream.trial]\nspan_ms = 100\n[identity]\nstreamed = true\n\
                   trial_ms = 100\n[budgets]\nin_hand = \"calls\"\ntrial_ms = 100\n";
-    let plan = world.plan("n1", program(), &[], control, stream);
-    restore(&plan.store(), recorded, text(recorded, "/about/owner"));
-    Plan { log: "error".into(), ..plan }.start().expect("it starts")
+    let plan = world.node_config("n1", program(), &[], control, stream);
+    restore(&plan.store_file(), recorded, text(recorded, "/about/owner"));
+    NodeConfig { log: "error".into(), ..plan }.start().expect("it starts")
 }
 
 /// A control service of a site from its recorded folder, at an address of its own; not started yet.
-fn service(recorded: &Value, site: &str) -> Service {
+fn service(recorded: &Value, site: &str) -> ControlServiceProcess {
     let any = document(&[READ], 1, "").expect("it is right");
-    let service = Service::prepare(program(), &[], LINEAGE, &any).expect("a folder");
+    let service = ControlServiceProcess::prepare(program(), &[], LINEAGE, &any).expect("a folder");
     for (name, content) in recorded["files"].as_object().expect("files") {
         let content = content.as_str().expect("a text");
         std::fs::write(service.documents.path().join(name), content).expect("a file");
@@ -63,7 +64,7 @@
     let (owner, address) = (text(recorded, "/store/about/owner"), text(recorded, "/address"));
     assert_eq!(owner, format!("the keeper of {site} at {address}"));
     restore(
-        &service.keeper_store(),
+        &service.lessor_store(),
         &recorded["store"],
         &owner.replace(address, &service.address.to_string()),
     );
@@ -71,13 +72,13 @@
 }
 
 /// Both control services, started with the words that join them.
-fn services() -> (Service, Service) {
+fn services() -> (ControlServiceProcess, ControlServiceProcess) {
     let mut a = service(&recording("service_a.json"), "a");
     let mut b = service(&recording("service_b.json"), "b");
-    a.extra = vec!["--keeper".into(), "a".into(), "--peer".into(), format!("b={}", b.address)];
-    b.extra = vec!["--keeper".into(), "b".into(), "--peer".into(), format!("a={}", a.address)];
-    a.start_again().expect("it starts");
-    b.start_again().expect("it starts");
+    a.extra_arguments = vec!["--keeper".into(), "a".into(), "--peer".into(), format!("b={}", b.address)];
+    b.extra_arguments = vec!["--keeper".into(), "b".into(), "--peer".into(), format!("a={}", a.address)];
+    a.restart().expect("it starts");
+    b.restart().expect("it starts");
     (a, b)
 }
 
@@ -106,8 +107,8 @@
 }
 
 /// What a node answers to one job.
-fn answer(node: &Node, job_class: &str, token: Option<&str>) -> Value {
-    let stream = TcpStream::connect(node.plan.listen).expect("it listens");
+fn answer(node: &NodeProcess, job_class: &str, token: Option<&str>) -> Value {
+    let stream = TcpStream::connect(node.config.listen).expect("it listens");
     stream.set_read_timeout(Some(SOON)).expect("a time-out");
     let job = json!({"jsonrpc": "2.0", "id": 1, "method": job_class, "params": {
         "req": format!("r{:012x}", unix_ms()), "ts": unix_ms(), "via": 1, "owner": "c0",
@@ -119,34 +120,34 @@
 }
 
 /// Waits until the one node stands so with the version of this number.
-fn stands(service: &Service, standing: &str, number: u64) -> bool {
-    comes_true(SOON, || {
+fn stands(service: &ControlServiceProcess, standing: &str, number: u64) -> bool {
+    wait_until(SOON, || {
         let node = service.status()["nodes"][0].clone();
         let of = node["of"].as_str().unwrap_or_default().to_owned();
         node["standing"] == standing && of.starts_with(&format!("{number} "))
     })
 }
 
-fn calls(service: &Service) -> Value {
-    service.budgets()["budgets"]["calls"].clone()
+fn calls(service: &ControlServiceProcess) -> Value {
+    service.budget_status()["budgets"]["calls"].clone()
 }
 
 #[test]
 fn a_node_serves_by_its_recorded_versions_before_it_hears_of_any_other() {
     let (world, control, recorded) =
-        (world(), Control::start().expect("a port"), recording("node_on_trial.json"));
+        (world(), FakeControlService::start().expect("a port"), recording("node_on_trial.json"));
     let serving = stored(&recorded, "configuration");
     assert_eq!(
         (&serving["good"]["version"]["number"], &serving["trial"]["version"]["number"]),
         (&json!(1), &json!(2))
     );
     let node = node(&world, &recorded, control.address);
-    assert!(node.becomes(true), "it is ready by what it stored");
+    assert!(node.wait_until_ready(true), "it is ready by what it stored");
     // On a connection for each kind it tells what it has.
     let mut told = BTreeMap::new();
     while told.len() < 3 {
         let SubscriberMessage::Subscribe { node, kind, lineage, in_effect, on_trial, latest_known, .. } =
-            control.subscriber().expect("a subscriber in time").subscribed
+            control.accept_subscriber().expect("a subscriber in time").subscribed
         else {
             panic!("it said something else first")
         };
@@ -178,22 +179,22 @@
 #[test]
 fn a_version_with_which_a_node_died_twice_stays_suspect() {
     let (world, control, recorded) =
-        (world(), Control::start().expect("a port"), recording("node_after_two_deaths.json"));
+        (world(), FakeControlService::start().expect("a port"), recording("node_after_two_deaths.json"));
     let stored = stored(&recorded, "configuration");
     let text = text(&recording("service_a.json"), "/files/serving.toml").to_owned();
     let second = Document::read(&text, "serving.toml").expect("it is right");
     assert_eq!(stored["deaths"], json!([[second.digest().to_string(), 2]]));
     let node = node(&world, &recorded, control.address);
-    assert!(node.becomes(true));
+    assert!(node.wait_until_ready(true));
     let mut serving = loop {
-        let subscriber = control.subscriber().expect("a subscriber in time");
+        let subscriber = control.accept_subscriber().expect("a subscriber in time");
         if matches!(subscriber.subscribed, SubscriberMessage::Subscribe { kind: Kind::Serving, .. }) {
             break subscriber;
         }
     };
     let offered = Version { number: 2, digest: second.digest() };
-    serving.offer_of(LINEAGE, offered, Content::Full(second.to_toml()));
-    let said = serving.hear();
+    serving.offer_in_lineage(LINEAGE, offered, Content::Full(second.to_toml()));
+    let said = serving.receive();
     assert!(
         matches!(&said, Some(SubscriberMessage::Rejected { version, rejection: Rejection::CrashedOnTrial, .. }) if *version == offered),
         "{said:?}"
@@ -212,7 +213,7 @@
     let status = a.status();
     assert_eq!(status["lineage"], LINEAGE);
     assert!(status["version"].as_str().is_some_and(|version| version.starts_with("2 ")), "{status}");
-    assert!(node.becomes(true));
+    assert!(node.wait_until_ready(true));
     let next = document(&[READ, BOOK], 2, "[promises]\nanswer_slack_ms = 62\n").expect("it is right");
     a.publish(&next.to_toml()).expect("a file");
     assert!(stands(&a, "good", 3), "{}", a.status());
@@ -224,24 +225,25 @@
     let (recorded_a, recorded_b) = (recording("service_a.json"), recording("service_b.json"));
     for (service, recorded) in [(&a, &recorded_a), (&b, &recorded_b)] {
         let book = stored(&recorded["store"], "budget.book");
-        assert!(comes_true(SOON, || service.budgets()["generation"].is_u64()), "it can be asked");
+        assert!(wait_until(SOON, || service.budget_status()["generation"].is_u64()), "it can be asked");
         let generation = book["generation"].as_u64().expect("a generation");
-        assert_eq!(service.budgets()["generation"], json!(generation + 1), "one more start is counted");
+        assert_eq!(service.budget_status()["generation"], json!(generation + 1), "one more start is counted");
     }
     // Of what was moved between the sites by an operator's word nothing is lost, and no word is carried out twice.
     let owned = |recorded: &Value| stored(&recorded["store"], "budget.ledger");
     assert!(owned(&recorded_b)["words"].to_string().contains("m1"), "{recorded_b}");
     let both = || calls(&a)["owned"].as_u64().unwrap_or(0) + calls(&b)["owned"].as_u64().unwrap_or(0);
-    assert!(comes_true(SOON, || both() == 12), "{} {}", a.budgets(), b.budgets());
+    assert!(wait_until(SOON, || both() == 12), "{} {}", a.budget_status(), b.budget_status());
     let again = OperatorCommand::Move { id: "m1".into(), to: "a".into(), budget: "calls".into(), units: 1 };
-    let said = b.word(again);
+    let said = b.send_budget_command(again);
     assert!(said.as_ref().is_ok_and(|said| said.to_string().contains("m1 was done before")), "{said:?}");
     // What a holder of before the start may still use is over before anything new is granted, and then all of it is.
     let node = node(&world, &recording("node_on_trial.json"), a.address);
-    assert!(node.becomes(true));
-    let load = callers_with(node.plan.listen, 60.0, &["read"], Some(Arc::new(Mutex::new(token()))));
+    assert!(node.wait_until_ready(true));
+    let load =
+        start_callers_with_token(node.config.listen, 60.0, &["read"], Some(Arc::new(Mutex::new(token()))));
     let granted = || calls(&a)["granted"].as_u64().unwrap_or(0);
-    assert!(comes_true(SOON, || granted() >= 5), "{}", a.budgets());
-    assert!(both() <= 12, "{} {}", a.budgets(), b.budgets());
+    assert!(wait_until(SOON, || granted() >= 5), "{}", a.budget_status());
+    assert!(both() <= 12, "{} {}", a.budget_status(), b.budget_status());
     load.stop();
 }
--- a/crates/hazelgrade-server/tests/streaming/control.rs
+++ b/crates/hazelgrade-server/tests/streaming/control.rs
@@ -1,24 +1,25 @@
 //! The real control service, with nodes: published by a file in a folder, restarted, and one too many.
 
 use super::*;
-use hazelgrade_fakes::comes_true;
+use hazelgrade_fakes::control_process::ControlServiceProcess;
 use hazelgrade_fakes::documents::{BOOK, READ};
-use hazelgrade_fakes::service::Service;
+use hazelgrade_fakes::wait_until;
 use hazelgrade_stream::control_service;
 use std::path::Path;
 use std::process::Command;
 
-fn service(document: &Document) -> Service {
-    Service::start(Path::new(env!("CARGO_BIN_EXE_hazelgrade")), &[], "test", document).expect("it starts")
+fn service(document: &Document) -> ControlServiceProcess {
+    ControlServiceProcess::start(Path::new(env!("CARGO_BIN_EXE_hazelgrade")), &[], "test", document)
+        .expect("it starts")
 }
 
-fn publish(service: &Service, document: &Document) {
+fn publish(service: &ControlServiceProcess, document: &Document) {
     service.publish(&document.to_toml()).expect("a file");
 }
 
 /// Waits until the one node stands so with a version of this number.
-fn node_stands(service: &Service, standing: &str, number: u64) -> bool {
-    comes_true(Duration::from_secs(10), || {
+fn node_stands(service: &ControlServiceProcess, standing: &str, number: u64) -> bool {
+    wait_until(Duration::from_secs(10), || {
         let node = service.status()["nodes"][0].clone();
         let of = node["of"].as_str().unwrap_or_default().to_owned();
         node["standing"] == standing && of.starts_with(&format!("{number} "))
@@ -27,13 +28,13 @@
 
 #[test]
 fn what_is_in_the_folder_is_published_and_what_is_wrong_there_is_told_and_not_published() {
-    let world = World::new(QUICK);
+    let world = TestEnvironment::new(QUICK);
     let service = service(&doc(&[READ], ""));
     let mut plan = world.plan(SHORT_TRIAL);
     plan.control = vec![service.address];
     let node = plan.start().expect("it starts");
     assert!(node_stands(&service, "good", 1), "{}", service.status());
-    assert!(node.becomes(true));
+    assert!(node.wait_until_ready(true));
     publish(&service, &doc(&[READ, BOOK], ""));
     assert!(node_stands(&service, "good", 2), "{}", service.status());
     std::fs::write(
@@ -41,7 +42,7 @@
         "[use_case.read]\ngoal_ms = \"x\"\n",
     )
     .expect("a file");
-    assert!(comes_true(Duration::from_secs(5), || {
+    assert!(wait_until(Duration::from_secs(5), || {
         service.status()["folder"]
             .as_str()
             .is_some_and(|fault| fault.contains(":2:1: field use_case.read.goal_ms"))
@@ -58,7 +59,7 @@
 
 #[test]
 fn a_control_service_that_restarts_or_loses_its_counter_goes_on_where_nodes_are() {
-    let world = World::new(QUICK);
+    let world = TestEnvironment::new(QUICK);
     let mut service = service(&doc(&[READ], ""));
     let mut plan = world.plan(SHORT_TRIAL);
     plan.control = vec![service.address];
@@ -68,22 +69,22 @@
         publish(&service, &doc(&[READ], &format!("[promises]\nanswer_slack_ms = {number}\n")));
         assert!(node_stands(&service, "good", number), "{}", service.status());
     }
-    service.start_again().expect("it starts");
+    service.restart().expect("it starts");
     assert!(node_stands(&service, "good", 3), "the same version: {}", service.status());
     service.kill();
     std::fs::remove_file(service.documents.path().join(control_service::SERVING_COUNTER_FILE))
         .expect("a file");
     publish(&service, &doc(&[READ, BOOK], ""));
-    service.start_again().expect("it starts");
+    service.restart().expect("it starts");
     assert!(node_stands(&service, "good", 4), "past what the node knows: {}", service.status());
 }
 
 #[test]
 fn of_two_control_services_that_disagree_a_node_stays_with_what_it_took_last() {
-    let world = World::new(QUICK);
+    let world = TestEnvironment::new(QUICK);
     let (mut one, other) = (service(&doc(&[READ], "")), service(&doc(&[BOOK], "")));
     // The other has published already: its node has taken version 1 from it.
-    let second = World::new(QUICK);
+    let second = TestEnvironment::new(QUICK);
     let mut plan = second.plan(SHORT_TRIAL);
     (plan.control, plan.name) = (vec![other.address], "n2".into());
     let _n2 = plan.start().expect("it starts");
@@ -93,7 +94,7 @@
     let node = plan.start().expect("it starts");
     assert!(node_stands(&one, "good", 1), "{}", one.status());
     one.kill();
-    let refused = comes_true(Duration::from_secs(10), || {
+    let refused = wait_until(Duration::from_secs(10), || {
         let nodes = other.status()["nodes"].clone();
         let n1 = nodes.as_array().and_then(|nodes| nodes.iter().find(|node| node["name"] == "n1")).cloned();
         n1.is_some_and(|n1| {
@@ -102,9 +103,10 @@
     });
     assert!(refused, "{}", other.status());
     let callers = world.callers(&node, 100.0, &["read"]);
-    assert!(comes_true(Duration::from_secs(5), || callers.count() >= 10));
-    let served =
-        |told: &hazelgrade_fakes::callers::Told| told.fate == hazelgrade_fakes::callers::Fate::Succeeded;
+    assert!(wait_until(Duration::from_secs(5), || callers.count() >= 10));
+    let served = |told: &hazelgrade_fakes::callers::JobResult| {
+        told.outcome == hazelgrade_fakes::callers::JobOutcome::Succeeded
+    };
     assert!(callers.stop().0.iter().all(served), "it serves by what it had");
 }
 
@@ -116,7 +118,7 @@
     let service = service(&of(999));
     let published = |document: &Document| {
         let digest = document.digest().short();
-        comes_true(Duration::from_secs(2), || {
+        wait_until(Duration::from_secs(2), || {
             service.status()["version"].as_str().is_some_and(|version| version.contains(&digest))
         })
     };
--- a/crates/hazelgrade-server/tests/streaming/node.rs
+++ b/crates/hazelgrade-server/tests/streaming/node.rs
@@ -1,10 +1,10 @@
 //! A node, and a control service that says what the test wants.
 
 use super::*;
-use hazelgrade_fakes::callers::Fate;
-use hazelgrade_fakes::control::version;
+use hazelgrade_fakes::callers::JobOutcome;
+use hazelgrade_fakes::control_service::version;
 use hazelgrade_fakes::documents::{BOOK, READ};
-use hazelgrade_fakes::{comes_true, rules};
+use hazelgrade_fakes::{rule_check, wait_until};
 use hazelgrade_stream::protocol::Content;
 use std::process::Command;
 use std::time::Instant;
@@ -15,167 +15,173 @@
 #[test]
 fn a_cold_node_waits_not_ready_serves_by_its_first_version_and_starts_by_it_again_without_a_control_service()
 {
-    let world = World::new(QUICK);
+    let world = TestEnvironment::new(QUICK);
     let mut node = world.node(SHORT_TRIAL);
     let (mut subscriber, have) = world.subscriber();
     assert_eq!(have, None);
-    assert!(node.becomes(false));
+    assert!(node.wait_until_ready(false));
     let callers = world.callers(&node, 100.0, &["read"]);
-    assert!(comes_true(Duration::from_secs(5), || callers.count() >= 5));
-    assert!(callers.told().iter().all(|told| told.fate == Fate::Rejected), "nothing to serve by yet");
+    assert!(wait_until(Duration::from_secs(5), || callers.count() >= 5));
+    assert!(
+        callers.results().iter().all(|told| told.outcome == JobOutcome::Rejected),
+        "nothing to serve by yet"
+    );
     made_good(&mut subscriber, 1, &doc(&[READ], ""));
-    assert!(node.becomes(true));
-    assert!(comes_true(Duration::from_secs(5), || {
-        callers.told().iter().filter(|told| told.fate == Fate::Succeeded).count() > 20
+    assert!(node.wait_until_ready(true));
+    assert!(wait_until(Duration::from_secs(5), || {
+        callers.results().iter().filter(|told| told.outcome == JobOutcome::Succeeded).count() > 20
     }));
     let (told, twice) = callers.stop();
-    let verdict = rules::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
-    assert!(verdict.kept(), "{verdict}");
+    let verdict = rule_check::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
+    assert!(verdict.passed(), "{verdict}");
 
     // The control service is gone for good, and the node is killed.
     drop((subscriber, world.control));
     world.executor.restart();
-    node.start_again().expect("it starts");
-    assert!(node.becomes(true));
+    node.restart().expect("it starts");
+    assert!(node.wait_until_ready(true));
 }
 
 #[test]
 fn a_cold_node_with_a_file_serves_by_it_while_there_is_no_control_service() {
-    let world = World::new(QUICK);
-    let file = world.world.folder.path().join("first.toml");
+    let world = TestEnvironment::new(QUICK);
+    let file = world.world.directory.path().join("first.toml");
     std::fs::write(&file, doc(&[READ], "").to_toml()).expect("a file");
     let mut plan = world.plan(&format!("document = {file:?}\n{SHORT_TRIAL}"));
     plan.control = vec![free_address()];
     let node = plan.start().expect("it starts");
-    assert!(node.becomes(true));
+    assert!(node.wait_until_ready(true));
     let callers = world.callers(&node, 100.0, &["read"]);
-    assert!(comes_true(Duration::from_secs(5), || callers.count() >= 20));
+    assert!(wait_until(Duration::from_secs(5), || callers.count() >= 20));
     let (told, _) = callers.stop();
-    assert!(told.iter().all(|told| told.fate == Fate::Succeeded), "{told:?}");
+    assert!(told.iter().all(|told| told.outcome == JobOutcome::Succeeded), "{told:?}");
 }
 
 #[test]
 fn versions_out_of_order_twice_with_a_gap_or_false_are_answered_for_what_they_are_and_change_nothing() {
-    let world = World::new(QUICK);
+    let world = TestEnvironment::new(QUICK);
     let node = world.node(SHORT_TRIAL);
     let (mut subscriber, _) = world.subscriber();
     let (first, second, third) = (doc(&[READ], ""), doc(&[READ, BOOK], ""), doc(&[BOOK], ""));
     made_good(&mut subscriber, 1, &first);
     // With a gap: numbers only have to grow.
-    subscriber.offer_change(5, (1, &first), &second);
-    assert_eq!(acknowledged(subscriber.hear()).number, 5);
+    subscriber.offer_delta(5, (1, &first), &second);
+    assert_eq!(acknowledged(subscriber.receive()).number, 5);
     // Twice.
-    subscriber.offer_whole(5, &second);
-    assert_eq!(acknowledged(subscriber.hear()).number, 5);
-    assert_eq!(settled(subscriber.hear()), None);
+    subscriber.offer_full(5, &second);
+    assert_eq!(acknowledged(subscriber.receive()).number, 5);
+    assert_eq!(settled(subscriber.receive()), None);
     // Out of order, and the same number with something else.
-    subscriber.offer_whole(4, &third);
-    assert_eq!(turned_down(subscriber.hear()), Rejection::Outdated { known: version(5, &second) });
-    subscriber.offer_whole(5, &third);
-    assert_eq!(turned_down(subscriber.hear()), Rejection::Conflict { known: version(5, &second) });
+    subscriber.offer_full(4, &third);
+    assert_eq!(turned_down(subscriber.receive()), Rejection::Outdated { known: version(5, &second) });
+    subscriber.offer_full(5, &third);
+    assert_eq!(turned_down(subscriber.receive()), Rejection::Conflict { known: version(5, &second) });
     // Against a version that the node doesn't have, and with a digest that isn't the contents'.
-    subscriber.offer_change(6, (3, &third), &first);
-    assert_eq!(turned_down(subscriber.hear()), Rejection::UnknownBase);
+    subscriber.offer_delta(6, (3, &third), &first);
+    assert_eq!(turned_down(subscriber.receive()), Rejection::UnknownBase);
     subscriber.offer(version(6, &third), Content::Full(first.to_toml()));
-    assert_eq!(turned_down(subscriber.hear()), Rejection::DigestMismatch);
+    assert_eq!(turned_down(subscriber.receive()), Rejection::DigestMismatch);
     // Of somebody else.
-    subscriber.offer_of("other", version(9, &third), Content::Full(third.to_toml()));
-    assert_eq!(turned_down(subscriber.hear()), Rejection::OtherLineage { own: "test".into() });
+    subscriber.offer_in_lineage("other", version(9, &third), Content::Full(third.to_toml()));
+    assert_eq!(turned_down(subscriber.receive()), Rejection::OtherLineage { own: "test".into() });
     // Wrong in itself: file, line, column and field are named.
     let wrong = "[use_case.read]\ngoal_ms = 5\ncut_off_ms = \"soon\"\n";
     subscriber.offer(version(6, &third), Content::Full(wrong.into()));
-    let Rejection::Invalid(why) = turned_down(subscriber.hear()) else { panic!("not malformed") };
+    let Rejection::Invalid(why) = turned_down(subscriber.receive()) else { panic!("not malformed") };
     assert!(why.contains(":3:1: field use_case.read.cut_off_ms: expected a number"), "{why}");
     // After all that it serves by what it had.
     let callers = world.callers(&node, 100.0, &["read", "book"]);
-    assert!(comes_true(Duration::from_secs(5), || callers.count() >= 20));
-    assert!(callers.stop().0.iter().all(|told| told.fate == Fate::Succeeded));
+    assert!(wait_until(Duration::from_secs(5), || callers.count() >= 20));
+    assert!(callers.stop().0.iter().all(|told| told.outcome == JobOutcome::Succeeded));
 }
 
 #[test]
 fn in_a_drain_neither_a_malformed_version_nor_a_valid_one_is_taken_and_all_is_answered() {
-    let world = World::new(Work { takes: Duration::from_millis(300), ..QUICK });
+    let world = TestEnvironment::new(Workload { job_duration: Duration::from_millis(300), ..QUICK });
     let mut node = world.node(SHORT_TRIAL);
     let (mut subscriber, _) = world.subscriber();
     made_good(&mut subscriber, 1, &doc(&[READ], ""));
     let callers = world.callers(&node, 30.0, &["read"]);
-    assert!(comes_true(Duration::from_secs(5), || world.executor.running() >= 4));
+    assert!(wait_until(Duration::from_secs(5), || world.executor.running() >= 4));
     assert!(node.signal("TERM"));
-    assert!(comes_true(Duration::from_secs(5), || world.registry.says("n1").as_deref() == Some("draining")));
+    assert!(
+        wait_until(Duration::from_secs(5), || world.registry.last_state("n1").as_deref() == Some("draining"))
+    );
     subscriber.write(b"{\"jsonrpc\":\"2.0\",\"method\":\"offer\",\"id\":7,\"params\":{\"lineage\":\"test\",\"whole\":\"[\"}}\n");
     // What is no offer at all ends the connection; the node comes again.
-    assert_eq!(subscriber.hear(), None);
+    assert_eq!(subscriber.receive(), None);
     let (mut subscriber, have) = world.subscriber();
     assert_eq!(have.map(|have| have.number), Some(1));
     subscriber.offer(version(2, &doc(&[BOOK], "")), Content::Full("[use_case".into()));
-    assert_eq!(turned_down(subscriber.hear()), Rejection::Draining);
-    subscriber.offer_whole(3, &doc(&[BOOK], ""));
-    assert_eq!(turned_down(subscriber.hear()), Rejection::Draining);
+    assert_eq!(turned_down(subscriber.receive()), Rejection::Draining);
+    subscriber.offer_full(3, &doc(&[BOOK], ""));
+    assert_eq!(turned_down(subscriber.receive()), Rejection::Draining);
     let (told, twice) = callers.stop();
-    assert_eq!(node.ended().and_then(|status| status.code()), Some(0));
-    let verdict = rules::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
-    assert!(verdict.kept() && verdict.of(Fate::Succeeded) > 0, "{verdict}");
+    assert_eq!(node.wait_for_exit().and_then(|status| status.code()), Some(0));
+    let verdict = rule_check::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
+    assert!(verdict.passed() && verdict.count_of(JobOutcome::Succeeded) > 0, "{verdict}");
 }
 
 #[test]
 fn a_version_without_a_use_case_lets_its_jobs_in_hand_end_and_bounces_what_comes_after() {
-    let world = World::new(Work { takes: Duration::from_millis(400), ..QUICK });
+    let world = TestEnvironment::new(Workload { job_duration: Duration::from_millis(400), ..QUICK });
     let node = world.node(LONG_TRIAL);
     let (mut subscriber, _) = world.subscriber();
-    subscriber.offer_whole(1, &doc(&[READ, BOOK], ""));
-    acknowledged(subscriber.hear());
+    subscriber.offer_full(1, &doc(&[READ, BOOK], ""));
+    acknowledged(subscriber.receive());
     let callers = world.callers(&node, 40.0, &["book"]);
-    assert!(comes_true(Duration::from_secs(5), || world.executor.running() >= 4));
+    assert!(wait_until(Duration::from_secs(5), || world.executor.running() >= 4));
     // A later one that comes while one is on trial waits; one of the same contents as before takes its place at once. Here
     // the node is started anew, so that the trial is over, and knows its jobs in hand are gone.
     let (told, _) = callers.stop();
-    assert!(told.iter().all(|told| told.fate != Fate::Lost), "{told:?}");
+    assert!(told.iter().all(|told| told.outcome != JobOutcome::Lost), "{told:?}");
     drop(node);
 
-    let world = World::new(Work { takes: Duration::from_millis(400), ..QUICK });
+    let world = TestEnvironment::new(Workload { job_duration: Duration::from_millis(400), ..QUICK });
     let node = world.node(SHORT_TRIAL);
     let (mut subscriber, _) = world.subscriber();
     made_good(&mut subscriber, 1, &doc(&[READ, BOOK], ""));
     let callers = world.callers(&node, 40.0, &["book"]);
-    assert!(comes_true(Duration::from_secs(5), || world.executor.running() >= 4));
+    assert!(wait_until(Duration::from_secs(5), || world.executor.running() >= 4));
     let in_hand: Vec<String> = world.executor.runs().into_keys().collect();
-    subscriber.offer_whole(2, &doc(&[READ], ""));
-    assert_eq!(acknowledged(subscriber.hear()).number, 2);
+    subscriber.offer_full(2, &doc(&[READ], ""));
+    assert_eq!(acknowledged(subscriber.receive()).number, 2);
     let taken = Instant::now();
-    assert!(comes_true(Duration::from_secs(5), || {
-        callers.told().iter().any(|told| told.sent > taken && told.fate == Fate::Rejected)
+    assert!(wait_until(Duration::from_secs(5), || {
+        callers.results().iter().any(|told| told.sent > taken && told.outcome == JobOutcome::Rejected)
     }));
-    assert!(comes_true(Duration::from_secs(5), || world.executor.running() == 0));
+    assert!(wait_until(Duration::from_secs(5), || world.executor.running() == 0));
     let (told, twice) = callers.stop();
-    let verdict = rules::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
-    assert!(verdict.kept(), "{verdict}");
-    let succeeded = |id: &String| told.iter().any(|told| told.id == *id && told.fate == Fate::Succeeded);
+    let verdict = rule_check::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
+    assert!(verdict.passed(), "{verdict}");
+    let succeeded =
+        |id: &String| told.iter().any(|told| told.id == *id && told.outcome == JobOutcome::Succeeded);
     assert!(in_hand.iter().all(succeeded), "jobs in hand end as they would have");
     let after = told.iter().filter(|told| told.sent > taken + GRACE);
-    assert!(after.clone().count() > 0 && after.clone().all(|told| told.fate == Fate::Rejected));
+    assert!(after.clone().count() > 0 && after.clone().all(|told| told.outcome == JobOutcome::Rejected));
 }
 
 #[test]
 fn service_that_falls_takes_the_node_back_to_the_last_good_version() {
-    let world = World::new(Work { takes: Duration::from_millis(30), ..QUICK });
+    let world = TestEnvironment::new(Workload { job_duration: Duration::from_millis(30), ..QUICK });
     let node = world.node("[stream.trial]\nspan_ms = 2000\nleast_jobs = 20\n");
     let (mut subscriber, _) = world.subscriber();
     made_good(&mut subscriber, 1, &doc(&[READ], ""));
     let callers = world.callers(&node, 100.0, &["read"]);
-    assert!(comes_true(Duration::from_secs(5), || callers.count() >= 60));
+    assert!(wait_until(Duration::from_secs(5), || callers.count() >= 60));
     // No job can be done in so little time.
     let hasty = doc(&[("read", 2, 10, 1)], "");
-    subscriber.offer_whole(2, &hasty);
-    assert_eq!(acknowledged(subscriber.hear()).number, 2);
-    let why = settled(subscriber.hear()).expect("it goes back");
+    subscriber.offer_full(2, &hasty);
+    assert_eq!(acknowledged(subscriber.receive()).number, 2);
+    let why = settled(subscriber.receive()).expect("it goes back");
     assert!(why.contains("of 100 jobs were satisfied"), "{why}");
-    subscriber.offer_whole(2, &hasty);
-    assert!(matches!(turned_down(subscriber.hear()), Rejection::FailedTrial(_)));
+    subscriber.offer_full(2, &hasty);
+    assert!(matches!(turned_down(subscriber.receive()), Rejection::FailedTrial(_)));
     let back = Instant::now();
-    let so = comes_true(Duration::from_secs(5), || {
-        let since: Vec<Fate> =
-            callers.told().iter().filter(|told| told.sent > back).map(|told| told.fate).collect();
-        since.len() >= 20 && since.iter().all(|fate| *fate == Fate::Succeeded)
+    let so = wait_until(Duration::from_secs(5), || {
+        let since: Vec<JobOutcome> =
+            callers.results().iter().filter(|told| told.sent > back).map(|told| told.outcome).collect();
+        since.len() >= 20 && since.iter().all(|fate| *fate == JobOutcome::Succeeded)
     });
     assert!(so, "after it went back all is as before");
     callers.stop();
@@ -183,50 +189,50 @@
 
 #[test]
 fn two_deaths_on_trial_make_a_version_suspect_for_good() {
-    let world = World::new(QUICK);
+    let world = TestEnvironment::new(QUICK);
     let mut node = world.node("[stream.trial]\nspan_ms = 1500\n");
     let (mut subscriber, _) = world.subscriber();
     let (good, deadly) = (doc(&[READ], ""), doc(&[READ, BOOK], ""));
     made_good(&mut subscriber, 1, &good);
     for death in 1..=2 {
-        subscriber.offer_whole(2, &deadly);
-        assert_eq!(acknowledged(subscriber.hear()).number, 2);
+        subscriber.offer_full(2, &deadly);
+        assert_eq!(acknowledged(subscriber.receive()).number, 2);
         world.executor.restart();
-        node.start_again().expect("it starts");
+        node.restart().expect("it starts");
         let have;
         (subscriber, have) = world.subscriber();
         assert_eq!(have, Some(version(1, &good)), "it starts by the last good version");
-        let why = settled(subscriber.hear()).expect("it says what became of the other");
+        let why = settled(subscriber.receive()).expect("it says what became of the other");
         assert!(why.contains(&format!("{death} of 2")), "{why}");
-        assert!(node.becomes(true));
+        assert!(node.wait_until_ready(true));
     }
-    subscriber.offer_whole(2, &deadly);
-    assert_eq!(turned_down(subscriber.hear()), Rejection::CrashedOnTrial);
-    subscriber.offer_whole(3, &deadly);
-    assert_eq!(turned_down(subscriber.hear()), Rejection::CrashedOnTrial);
+    subscriber.offer_full(2, &deadly);
+    assert_eq!(turned_down(subscriber.receive()), Rejection::CrashedOnTrial);
+    subscriber.offer_full(3, &deadly);
+    assert_eq!(turned_down(subscriber.receive()), Rejection::CrashedOnTrial);
 }
 
 #[test]
 fn a_stop_in_a_trial_is_no_death() {
-    let world = World::new(QUICK);
+    let world = TestEnvironment::new(QUICK);
     let mut node = world.node("[stream.trial]\nspan_ms = 1500\n");
     let (mut subscriber, _) = world.subscriber();
     made_good(&mut subscriber, 1, &doc(&[READ], ""));
-    subscriber.offer_whole(2, &doc(&[BOOK], ""));
-    acknowledged(subscriber.hear());
+    subscriber.offer_full(2, &doc(&[BOOK], ""));
+    acknowledged(subscriber.receive());
     assert!(node.signal("TERM"));
-    assert_eq!(node.ended().and_then(|status| status.code()), Some(0));
+    assert_eq!(node.wait_for_exit().and_then(|status| status.code()), Some(0));
     world.executor.restart();
-    node.start_again().expect("it starts");
+    node.restart().expect("it starts");
     let (mut subscriber, have) = world.subscriber();
     assert_eq!(have.map(|have| have.number), Some(1));
-    subscriber.offer_whole(2, &doc(&[BOOK], ""));
-    assert_eq!(acknowledged(subscriber.hear()).number, 2, "nothing is held against it");
+    subscriber.offer_full(2, &doc(&[BOOK], ""));
+    assert_eq!(acknowledged(subscriber.receive()).number, 2, "nothing is held against it");
 }
 
 #[test]
 fn a_message_of_100_mb_or_one_that_trickles_costs_neither_service_nor_memory() {
-    let world = World::new(QUICK);
+    let world = TestEnvironment::new(QUICK);
     let node = world.node(SHORT_TRIAL);
     let (mut subscriber, _) = world.subscriber();
     made_good(&mut subscriber, 1, &doc(&[READ], ""));
@@ -244,13 +250,17 @@
     let lasted = began.elapsed();
     assert!(lasted > Duration::from_secs(8) && lasted < Duration::from_secs(15), "{lasted:?}");
     let (told, twice) = callers.stop();
-    let verdict = rules::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
-    assert!(verdict.kept() && verdict.of(Fate::Succeeded) == verdict.count, "{verdict}");
+    let verdict = rule_check::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
+    assert!(verdict.passed() && verdict.count_of(JobOutcome::Succeeded) == verdict.count, "{verdict}");
 }
 
 #[test]
 fn the_rules_are_kept_while_a_version_comes_each_50_ms_under_load() {
-    let world = World::new(Work { cores: 4, takes: Duration::from_millis(10), calls: true });
+    let world = TestEnvironment::new(Workload {
+        cores: 4,
+        job_duration: Duration::from_millis(10),
+        makes_call: true,
+    });
     let node = world.node("[stream.trial]\nspan_ms = 100\nleast_jobs = 1000000\n");
     let (mut subscriber, _) = world.subscriber();
     made_good(&mut subscriber, 1, &doc(&[READ, BOOK], ""));
@@ -264,10 +274,10 @@
             &cases[..2 + number as usize % 2],
             &format!("[promises]\nanswer_slack_ms = {}\n", 60 + number % 5),
         );
-        subscriber.offer_whole(number, &next);
+        subscriber.offer_full(number, &next);
         std::thread::sleep(Duration::from_millis(50));
     }
-    while let Some(said) = subscriber.hear() {
+    while let Some(said) = subscriber.receive() {
         let (good, other) = hearing.get();
         match said {
             SubscriberMessage::TrialEnded { failure: None, version } => {
@@ -282,19 +292,19 @@
     }
     assert!(hearing.get().0 >= 10, "{:?}", hearing.get());
     let (told, twice) = callers.stop();
-    let verdict = rules::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
-    assert!(verdict.kept(), "{verdict}");
-    assert!(verdict.of(Fate::Succeeded) as f64 > 0.95 * verdict.count as f64, "{verdict}");
+    let verdict = rule_check::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
+    assert!(verdict.passed(), "{verdict}");
+    assert!(verdict.count_of(JobOutcome::Succeeded) as f64 > 0.95 * verdict.count as f64, "{verdict}");
 }
 
 #[test]
 fn a_store_of_a_newer_program_is_left_as_it_is_and_the_node_serves_by_its_file() {
-    let world = World::new(QUICK);
-    let file = world.world.folder.path().join("first.toml");
+    let world = TestEnvironment::new(QUICK);
+    let file = world.world.directory.path().join("first.toml");
     std::fs::write(&file, doc(&[READ], "").to_toml()).expect("a file");
     let plan = world.plan(&format!("document = {file:?}\n{SHORT_TRIAL}"));
     {
-        let newer = redb::Database::create(plan.store()).expect("a store");
+        let newer = redb::Database::create(plan.store_file()).expect("a store");
         let writing = newer.begin_write().expect("a write");
         {
             let about: redb::TableDefinition<&str, &[u8]> = redb::TableDefinition::new("about");
@@ -304,15 +314,15 @@
         }
         writing.commit().expect("kept");
     }
-    let mut node = Plan { log: "error".into(), ..plan }.start().expect("it starts");
+    let mut node = NodeConfig { log: "error".into(), ..plan }.start().expect("it starts");
     let (mut subscriber, have) = world.subscriber();
     assert_eq!(have, None);
-    assert!(node.becomes(true), "by its file");
-    subscriber.offer_whole(1, &doc(&[BOOK], ""));
-    let Rejection::NotStored(why) = turned_down(subscriber.hear()) else { panic!("it took it") };
+    assert!(node.wait_until_ready(true), "by its file");
+    subscriber.offer_full(1, &doc(&[BOOK], ""));
+    let Rejection::NotStored(why) = turned_down(subscriber.receive()) else { panic!("it took it") };
     assert!(why.contains("newer program"), "{why}");
     node.kill();
-    let newer = redb::Database::create(node.plan.store()).expect("still a store");
+    let newer = redb::Database::create(node.config.store_file()).expect("still a store");
     let reading = redb::ReadableDatabase::begin_read(&newer).expect("a reading");
     let about = redb::TableDefinition::<&str, &[u8]>::new("about");
     let about = reading.open_table(about).expect("a table");
@@ -327,17 +337,17 @@
 
 #[test]
 fn what_was_kept_and_cannot_be_read_is_put_aside_and_not_lost() {
-    let world = World::new(QUICK);
-    let file = world.world.folder.path().join("first.toml");
+    let world = TestEnvironment::new(QUICK);
+    let file = world.world.directory.path().join("first.toml");
     std::fs::write(&file, doc(&[READ], "").to_toml()).expect("a file");
-    let plan = Plan { log: "off".into(), ..world.plan(&format!("document = {file:?}\n{SHORT_TRIAL}")) };
+    let plan = NodeConfig { log: "off".into(), ..world.plan(&format!("document = {file:?}\n{SHORT_TRIAL}")) };
     let strange: &[u8] = b"{\"good\": {\"text\": \"of another age\"}}";
-    let open = || hazelgrade_store::Store::open(&plan.store(), "n1").expect("a store");
+    let open = || hazelgrade_store::Store::open(&plan.store_file(), "n1").expect("a store");
     open()
         .commit(&[(hazelgrade_stream::stored::store_key(hazelgrade_config::Kind::Serving), Some(strange))])
         .expect("it is kept");
     let mut node = plan.start().expect("it starts");
-    assert!(node.becomes(true), "by its file");
+    assert!(node.wait_until_ready(true), "by its file");
     let (mut subscriber, have) = world.subscriber();
     assert_eq!(have, None);
     made_good(&mut subscriber, 1, &doc(&[BOOK], ""));
@@ -347,16 +357,16 @@
 
 #[test]
 fn a_store_of_another_node_ends_the_start_with_one_line_that_names_the_field() {
-    let world = World::new(QUICK);
+    let world = TestEnvironment::new(QUICK);
     let plan = world.plan(SHORT_TRIAL);
-    drop(hazelgrade_store::Store::open(&plan.store(), "n2").expect("a store"));
-    let mut node = Plan { log: "off".into(), ..plan }.start().expect("it starts");
-    assert_eq!(node.ended().and_then(|status| status.code()), Some(2));
+    drop(hazelgrade_store::Store::open(&plan.store_file(), "n2").expect("a store"));
+    let mut node = NodeConfig { log: "off".into(), ..plan }.start().expect("it starts");
+    assert_eq!(node.wait_for_exit().and_then(|status| status.code()), Some(2));
 }
 
 #[test]
 fn on_a_full_disk_a_version_is_turned_down_and_the_last_good_one_serves_on() {
-    let world = World::new(QUICK);
+    let world = TestEnvironment::new(QUICK);
     let small = doc(&[READ], "");
     let mut plan = world.plan(SHORT_TRIAL);
     {
@@ -366,48 +376,48 @@
         node.kill();
     }
     // The file may not grow past what it is, which the node hears as it would hear of a full disk.
-    let blocks = std::fs::metadata(plan.store()).expect("a store").len().div_ceil(512);
+    let blocks = std::fs::metadata(plan.store_file()).expect("a store").len().div_ceil(512);
     let limited = format!("trap '' XFSZ; ulimit -f {blocks}; exec \"$0\" \"$@\"");
-    plan.words = vec!["-c".into(), limited, plan.program.display().to_string()];
+    plan.arguments = vec!["-c".into(), limited, plan.program.display().to_string()];
     plan.program = "/bin/sh".into();
     world.executor.restart();
-    let node = Plan { log: "off".into(), ..plan }.start().expect("it starts");
+    let node = NodeConfig { log: "off".into(), ..plan }.start().expect("it starts");
     let (mut subscriber, have) = world.subscriber();
     assert_eq!(have, Some(version(1, &small)));
     let large = document(&[READ, BOOK], 3000, "").expect("it is right");
-    subscriber.offer_whole(2, &large);
-    let Rejection::NotStored(why) = turned_down(subscriber.hear()) else { panic!("it took it") };
+    subscriber.offer_full(2, &large);
+    let Rejection::NotStored(why) = turned_down(subscriber.receive()) else { panic!("it took it") };
     assert!(why.contains("full"), "{why}");
-    assert!(node.becomes(true));
+    assert!(node.wait_until_ready(true));
     // What fits is taken again.
     made_good(&mut subscriber, 3, &doc(&[BOOK], ""));
 }
 
 #[test]
 fn what_only_a_start_takes_in_is_staged_and_said_and_taken_at_the_next() {
-    let world = World::new(QUICK);
+    let world = TestEnvironment::new(QUICK);
     let mut node = world.node(SHORT_TRIAL);
     let (mut subscriber, _) = world.subscriber();
     made_good(&mut subscriber, 1, &doc(&[READ], ""));
-    subscriber.offer_whole(2, &doc(&[READ], "[limits]\nsockets = 64\n"));
-    let Some(SubscriberMessage::Acknowledged { staged, .. }) = subscriber.hear() else {
+    subscriber.offer_full(2, &doc(&[READ], "[limits]\nsockets = 64\n"));
+    let Some(SubscriberMessage::Acknowledged { staged, .. }) = subscriber.receive() else {
         panic!("not acknowledged")
     };
     assert_eq!(staged, ["limits.sockets"]);
-    assert_eq!(settled(subscriber.hear()), None);
+    assert_eq!(settled(subscriber.receive()), None);
     world.executor.restart();
-    node.start_again().expect("it starts");
-    assert!(node.becomes(true));
+    node.restart().expect("it starts");
+    assert!(node.wait_until_ready(true));
     // 64 descriptors leave 16 for clients; past that those longest idle are closed.
     let clients: Vec<_> =
-        (0..40).filter_map(|_| std::net::TcpStream::connect(node.plan.listen).ok()).collect();
+        (0..40).filter_map(|_| std::net::TcpStream::connect(node.config.listen).ok()).collect();
     let closed = |stream: &std::net::TcpStream| {
         let mut byte = [0];
         let _ = stream.set_nonblocking(true);
         matches!(std::io::Read::read(&mut &*stream, &mut byte), Ok(0))
     };
     assert!(
-        comes_true(Duration::from_secs(5), || clients.iter().filter(|client| closed(client)).count() >= 20)
+        wait_until(Duration::from_secs(5), || clients.iter().filter(|client| closed(client)).count() >= 20)
     );
 }
 
