--- a/crates/hazelgrade-demo/src/measure/identity.rs
+++ b/crates/hazelgrade-demo/src/measure/identity.rs
@@ -298,7 +298,7 @@
             let flood = flooded.then(|| std::thread::spawn(move || flood(listen, until)));
             std::thread::sleep(lasts);
             floods[place] += flood.and_then(|flood| flood.join().ok()).unwrap_or(0);
-            runs[place].push(callers.stop().0);
+            runs[place].push(callers.stop().results);
         }
     }
     for ((name, _, _), (runs, flood)) in ways.iter().zip(runs.iter().zip(&floods)) {
@@ -474,7 +474,7 @@
         let began = Instant::now();
         publish(&right.replace(&table, &format!("{table}revoked = true\n")))?;
         std::thread::sleep(Duration::from_millis(700));
-        let told = callers.stop().0;
+        let told = callers.stop().results;
         let last =
             told.iter().filter(|told| told.outcome == JobOutcome::Succeeded).map(|told| told.sent).max();
         runs.push(last.map_or(0.0, |last| last.saturating_duration_since(began).as_secs_f64() * 1000.0));
--- a/crates/hazelgrade-demo/src/measure/streaming.rs
+++ b/crates/hazelgrade-demo/src/measure/streaming.rs
@@ -482,7 +482,7 @@
                     control.publish(&version(number)).map_err(failed)?;
                 }
             }
-            runs.push(callers.stop().0);
+            runs.push(callers.stop().results);
         }
     }
     for (name, runs) in ["no version comes", "a version comes each second"].iter().zip(&runs) {
--- a/crates/hazelgrade-demo/src/scenes/streaming.rs
+++ b/crates/hazelgrade-demo/src/scenes/streaming.rs
@@ -4,7 +4,7 @@
 use crate::SELF;
 use crate::parts::{control as control_service, failed, program};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
-use hazelgrade_fakes::callers::{Callers, JobOutcome, JobResult};
+use hazelgrade_fakes::callers::{Callers, CallersReport, JobOutcome, JobResult};
 use hazelgrade_fakes::control_process::ControlServiceProcess;
 use hazelgrade_fakes::documents::{BOOK, READ, document, text};
 use hazelgrade_fakes::executor::Workload;
@@ -126,7 +126,7 @@
     let mut kept = clean;
     println!();
     for Stage { world, node, callers } in stages {
-        let (of_node, twice) = callers.stop();
+        let CallersReport { results: of_node, unmatched_answers: twice } = callers.stop();
         let verdict = rule_check::check(&of_node, twice, &world.executor.runs(), CUT_OFF, GRACE);
         println!("{}: {verdict}", node.config.name);
         kept &= verdict.passed();
--- a/crates/hazelgrade-fakes/src/callers.rs
+++ b/crates/hazelgrade-fakes/src/callers.rs
@@ -56,11 +56,20 @@
     pub outcome: JobOutcome,
 }
 
+/// What all callers were answered.
+#[derive(Clone, Debug, Default)]
+pub struct CallersReport {
+    /// The result of each job.
+    pub results: Vec<JobResult>,
+    /// Answers to calls that were not open.
+    pub unmatched_answers: u64,
+}
+
 #[derive(Default)]
 struct Record {
-    told: Mutex<Vec<JobResult>>,
+    results: Mutex<Vec<JobResult>>,
     /// Answers to calls that were not open.
-    twice: AtomicU64,
+    unmatched_answers: AtomicU64,
     stop: AtomicBool,
 }
 
@@ -90,23 +99,25 @@
 
     /// What became of the jobs so far.
     pub fn results(&self) -> Vec<JobResult> {
-        lock(&self.record.told).clone()
+        lock(&self.record.results).clone()
     }
 
     /// How many were answered so far, or lost.
     pub fn count(&self) -> usize {
-        lock(&self.record.told).len()
+        lock(&self.record.results).len()
     }
 
-    /// Sends no more, waits for the answers that are open, and gives what became of all jobs, and how many answers came
-    /// for none.
-    pub fn stop(self) -> (Vec<JobResult>, u64) {
+    /// Sends no more jobs, waits for the answers that are open, and reports on all jobs.
+    pub fn stop(self) -> CallersReport {
         self.record.stop.store(true, Ordering::Relaxed);
         for thread in self.threads {
             // A thread that panicked has told what it knew.
             let _ = thread.join();
         }
-        (std::mem::take(&mut lock(&self.record.told)), self.record.twice.load(Ordering::Relaxed))
+        CallersReport {
+            results: std::mem::take(&mut lock(&self.record.results)),
+            unmatched_answers: self.record.unmatched_answers.load(Ordering::Relaxed),
+        }
     }
 }
 
@@ -150,7 +161,7 @@
                 let _ = stream.shutdown(std::net::Shutdown::Both);
                 let ended = reading.join().unwrap_or_else(|_| Instant::now());
                 let lost = std::mem::take(&mut *lock(&open));
-                lock(&record.told).extend(lost.into_values().map(|(id, job_class, sent)| JobResult {
+                lock(&record.results).extend(lost.into_values().map(|(id, job_class, sent)| JobResult {
                     id,
                     job_class,
                     sent,
@@ -227,10 +238,10 @@
             Some((id, job_class, sent)) => {
                 let told =
                     JobResult { id, job_class, sent, latency: sent.elapsed(), outcome: outcome(&answer) };
-                lock(&record.told).push(told);
+                lock(&record.results).push(told);
             }
             None => {
-                record.twice.fetch_add(1, Ordering::Relaxed);
+                record.unmatched_answers.fetch_add(1, Ordering::Relaxed);
             }
         }
     }
--- a/crates/hazelgrade-fault-injection/src/plan_run.rs
+++ b/crates/hazelgrade-fault-injection/src/plan_run.rs
@@ -63,8 +63,8 @@
     let registry = group.registry.clone();
     group.wait_until(CUE_WITHIN, |group| {
         let stands = |node: usize, words: &[&str]| {
-            let (of, standing) = &group.standings[node];
-            of.ends_with(&group.published_digest) && words.contains(&standing.as_str())
+            let known = &group.standings[node];
+            known.version.ends_with(&group.published_digest) && words.contains(&known.standing.as_str())
         };
         match trigger {
             Trigger::Now => true,
