--- a/crates/hazelgrade-server/tests/group/main.rs
+++ b/crates/hazelgrade-server/tests/group/main.rs
@@ -39,7 +39,11 @@
 /// Node by node, whether it has the latest version and stands so with it.
 fn stand(group: &Group, word: &str) -> Vec<bool> {
     let digest = &group.published_digest;
-    group.standings.iter().map(|(of, standing)| of.ends_with(digest.as_str()) && standing == word).collect()
+    group
+        .standings
+        .iter()
+        .map(|node| node.version.ends_with(digest.as_str()) && node.standing == word)
+        .collect()
 }
 
 fn count(of: &[bool]) -> usize {
--- a/crates/hazelgrade-server/tests/group/store.rs
+++ b/crates/hazelgrade-server/tests/group/store.rs
@@ -18,7 +18,7 @@
         let operator = format!("[for_tests_only]\nstore_dies_at = {write}\n");
         group.nodes[0].set_operator_settings(&operator).expect("a file");
         // It may die as it opens the store, or when a version comes, or not at all.
-        group.starts_and_may_die(0).expect("it starts");
+        group.start_node_that_may_exit(0).expect("it starts");
         cause(&mut group, Fault::Publish { harmful: false });
         let settled = |group: &mut Group| !group.nodes[0].is_running() || stand(group, "good")[0];
         assert!(group.wait_until(SOON, settled), "at {write}: {}", group.status());
@@ -34,7 +34,7 @@
                 group.status()
             );
         } else {
-            group.survived(0);
+            group.confirm_survival(0);
             beyond += 1;
         }
         if beyond == 2 {
--- a/crates/hazelgrade-server/tests/identity/main.rs
+++ b/crates/hazelgrade-server/tests/identity/main.rs
@@ -4,7 +4,7 @@
 mod tls;
 
 use hazelgrade_config::Document;
-use hazelgrade_fakes::callers::{JobOutcome, JobResult, Token};
+use hazelgrade_fakes::callers::{CallersReport, JobOutcome, JobResult, Token};
 use hazelgrade_fakes::documents::{BOOK, READ, document};
 use hazelgrade_fakes::executor::Workload;
 use hazelgrade_fakes::node_process::{NodeConfig, NodeProcess};
@@ -252,7 +252,8 @@
         std::thread::sleep(Duration::from_millis(400));
     }
     let revoked_for = Duration::from_millis(1000);
-    let ((told, twice), (of_desk, _)) = (load.stop(), load_of_desk.stop());
+    let CallersReport { results: told, unmatched_answers: twice } = load.stop();
+    let of_desk = load_of_desk.stop().results;
     let verdict = rule_check::check(&told, twice, &setting.world.executor.runs(), DEADLINE, GRACE);
     assert!(verdict.passed() && verdict.count > 300, "{verdict}");
     let denials: Vec<&JobResult> = told.iter().filter(|told| told.outcome == JobOutcome::Denied).collect();
@@ -303,7 +304,7 @@
         })
         .collect();
     let sent: u64 = flood.into_iter().map(|thread| thread.join().expect("it ends")).sum();
-    let (told, twice) = load.stop();
+    let CallersReport { results: told, unmatched_answers: twice } = load.stop();
     let verdict = rule_check::check(&told, twice, &setting.world.executor.runs(), DEADLINE, GRACE);
     assert!(sent > 200, "{sent} is no flood");
     assert!(
--- a/crates/hazelgrade-server/tests/streaming/control.rs
+++ b/crates/hazelgrade-server/tests/streaming/control.rs
@@ -107,7 +107,7 @@
     let served = |told: &hazelgrade_fakes::callers::JobResult| {
         told.outcome == hazelgrade_fakes::callers::JobOutcome::Succeeded
     };
-    assert!(callers.stop().0.iter().all(served), "it serves by what it had");
+    assert!(callers.stop().results.iter().all(served), "it serves by what it had");
 }
 
 /// Two documents of one length, one right after the other: the second may look like the first to whoever goes by the file's
--- a/crates/hazelgrade-server/tests/streaming/node.rs
+++ b/crates/hazelgrade-server/tests/streaming/node.rs
@@ -1,7 +1,7 @@
 //! A node, and a control service that says what the test wants.
 
 use super::*;
-use hazelgrade_fakes::callers::JobOutcome;
+use hazelgrade_fakes::callers::{CallersReport, JobOutcome};
 use hazelgrade_fakes::control_service::version;
 use hazelgrade_fakes::documents::{BOOK, READ};
 use hazelgrade_fakes::{rule_check, wait_until};
@@ -31,7 +31,7 @@
     assert!(wait_until(Duration::from_secs(5), || {
         callers.results().iter().filter(|told| told.outcome == JobOutcome::Succeeded).count() > 20
     }));
-    let (told, twice) = callers.stop();
+    let CallersReport { results: told, unmatched_answers: twice } = callers.stop();
     let verdict = rule_check::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
     assert!(verdict.passed(), "{verdict}");
 
@@ -53,7 +53,7 @@
     assert!(node.wait_until_ready(true));
     let callers = world.callers(&node, 100.0, &["read"]);
     assert!(wait_until(Duration::from_secs(5), || callers.count() >= 20));
-    let (told, _) = callers.stop();
+    let CallersReport { results: told, .. } = callers.stop();
     assert!(told.iter().all(|told| told.outcome == JobOutcome::Succeeded), "{told:?}");
 }
 
@@ -92,7 +92,7 @@
     // After all that it serves by what it had.
     let callers = world.callers(&node, 100.0, &["read", "book"]);
     assert!(wait_until(Duration::from_secs(5), || callers.count() >= 20));
-    assert!(callers.stop().0.iter().all(|told| told.outcome == JobOutcome::Succeeded));
+    assert!(callers.stop().results.iter().all(|told| told.outcome == JobOutcome::Succeeded));
 }
 
 #[test]
@@ -116,7 +116,7 @@
     assert_eq!(turned_down(subscriber.receive()), Rejection::Draining);
     subscriber.offer_full(3, &doc(&[BOOK], ""));
     assert_eq!(turned_down(subscriber.receive()), Rejection::Draining);
-    let (told, twice) = callers.stop();
+    let CallersReport { results: told, unmatched_answers: twice } = callers.stop();
     assert_eq!(node.wait_for_exit().and_then(|status| status.code()), Some(0));
     let verdict = rule_check::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
     assert!(verdict.passed() && verdict.count_of(JobOutcome::Succeeded) > 0, "{verdict}");
@@ -133,7 +133,7 @@
     assert!(wait_until(Duration::from_secs(5), || world.executor.running() >= 4));
     // A later one that comes while one is on trial waits; one of the same contents as before takes its place at once. Here
     // the node is started anew, so that the trial is over, and knows its jobs in hand are gone.
-    let (told, _) = callers.stop();
+    let CallersReport { results: told, .. } = callers.stop();
     assert!(told.iter().all(|told| told.outcome != JobOutcome::Lost), "{told:?}");
     drop(node);
 
@@ -151,7 +151,7 @@
         callers.results().iter().any(|told| told.sent > taken && told.outcome == JobOutcome::Rejected)
     }));
     assert!(wait_until(Duration::from_secs(5), || world.executor.running() == 0));
-    let (told, twice) = callers.stop();
+    let CallersReport { results: told, unmatched_answers: twice } = callers.stop();
     let verdict = rule_check::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
     assert!(verdict.passed(), "{verdict}");
     let succeeded =
@@ -249,7 +249,7 @@
     }
     let lasted = began.elapsed();
     assert!(lasted > Duration::from_secs(8) && lasted < Duration::from_secs(15), "{lasted:?}");
-    let (told, twice) = callers.stop();
+    let CallersReport { results: told, unmatched_answers: twice } = callers.stop();
     let verdict = rule_check::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
     assert!(verdict.passed() && verdict.count_of(JobOutcome::Succeeded) == verdict.count, "{verdict}");
 }
@@ -291,7 +291,7 @@
         }
     }
     assert!(hearing.get().0 >= 10, "{:?}", hearing.get());
-    let (told, twice) = callers.stop();
+    let CallersReport { results: told, unmatched_answers: twice } = callers.stop();
     let verdict = rule_check::check(&told, twice, &world.executor.runs(), CUT_OFF, GRACE);
     assert!(verdict.passed(), "{verdict}");
     assert!(verdict.count_of(JobOutcome::Succeeded) as f64 > 0.95 * verdict.count as f64, "{verdict}");
