--- a/crates/hazelgrade-fakes/src/callers.rs
+++ b/crates/hazelgrade-fakes/src/callers.rs
@@ -1,4 +1,4 @@
-//! Stands in for callers: send jobs at a pace whatever comes of them, and note each answer.
+//! Callers that send jobs at a fixed rate, whatever becomes of them, and note each answer.
 
 use crate::unix_ms;
 use serde_json::{Value, json};
@@ -11,48 +11,63 @@
 use std::time::{Duration, Instant};
 
 /// A job that was written no longer than this before its connection was closed has crossed the close.
-const CROSSED: Duration = Duration::from_millis(50);
+const CROSSED_CLOSE: Duration = Duration::from_millis(50);
 /// Calls that may be open on a connection; a job that is due past that is not sent.
-const OPEN: usize = 12;
+const MAX_OPEN_CALLS: usize = 12;
+/// How long open answers are waited for once no more jobs are sent; they come by their deadline, which is some seconds.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 
+/// What callers send, where and how fast.
 #[derive(Clone, Debug)]
 pub struct CallersConfig {
+    /// Where the node listens.
     pub node: SocketAddr,
+    /// How many connections stay open.
     pub connections: usize,
-    /// Jobs a second in all.
+    /// Jobs a second over all connections.
     pub rate: f64,
-    /// Asked for in turn.
+    /// Job classes that are requested in turn.
     pub job_classes: Vec<String>,
+    /// The tenant of every job.
     pub owner: String,
-    /// The token to send with each job, as it is at the time.
+    /// The token sent with each job, as it is at that time.
     pub token: Option<Token>,
 }
 
-/// A token that may be replaced while it is used.
+/// A token that may be replaced while callers use it.
 pub type Token = Arc<Mutex<String>>;
 
+/// How a job ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum JobOutcome {
+    /// It ran and was answered with its result.
     Succeeded,
+    /// The node shed it: it can be retried elsewhere.
     Rejected,
-    /// Its caller may not ask for it.
+    /// Its caller has no right to it.
     Denied,
+    /// It was answered with a failure.
     Failed,
     /// An answer of any other kind.
     Wrong,
     /// The connection ended without an answer.
     Lost,
-    /// It ended so soon after the job was written that the two crossed: by the protocol it is sent once more, elsewhere.
+    /// The connection ended within 50 ms of the job being written: the caller retries elsewhere.
     Crossed,
 }
 
-/// What became of a job.
+/// A job with its outcome.
 #[derive(Clone, Debug)]
 pub struct JobResult {
+    /// The job's id, unique over all callers and processes.
     pub id: String,
+    /// The job class that was requested.
     pub job_class: String,
+    /// When the job was written.
     pub sent: Instant,
+    /// From then until its answer, or until its connection ended.
     pub latency: Duration,
+    /// How it ended.
     pub outcome: JobOutcome,
 }
 
@@ -73,36 +88,38 @@
     stop: AtomicBool,
 }
 
+/// Callers that run on threads until they are stopped.
 pub struct Callers {
     record: Arc<Record>,
     threads: Vec<JoinHandle<()>>,
 }
 
-type Open = Arc<Mutex<BTreeMap<u64, (String, String, Instant)>>>;
+type OpenCalls = Arc<Mutex<BTreeMap<u64, (String, String, Instant)>>>;
 
-fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Callers {
-    pub fn start(plan: &CallersConfig) -> Callers {
+    /// Starts sending at the configured rate, whatever becomes of the jobs.
+    pub fn start(config: &CallersConfig) -> Callers {
         let record = Arc::new(Record::default());
         // Ids are told apart by process, connection and count.
         static CONNECTIONS: AtomicUsize = AtomicUsize::new(0);
-        let from = CONNECTIONS.fetch_add(plan.connections, Ordering::Relaxed);
-        let threads = (from..from + plan.connections).map(|place| {
-            let (plan, record) = (plan.clone(), record.clone());
-            std::thread::spawn(move || call(&plan, place, &record))
+        let from = CONNECTIONS.fetch_add(config.connections, Ordering::Relaxed);
+        let threads = (from..from + config.connections).map(|connection| {
+            let (config, record) = (config.clone(), record.clone());
+            std::thread::spawn(move || run_connection(&config, connection, &record))
         });
         Callers { threads: threads.collect(), record }
     }
 
-    /// What became of the jobs so far.
+    /// The results so far.
     pub fn results(&self) -> Vec<JobResult> {
         lock(&self.record.results).clone()
     }
 
-    /// How many were answered so far, or lost.
+    /// How many jobs were answered or lost so far.
     pub fn count(&self) -> usize {
         lock(&self.record.results).len()
     }
@@ -111,7 +128,7 @@
     pub fn stop(self) -> CallersReport {
         self.record.stop.store(true, Ordering::Relaxed);
         for thread in self.threads {
-            // A thread that panicked has told what it knew.
+            // A thread that panicked has recorded what it knew.
             let _ = thread.join();
         }
         CallersReport {
@@ -134,39 +151,38 @@
 }
 
 /// One connection after the other, until it is to stop.
-fn call(plan: &CallersConfig, place: usize, record: &Arc<Record>) {
+fn run_connection(config: &CallersConfig, connection: usize, record: &Arc<Record>) {
     let mut count = 0;
     while !record.stop.load(Ordering::Relaxed) {
-        match TcpStream::connect(plan.node) {
+        match TcpStream::connect(config.node) {
             Ok(stream) => {
-                let open: Open = Arc::default();
+                let open: OpenCalls = Arc::default();
                 let draining = Arc::new(AtomicBool::new(false));
-                let reading = {
+                let reader_thread = {
                     let (open, record, draining) = (open.clone(), record.clone(), draining.clone());
                     let Ok(stream) = stream.try_clone() else { continue };
                     std::thread::spawn(move || {
-                        read(stream, &open, &record, &draining);
+                        read_answers(stream, &open, &record, &draining);
                         let ended = Instant::now();
                         // With as many open as may be nothing is written that would find out.
                         draining.store(true, Ordering::Relaxed);
                         ended
                     })
                 };
-                send(plan, place, &stream, &open, record, &draining, &mut count);
-                // Answers that are open come by their deadline, which is some seconds.
-                let by = Instant::now() + Duration::from_secs(10);
-                while !lock(&open).is_empty() && !reading.is_finished() && Instant::now() < by {
+                send_jobs(config, connection, &stream, &open, record, &draining, &mut count);
+                let deadline = Instant::now() + DRAIN_TIMEOUT;
+                while !lock(&open).is_empty() && !reader_thread.is_finished() && Instant::now() < deadline {
                     std::thread::sleep(Duration::from_millis(2));
                 }
                 let _ = stream.shutdown(std::net::Shutdown::Both);
-                let ended = reading.join().unwrap_or_else(|_| Instant::now());
+                let ended = reader_thread.join().unwrap_or_else(|_| Instant::now());
                 let lost = std::mem::take(&mut *lock(&open));
                 lock(&record.results).extend(lost.into_values().map(|(id, job_class, sent)| JobResult {
                     id,
                     job_class,
                     sent,
                     latency: ended.saturating_duration_since(sent),
-                    outcome: if ended.saturating_duration_since(sent) <= CROSSED {
+                    outcome: if ended.saturating_duration_since(sent) <= CROSSED_CLOSE {
                         JobOutcome::Crossed
                     } else {
                         JobOutcome::Lost
@@ -178,43 +194,44 @@
     }
 }
 
-fn send(
-    plan: &CallersConfig,
-    place: usize,
+fn send_jobs(
+    config: &CallersConfig,
+    connection: usize,
     mut stream: &TcpStream,
-    open: &Open,
+    open: &OpenCalls,
     record: &Record,
     draining: &AtomicBool,
     count: &mut u64,
 ) {
     let _ = stream.set_nodelay(true);
-    let gap = Duration::from_secs_f64(plan.connections as f64 / plan.rate.max(0.001));
-    let mut next = Instant::now()
-        + gap.mul_f64((place % plan.connections.max(1)) as f64 / plan.connections.max(1) as f64);
+    let interval = Duration::from_secs_f64(config.connections as f64 / config.rate.max(0.001));
+    let mut next_send = Instant::now()
+        + interval
+            .mul_f64((connection % config.connections.max(1)) as f64 / config.connections.max(1) as f64);
     while !record.stop.load(Ordering::Relaxed) && !draining.load(Ordering::Relaxed) {
-        std::thread::sleep(next.saturating_duration_since(Instant::now()));
-        next += gap;
-        if lock(open).len() >= OPEN {
+        std::thread::sleep(next_send.saturating_duration_since(Instant::now()));
+        next_send += interval;
+        if lock(open).len() >= MAX_OPEN_CALLS {
             continue;
         }
         *count += 1;
-        let job_class = &plan.job_classes[*count as usize % plan.job_classes.len()];
-        let id = format!("{:04x}{:04x}{:08x}", std::process::id() & 0xffff, place, *count);
+        let job_class = &config.job_classes[*count as usize % config.job_classes.len()];
+        let id = format!("{:04x}{:04x}{:08x}", std::process::id() & 0xffff, connection, *count);
         let job = json!({"jsonrpc": "2.0", "id": *count, "method": job_class, "params": {"req": id, "ts": unix_ms(),
-            "via": place, "owner": plan.owner, "need": 12.5, "level": 0.5, "body": "aGVsbG8="}});
+            "via": connection, "owner": config.owner, "need": 12.5, "level": 0.5, "body": "aGVsbG8="}});
         let mut job = job;
-        if let Some(token) = &plan.token {
+        if let Some(token) = &config.token {
             job["params"]["token"] = json!(*lock(token));
         }
         lock(open).insert(*count, (id, job_class.clone(), Instant::now()));
         if stream.write_all(format!("{job}\n").as_bytes()).is_err() {
-            // Nothing of it was read, or its answer is lost with the connection: told as lost by the caller.
+            // Nothing of it was read, or its answer is lost with the connection: recorded as lost.
             return;
         }
     }
 }
 
-fn read(stream: TcpStream, open: &Open, record: &Record, draining: &AtomicBool) {
+fn read_answers(stream: TcpStream, open: &OpenCalls, record: &Record, draining: &AtomicBool) {
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
     loop {
@@ -236,9 +253,9 @@
         }
         match answer["id"].as_u64().and_then(|call| lock(open).remove(&call)) {
             Some((id, job_class, sent)) => {
-                let told =
+                let result =
                     JobResult { id, job_class, sent, latency: sent.elapsed(), outcome: outcome(&answer) };
-                lock(&record.results).push(told);
+                lock(&record.results).push(result);
             }
             None => {
                 record.unmatched_answers.fetch_add(1, Ordering::Relaxed);
--- a/crates/hazelgrade-fakes/src/control_process.rs
+++ b/crates/hazelgrade-fakes/src/control_process.rs
@@ -14,23 +14,35 @@
 use std::time::Duration;
 use tempfile::TempDir;
 
+/// The control service as a process, with its documents. It is killed when dropped.
 pub struct ControlServiceProcess {
     program: PathBuf,
-    /// The words before `control`, if any.
+    /// Arguments before the sub-command `control`.
     arguments: Vec<String>,
     lineage: String,
     child: Option<Child>,
+    /// Where it listens.
     pub address: SocketAddr,
+    /// The folder of its documents, counter and lessor's store.
     pub documents: TempDir,
-    /// Further words of its command line.
+    /// Arguments after its own.
     pub extra_arguments: Vec<String>,
 }
 
-/// Replaces the document in a folder in one step, as operators are told to.
+/// Replaces the serving document in a folder in one step, as operators are told to.
+///
+/// # Errors
+///
+/// If it cannot be written.
 pub fn publish(folder: &Path, text: &str) -> io::Result<()> {
     publish_file(folder, control_service::SERVING_DOCUMENT_FILE, text)
 }
 
+/// Replaces a file in a folder in one step.
+///
+/// # Errors
+///
+/// If it cannot be written.
 pub fn publish_file(folder: &Path, name: &str, text: &str) -> io::Result<()> {
     let next = folder.join("next");
     std::fs::write(&next, text)?;
@@ -38,21 +50,30 @@
 }
 
 impl ControlServiceProcess {
+    /// Starts it with this document.
+    ///
+    /// # Errors
+    ///
+    /// If a file cannot be written or the program cannot be started.
     pub fn start(
         program: &Path,
-        words: &[&str],
+        arguments: &[&str],
         lineage: &str,
         document: &Document,
     ) -> io::Result<ControlServiceProcess> {
-        let mut service = ControlServiceProcess::prepare(program, words, lineage, document)?;
+        let mut service = ControlServiceProcess::prepare(program, arguments, lineage, document)?;
         service.restart()?;
         Ok(service)
     }
 
     /// The same, not started yet.
+    ///
+    /// # Errors
+    ///
+    /// If a file cannot be written.
     pub fn prepare(
         program: &Path,
-        words: &[&str],
+        arguments: &[&str],
         lineage: &str,
         document: &Document,
     ) -> io::Result<ControlServiceProcess> {
@@ -60,7 +81,7 @@
         publish(documents.path(), &document.to_toml())?;
         Ok(ControlServiceProcess {
             program: program.into(),
-            arguments: words.iter().map(|word| (*word).to_owned()).collect(),
+            arguments: arguments.iter().map(|argument| (*argument).to_owned()).collect(),
             lineage: lineage.into(),
             child: None,
             address: free_address(),
@@ -69,7 +90,11 @@
         })
     }
 
-    /// Founds the keeper of a site here; `lost` if there was one before.
+    /// Creates the store of a site's lessor here; `lost` if there was one before.
+    ///
+    /// # Errors
+    ///
+    /// If the command fails, with its standard error.
     pub fn initialize_lessor(&self, site: &str, lost: bool) -> io::Result<()> {
         let mut command = Command::new(&self.program);
         command.args(&self.arguments).args(["budget", "found", "--keeper", site, "--documents"]);
@@ -77,29 +102,41 @@
         if lost {
             command.arg("--lost");
         }
-        let done = command.output()?;
-        let why = || io::Error::other(String::from_utf8_lossy(&done.stderr).into_owned());
-        if done.status.success() { Ok(()) } else { Err(why()) }
+        let output = command.output()?;
+        let why = || io::Error::other(String::from_utf8_lossy(&output.stderr).into_owned());
+        if output.status.success() { Ok(()) } else { Err(why()) }
     }
 
+    /// Where the lessor's store is.
     pub fn lessor_store(&self) -> PathBuf {
         self.documents.path().join(".keeper.store")
     }
 
-    /// Who holds what of the budgets; nothing while it can't be asked.
+    /// Which holder has what of the budgets; null while it cannot be asked.
     pub fn budget_status(&self) -> Value {
         control_service::send_budget_command(self.address, OperatorCommand::Show, Duration::from_secs(2))
             .unwrap_or_default()
     }
 
-    pub fn send_budget_command(&self, word: OperatorCommand) -> Result<Value, RequestError> {
-        control_service::send_budget_command(self.address, word, Duration::from_secs(2))
+    /// Sends an operator's command on budgets.
+    ///
+    /// # Errors
+    ///
+    /// [`RequestError`] if it cannot be asked, or refuses.
+    pub fn send_budget_command(&self, command: OperatorCommand) -> Result<Value, RequestError> {
+        control_service::send_budget_command(self.address, command, Duration::from_secs(2))
     }
 
+    /// Replaces its serving document in one step.
+    ///
+    /// # Errors
+    ///
+    /// If it cannot be written.
     pub fn publish(&self, text: &str) -> io::Result<()> {
         publish(self.documents.path(), text)
     }
 
+    /// Kills it if it runs.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -107,11 +144,15 @@
         }
     }
 
-    /// Killed if it runs, and started with the folder as it is.
+    /// Kills it if it runs, and starts it with the folder as it is.
+    ///
+    /// # Errors
+    ///
+    /// If the program cannot be started.
     pub fn restart(&mut self) -> io::Result<()> {
         self.kill();
-        let shows = std::env::var_os("RIG_CONTROL_LOG").is_some();
-        let said = if shows { Stdio::inherit() } else { Stdio::null() };
+        let shows_log = std::env::var_os("RIG_CONTROL_LOG").is_some();
+        let stderr = if shows_log { Stdio::inherit() } else { Stdio::null() };
         let mut command = Command::new(&self.program);
         command.args(&self.arguments).args([
             "control",
@@ -125,28 +166,31 @@
             .arg(self.documents.path())
             .args(["--listen", &self.address.to_string()])
             .args(&self.extra_arguments);
-        self.child = Some(command.stdin(Stdio::null()).stderr(said).spawn()?);
+        self.child = Some(command.stdin(Stdio::null()).stderr(stderr).spawn()?);
         Ok(())
     }
 
+    /// Sends a signal; `false` if it fails.
     pub fn signal(&self, signal: Signal) -> bool {
         self.child.as_ref().is_some_and(|child| send_signal(child, signal))
     }
 
-    /// Whether the process has not ended by itself.
+    /// Whether its process has not ended by itself.
     pub fn is_alive(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
+    /// Whether it was started and not killed since.
     pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
-    /// Who runs what; nothing while it can't be asked.
+    /// Which node has which version; null while it cannot be asked.
     pub fn status(&self) -> Value {
         control_service::request_status(self.address, Duration::from_secs(2)).unwrap_or_default()
     }
 
+    /// Where the counter of its versions is.
     pub fn counter_file(&self) -> PathBuf {
         self.documents.path().join(control_service::SERVING_COUNTER_FILE)
     }
--- a/crates/hazelgrade-fakes/src/control_service.rs
+++ b/crates/hazelgrade-fakes/src/control_service.rs
@@ -1,4 +1,4 @@
-//! A control service that says what a script has it say, right or wrong.
+//! A control service that sends what a test tells it to, right or wrong.
 
 use crate::{EVENT_TIMEOUT, wait_until};
 use hazelgrade_config::{Difference, Document, Version};
@@ -6,22 +6,30 @@
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
+/// The lineage of its offers.
 pub const LINEAGE: &str = "test";
 
+/// A control service that a test scripts.
 pub struct FakeControlService {
     listener: TcpListener,
+    /// Where it listens.
     pub address: SocketAddr,
 }
 
 /// A subscriber's connection, seen from the control service.
 pub struct Subscriber {
     reader: BufReader<TcpStream>,
-    /// What it said as it came.
+    /// Its first message.
     pub subscribed: SubscriberMessage,
     nonces: u64,
 }
 
 impl FakeControlService {
+    /// Starts to listen.
+    ///
+    /// # Errors
+    ///
+    /// If no port can be bound.
     pub fn start() -> std::io::Result<FakeControlService> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
@@ -29,7 +37,7 @@
         Ok(FakeControlService { listener, address })
     }
 
-    /// The next subscriber, and what it says it has; none if none comes in time.
+    /// The next subscriber that connects; none if none does in time.
     pub fn accept_subscriber(&self) -> Option<Subscriber> {
         let mut came = None;
         wait_until(EVENT_TIMEOUT, || {
@@ -48,17 +56,18 @@
     }
 }
 
-/// A version of a document, as it should be.
+/// The version of a document with this number and its own digest.
 pub fn version(number: u64, document: &Document) -> Version {
     Version { number, digest: document.digest() }
 }
 
 impl Subscriber {
+    /// Sends bytes as they are; `false` if it fails.
     pub fn write(&mut self, bytes: &[u8]) -> bool {
         self.reader.get_mut().write_all(bytes).is_ok()
     }
 
-    /// The next thing it says, but for pongs; none if it ends or says nothing in time.
+    /// The next message but for pongs; none if the connection ends or none comes in time.
     pub fn receive(&mut self) -> Option<SubscriberMessage> {
         loop {
             let mut line = Vec::new();
@@ -70,14 +79,17 @@
         }
     }
 
+    /// Sends a ping; `false` if it fails.
     pub fn ping(&mut self) -> bool {
         self.write(PublisherMessage::Ping.encode().as_bytes())
     }
 
+    /// Offers a version of [`LINEAGE`]; returns the nonce.
     pub fn offer(&mut self, version: Version, content: Content) -> u64 {
         self.offer_in_lineage(LINEAGE, version, content)
     }
 
+    /// Offers a version of any lineage; returns the nonce.
     pub fn offer_in_lineage(&mut self, lineage: &str, version: Version, content: Content) -> u64 {
         self.nonces += 1;
         let offer = Offer { nonce: self.nonces, lineage: lineage.into(), version, content };
@@ -85,10 +97,12 @@
         self.nonces
     }
 
+    /// Offers a complete document; returns the nonce.
     pub fn offer_full(&mut self, number: u64, document: &Document) -> u64 {
         self.offer(version(number, document), Content::Full(document.to_toml()))
     }
 
+    /// Offers the difference from a base; returns the nonce.
     pub fn offer_delta(&mut self, number: u64, base: (u64, &Document), document: &Document) -> u64 {
         let difference: Difference = base.1.fields().difference(document.fields());
         let base = version(base.0, base.1);
--- a/crates/hazelgrade-fakes/src/database.rs
+++ b/crates/hazelgrade-fakes/src/database.rs
@@ -1,10 +1,14 @@
-//! Stands in for what jobs call: answers each call after a time.
+//! A database for the calls of jobs: answers each call after a fixed time.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Answers until the process ends; gives its address.
+/// Answers each call `after` this time, until the process ends; returns its address.
+///
+/// # Errors
+///
+/// If no port can be bound.
 pub fn start(after: Duration) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
--- a/crates/hazelgrade-fakes/src/dependency.rs
+++ b/crates/hazelgrade-fakes/src/dependency.rs
@@ -1,6 +1,6 @@
-//! Stands in for what all nodes call together: counts the calls in hand at each instant, by the bytes that reached it, and
-//! notes when they are more than it lives through. A call is in hand until it was answered, was given up, or its time is over,
-//! whether its caller lives or not.
+//! A dependency that all nodes call: counts the calls in flight at each instant, by the bytes that reached it, and
+//! notes when they exceed its capacity. A call is in flight until it is answered, cancelled, or out of time, whether its
+//! caller lives or not.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -12,18 +12,19 @@
 type Call = (u64, String);
 
 struct State {
+    /// How long a call takes.
     call_duration: Duration,
-    /// What it lives through now.
+    /// How many calls may be in flight at once.
     capacity: usize,
     in_flight: BTreeMap<Call, Arc<Mutex<TcpStream>>>,
     due: BinaryHeap<Reverse<(Instant, Call, bool)>>,
-    /// The most that was in hand at once.
+    /// The most that was in flight at once.
     peak: usize,
-    /// How often more came than it lives through, and by how much at worst.
+    /// How often a call came past the capacity, and by how many at worst.
     overloads: usize,
     worst_excess: usize,
     calls: u64,
-    /// In-hand integrated over time, for its mean.
+    /// Calls in flight integrated over time, in call seconds.
     call_seconds: f64,
     integrated_until: Instant,
 }
@@ -54,21 +55,26 @@
     }
 }
 
-/// Answers until the process ends.
+/// A dependency that answers until the process ends. Clones are the same one.
 #[derive(Clone)]
 pub struct Dependency {
     shared: Arc<Shared>,
+    /// Where it listens.
     pub address: SocketAddr,
 }
 
 impl Dependency {
-    /// Each call takes so long; more than `most` at once it does not live through.
-    pub fn start(takes: Duration, most: usize) -> std::io::Result<Dependency> {
+    /// Starts it. Each call takes `call_duration`; more than `capacity` at once are counted as an overload.
+    ///
+    /// # Errors
+    ///
+    /// If no port can be bound.
+    pub fn start(call_duration: Duration, capacity: usize) -> std::io::Result<Dependency> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let state = State {
-            call_duration: takes,
-            capacity: most,
+            call_duration,
+            capacity,
             in_flight: BTreeMap::new(),
             due: BinaryHeap::new(),
             peak: 0,
@@ -79,46 +85,50 @@
             integrated_until: Instant::now(),
         };
         let shared = Arc::new(Shared { state: Mutex::new(state), changed: Condvar::new() });
-        let timing = shared.clone();
-        std::thread::spawn(move || keep_time(&timing));
+        let timer = shared.clone();
+        std::thread::spawn(move || answer_due_calls(&timer));
         let accepting = shared.clone();
         std::thread::spawn(move || {
             for (connection, stream) in listener.incoming().flatten().enumerate() {
                 let shared = accepting.clone();
-                std::thread::spawn(move || hear(&shared, connection as u64, stream));
+                std::thread::spawn(move || serve_connection(&shared, connection as u64, stream));
             }
         });
         Ok(Dependency { shared, address })
     }
 
-    pub fn set_call_duration(&self, takes: Duration) {
-        self.shared.lock().call_duration = takes;
+    /// Changes how long a call takes.
+    pub fn set_call_duration(&self, call_duration: Duration) {
+        self.shared.lock().call_duration = call_duration;
     }
 
-    /// From now on it lives through so many.
-    pub fn set_capacity(&self, most: usize) {
-        self.shared.lock().capacity = most;
+    /// Changes how many calls may be in flight at once.
+    pub fn set_capacity(&self, capacity: usize) {
+        self.shared.lock().capacity = capacity;
     }
 
+    /// Calls in flight now.
     pub fn in_flight(&self) -> usize {
         self.shared.lock().in_flight.len()
     }
 
+    /// The most calls that were in flight at once.
     pub fn peak(&self) -> usize {
         self.shared.lock().peak
     }
 
-    /// How often there was more than it lives through, and by how much at worst.
+    /// How often a call came past the capacity, and by how many at worst.
     pub fn overloads(&self) -> (usize, usize) {
         let state = self.shared.lock();
         (state.overloads, state.worst_excess)
     }
 
+    /// Calls that came so far.
     pub fn calls(&self) -> u64 {
         self.shared.lock().calls
     }
 
-    /// Calls in hand, summed up over time since the start: by seconds.
+    /// Calls in flight, integrated over time since the start, in call seconds.
     pub fn call_seconds(&self) -> f64 {
         let mut state = self.shared.lock();
         state.integrate();
@@ -126,7 +136,7 @@
     }
 }
 
-fn keep_time(shared: &Shared) {
+fn answer_due_calls(shared: &Shared) {
     let mut state = shared.lock();
     loop {
         let next = state.due.peek().map(|Reverse((at, ..))| *at);
@@ -148,7 +158,7 @@
     }
 }
 
-fn hear(shared: &Shared, connection: u64, stream: TcpStream) -> Option<()> {
+fn serve_connection(shared: &Shared, connection: u64, stream: TcpStream) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     // A caller that takes nothing does not keep the others waiting.
     stream.set_write_timeout(Some(Duration::from_millis(50))).ok()?;
@@ -161,17 +171,17 @@
         }
         let words: Vec<&str> = line.split_whitespace().collect();
         match words[..] {
-            ["Q", id, within, length] => {
+            ["Q", id, timeout, length] => {
                 let mut body = vec![0; length.parse::<usize>().ok()? + 2];
                 reader.read_exact(&mut body).ok()?;
-                let within = Duration::from_millis(within.parse().ok()?);
+                let timeout = Duration::from_millis(timeout.parse().ok()?);
                 let mut state = shared.lock();
                 state.integrate();
                 let call = (connection, id.to_owned());
                 state.in_flight.insert(call.clone(), writing.clone());
                 state.calls += 1;
                 state.record_arrival();
-                let (after, answered) = (state.call_duration.min(within), state.call_duration <= within);
+                let (after, answered) = (state.call_duration.min(timeout), state.call_duration <= timeout);
                 state.due.push(Reverse((Instant::now() + after, call, answered)));
             }
             ["X", id] => {
--- a/crates/hazelgrade-fakes/src/executor.rs
+++ b/crates/hazelgrade-fakes/src/executor.rs
@@ -1,4 +1,4 @@
-//! Stands in for the executor: so many cores, jobs in the order that they come, each for its time; a job may stand at a
+//! An executor with a number of cores that runs jobs in order of arrival, each for a fixed time; a job may wait for a
 //! call halfway.
 
 use serde_json::{Value, json};
@@ -9,19 +9,21 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
+/// What jobs need.
 #[derive(Clone, Copy, Debug)]
 pub struct Workload {
+    /// How many jobs run at once.
     pub cores: usize,
-    /// How long a job takes, half of it before its call.
+    /// How long a job takes on a core; half of it comes before its call.
     pub job_duration: Duration,
-    /// Jobs stand at a call once.
+    /// Whether each job makes a call halfway.
     pub makes_call: bool,
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    AtCall(String),
-    Over(String),
+enum TimerEvent {
+    CallDue(String),
+    JobEnds(String),
 }
 
 struct State {
@@ -36,7 +38,7 @@
     running: BTreeMap<String, Instant>,
     /// How often each job was started.
     runs: BTreeMap<String, u32>,
-    due: BinaryHeap<Reverse<(Instant, Due)>>,
+    due: BinaryHeap<Reverse<(Instant, TimerEvent)>>,
 }
 
 struct Shared {
@@ -44,10 +46,11 @@
     changed: Condvar,
 }
 
-/// Runs until the process ends.
+/// An executor that runs until the process ends. Clones are the same one.
 #[derive(Clone)]
 pub struct Executor {
     shared: Arc<Shared>,
+    /// Where it listens.
     pub address: SocketAddr,
 }
 
@@ -73,7 +76,7 @@
     }
 
     /// Gives a part of a job to the core that is free first.
-    fn occupy(&mut self, part: Duration) -> Instant {
+    fn reserve_core(&mut self, part: Duration) -> Instant {
         let now = Instant::now();
         let core = self.free_at.iter_mut().min();
         core.map_or(now + part, |free_at| {
@@ -89,16 +92,19 @@
         *self.runs.entry(id.to_owned()).or_default() += 1;
         self.running.insert(id.to_owned(), Instant::now());
         let Workload { job_duration: takes, makes_call: calls, .. } = self.workload;
-        let (part, due) =
-            if calls { (takes / 2, Due::AtCall(id.into())) } else { (takes, Due::Over(id.into())) };
-        let at = self.occupy(part);
+        let (part, due) = if calls {
+            (takes / 2, TimerEvent::CallDue(id.into()))
+        } else {
+            (takes, TimerEvent::JobEnds(id.into()))
+        };
+        let at = self.reserve_core(part);
         self.due.push(Reverse((at, due)));
     }
 
     fn resume(&mut self, id: &str) {
         if self.running.contains_key(id) {
-            let at = self.occupy(self.workload.job_duration / 2);
-            self.due.push(Reverse((at, Due::Over(id.into()))));
+            let at = self.reserve_core(self.workload.job_duration / 2);
+            self.due.push(Reverse((at, TimerEvent::JobEnds(id.into()))));
         }
     }
 
@@ -129,6 +135,11 @@
 }
 
 impl Executor {
+    /// Starts it.
+    ///
+    /// # Errors
+    ///
+    /// If no port can be bound.
     pub fn start(work: Workload) -> std::io::Result<Executor> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -144,8 +155,8 @@
             due: BinaryHeap::new(),
         };
         let shared = Arc::new(Shared { state: Mutex::new(state), changed: Condvar::new() });
-        let timing = shared.clone();
-        std::thread::spawn(move || keep_time(&timing));
+        let timer = shared.clone();
+        std::thread::spawn(move || run_timer(&timer));
         let executor = Executor { shared: shared.clone(), address };
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -161,18 +172,19 @@
         self.shared.lock().runs.clone()
     }
 
+    /// Jobs that were started and have not ended.
     pub fn running(&self) -> usize {
         self.shared.lock().running.len()
     }
 
-    /// Other work from now on.
+    /// Changes what jobs need from now on.
     pub fn set_workload(&self, work: Workload) {
         let mut state = self.shared.lock();
         state.workload = work;
         state.free_at.resize(work.cores.max(1), Instant::now());
     }
 
-    /// The node is to start anew: its notices are numbered from 1 again, and its runs are gone.
+    /// Forgets jobs and notices, for a node that starts anew: its notices are numbered from 1 again.
     pub fn restart(&self) {
         let mut state = self.shared.lock();
         state.link = None;
@@ -183,14 +195,14 @@
     }
 }
 
-fn keep_time(shared: &Shared) {
+fn run_timer(shared: &Shared) {
     let mut state = shared.lock();
     loop {
         let next = state.due.peek().map(|Reverse((at, _))| *at);
         match next {
             Some(at) if at <= Instant::now() => match state.due.pop() {
-                Some(Reverse((_, Due::Over(id)))) => state.end(&id, "good"),
-                Some(Reverse((_, Due::AtCall(id)))) if state.running.contains_key(&id) => {
+                Some(Reverse((_, TimerEvent::JobEnds(id)))) => state.end(&id, "good"),
+                Some(Reverse((_, TimerEvent::CallDue(id)))) if state.running.contains_key(&id) => {
                     state.publish_notice(json!({"event": "CALLOUT", "handle": id, "arg": "cXVlcnk="}));
                 }
                 _ => {}
@@ -206,21 +218,21 @@
 }
 
 fn serve(shared: &Shared, stream: TcpStream) {
-    let Ok(writing) = stream.try_clone() else { return };
+    let Ok(writer) = stream.try_clone() else { return };
     let _ = stream.set_nodelay(true);
-    let (mut writing, mut own) = (Some(writing), 0);
+    let (mut writer, mut own_generation) = (Some(writer), 0);
     for line in BufReader::new(stream).lines() {
         let Ok(Ok(command)) = line.map(|line| serde_json::from_str::<Value>(&line)) else { return };
         let mut state = shared.lock();
         if command["event"] == "JOIN" {
-            state.link = writing.take();
+            state.link = writer.take();
             state.link_generation += 1;
-            own = state.link_generation;
+            own_generation = state.link_generation;
             let read = command["cursor"].as_u64().unwrap_or(0) as usize;
             state.send(&json!({"event": "WELCOME", "fate": "old", "lasted": 1000}));
             let missed: Vec<Value> = state.notices.iter().skip(read).cloned().collect();
             missed.iter().for_each(|notice| state.send(notice));
-        } else if own == state.link_generation {
+        } else if own_generation == state.link_generation {
             state.handle(&command);
         } else {
             return;
--- a/crates/hazelgrade-fakes/src/node_process.rs
+++ b/crates/hazelgrade-fakes/src/node_process.rs
@@ -1,4 +1,4 @@
-//! A node as a process, with its files.
+//! A node as a process, with its configuration, operator's file and store.
 
 use crate::{EVENT_TIMEOUT, wait_until};
 use rustix::process::{Pid, Signal, kill_process};
@@ -11,35 +11,46 @@
 /// How a node is started.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// The program, and the words before `serve`, if any.
+    /// The program.
     pub program: PathBuf,
+    /// Arguments before the sub-command `serve`.
     pub arguments: Vec<String>,
     /// Where its files go.
     pub directory: PathBuf,
+    /// Its name, also of its files.
     pub name: String,
+    /// Where it listens for callers.
     pub listen: SocketAddr,
+    /// Its executor.
     pub executor: SocketAddr,
+    /// Where its heartbeats go.
     pub registry: SocketAddr,
+    /// What its jobs call; none if they make no calls.
     pub database: Option<SocketAddr>,
+    /// The control services it follows, in order.
     pub control: Vec<SocketAddr>,
     /// The rest of the operator's table `stream`, in TOML.
     pub stream: String,
+    /// Its time to drain, in ms.
     pub stop_ms: u64,
+    /// Its log level; `off` also drops its standard error.
     pub log: String,
 }
 
-/// Sends a signal to a child of ours that was not waited for, so its id is still its own.
+/// Sends a signal to a child that was not waited for, so that its id is still its own; `false` if it fails.
 pub fn send_signal(child: &Child, signal: Signal) -> bool {
     let id = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
     id.is_some_and(|id| kill_process(id, signal).is_ok())
 }
 
+/// A running node. It is killed when dropped.
 pub struct NodeProcess {
+    /// What it was started with.
     pub config: NodeConfig,
     child: Child,
 }
 
-/// The settings without job classes: these are streamed.
+/// The settings without job classes, which are streamed.
 pub fn settings() -> Value {
     json!({
         "classes": [], "customers": [],
@@ -53,10 +64,12 @@
 }
 
 impl NodeConfig {
+    /// Where its store is.
     pub fn store_file(&self) -> PathBuf {
         self.directory.join(format!("{}.store", self.name))
     }
 
+    /// Where its operator's file is.
     pub fn operator_file(&self) -> PathBuf {
         self.directory.join(format!("{}.operator.toml", self.name))
     }
@@ -65,7 +78,11 @@
         self.directory.join(format!("{}.json", self.name))
     }
 
-    /// Writes its files.
+    /// Writes its configuration and its operator's file.
+    ///
+    /// # Errors
+    ///
+    /// If a file cannot be written.
     pub fn write(&self) -> std::io::Result<()> {
         let configuration = json!({
             "name": self.name, "listen": self.listen.to_string(), "seed": "00000000000000ff",
@@ -82,6 +99,10 @@
     }
 
     /// Writes its files and starts it.
+    ///
+    /// # Errors
+    ///
+    /// If a file cannot be written or the program cannot be started.
     pub fn start(&self) -> std::io::Result<NodeProcess> {
         self.write()?;
         let child = self.spawn(&self.config_file())?;
@@ -101,6 +122,7 @@
 }
 
 impl NodeProcess {
+    /// Sends `TERM`, `HUP`, `STOP` or `CONT`, or `KILL` for any other name; `false` if it fails.
     pub fn signal(&self, name: &str) -> bool {
         let signal = match name {
             "TERM" => Signal::TERM,
@@ -112,33 +134,39 @@
         send_signal(&self.child, signal)
     }
 
-    /// How it ended, if it has; without waiting.
+    /// How it ended, if it has; does not wait.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Killed outright.
+    /// Kills it and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Started again with the files it had.
+    /// Kills it if it runs, and starts it with the files it has.
+    ///
+    /// # Errors
+    ///
+    /// If the program cannot be started.
     pub fn restart(&mut self) -> std::io::Result<()> {
         self.kill();
         self.child = self.config.spawn(&self.config.config_file())?;
         Ok(())
     }
 
+    /// Its process.
     pub fn process(&self) -> &Child {
         &self.child
     }
 
+    /// Whether it has not ended.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// How it ended, once it has ended by itself.
+    /// Waits until it has ended by itself; none if it does not in time.
     pub fn wait_for_exit(&mut self) -> Option<ExitStatus> {
         let mut status = None;
         wait_until(EVENT_TIMEOUT, || {
@@ -148,7 +176,7 @@
         status
     }
 
-    /// What it says to a health check; none if it can't be reached in time.
+    /// What it answers to a health check; none if it cannot be reached in time.
     pub fn health_check(&self) -> Option<bool> {
         use std::io::{BufRead, BufReader, Write};
         let mut stream = None;
@@ -164,7 +192,7 @@
         serde_json::from_str::<Value>(&line).ok()?["result"]["up"].as_bool()
     }
 
-    /// Waits until it is ready, or not.
+    /// Waits until its health check answers `ready`; `false` if it does not in time.
     pub fn wait_until_ready(&self, ready: bool) -> bool {
         wait_until(EVENT_TIMEOUT, || self.health_check() == Some(ready))
     }
--- a/crates/hazelgrade-fakes/src/test_environment.rs
+++ b/crates/hazelgrade-fakes/src/test_environment.rs
@@ -1,4 +1,4 @@
-//! All that a node needs round it, but for its control service.
+//! Everything that a node needs around it, but for its control service.
 
 use crate::callers::{Callers, CallersConfig, Token};
 use crate::executor::{Executor, Workload};
@@ -12,37 +12,48 @@
 use tempfile::TempDir;
 
 /// How long a call below takes.
-const CALL: Duration = Duration::from_millis(2);
+const CALL_DURATION: Duration = Duration::from_millis(2);
 
+/// A folder for files, and the systems around a node.
 pub struct TestEnvironment {
+    /// Where files of nodes go.
     pub directory: TempDir,
+    /// Runs the jobs.
     pub executor: Executor,
+    /// Receives heartbeats.
     pub registry: Registry,
+    /// Answers the calls of jobs.
     pub database: SocketAddr,
 }
 
 impl TestEnvironment {
+    /// Starts all of it.
+    ///
+    /// # Errors
+    ///
+    /// If a folder or port cannot be had.
     pub fn new(work: Workload) -> io::Result<TestEnvironment> {
         Ok(TestEnvironment {
             directory: tempfile::tempdir()?,
             executor: Executor::start(work)?,
             registry: Registry::start()?,
-            database: database::start(CALL)?,
+            database: database::start(CALL_DURATION)?,
         })
     }
 
-    /// A node of this name, started by these words, that follows `control`.
+    /// The configuration of a node of this name that follows `control`. `arguments` come before the sub-command; `stream`
+    /// is the rest of the operator's table `stream`, in TOML.
     pub fn node_config(
         &self,
         name: &str,
         program: &Path,
-        words: &[&str],
+        arguments: &[&str],
         control: SocketAddr,
         stream: &str,
     ) -> NodeConfig {
         NodeConfig {
             program: PathBuf::from(program),
-            arguments: words.iter().map(|word| (*word).to_owned()).collect(),
+            arguments: arguments.iter().map(|argument| (*argument).to_owned()).collect(),
             directory: self.directory.path().into(),
             name: name.into(),
             listen: free_address(),
@@ -57,12 +68,12 @@
     }
 }
 
-/// Four connections that ask a node for these job classes, as the first tenant.
+/// Starts four connections that request these job classes as the first tenant, at `rate` jobs a second in all.
 pub fn start_callers(node: SocketAddr, rate: f64, job_classes: &[&str]) -> Callers {
     start_callers_with_token(node, rate, job_classes, None)
 }
 
-/// The same, with a token.
+/// The same with a token.
 pub fn start_callers_with_token(
     node: SocketAddr,
     rate: f64,
--- a/crates/hazelgrade-fault-injection/src/history.rs
+++ b/crates/hazelgrade-fault-injection/src/history.rs
@@ -1,6 +1,6 @@
-//! One account of what happened to a group of processes, and the checkers that judge by it. Where the instant of an event
-//! isn't certain it is a span. Nothing here asks a process: it goes by what callers, executors and the control service
-//! saw, so that a group that is wrong about itself is found out.
+//! The history of a group of processes, and the checks of the rules on it. An event whose instant is uncertain has a
+//! span. Nothing here asks a process: it goes by what callers, executors and the control service saw, so that a group
+//! that is wrong about itself is found out.
 
 use hazelgrade::time::{Span, Time};
 use hazelgrade_fakes::callers::JobOutcome;
@@ -18,81 +18,104 @@
 /// What was done to a node that excuses something.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// Killed: what it had in hand is lost.
+    /// Killed: what it had in flight is lost.
     Killed,
     /// Not running after an orderly end: what reaches it then is refused, and never ran.
     Gone,
-    /// Stopped: late is no fault of its own.
+    /// Suspended: lateness is no fault of its own.
     Stopped,
     /// Its callers' connections are reset, or refused.
     CallersReset,
-    /// Its callers are cut off from it or held up: lost connections and lateness are the edge's doing.
+    /// Its callers are cut off or delayed: lost connections and lateness are due to the link.
     CallersHeld,
-    /// What it stands on is cut off or slow: it excuses nothing but that a version can't be judged by its service.
+    /// What it depends on is cut off or slow: excuses only that a version can't be judged by its service.
     Hampered,
 }
 
+/// When a fault lasted.
 #[derive(Clone, Debug)]
 pub struct FaultInterval {
+    /// The node.
     pub node: usize,
+    /// What kind of fault.
     pub fault_kind: FaultKind,
+    /// When it began.
     pub from: Time,
-    /// None while it lasts.
+    /// When it ended; none while it lasts.
     pub to: Option<Time>,
 }
 
+/// A job and how it ended for its caller.
 #[derive(Clone, Debug)]
 pub struct Job {
+    /// The node.
     pub node: usize,
+    /// Its id, unique over the group.
     pub id: String,
+    /// When it was sent.
     pub sent: Time,
+    /// From then until its answer, or until its connection ended.
     pub latency: Span,
+    /// How it ended.
     pub outcome: JobOutcome,
 }
 
-/// What a node was seen to serve by, by the control service that it follows.
+/// The version that a node was seen to serve by, by the control service that it follows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeObservation {
+    /// The node.
     pub node: usize,
+    /// When it was seen.
     pub at: Time,
-    /// When it was looked at before: it has been so since some moment in between.
+    /// The observation before: the version changed at some time in between.
     pub since: Time,
     /// Grows when the node is started with another disk than its own.
     pub disk: u32,
+    /// The version's number.
     pub number: u64,
+    /// The version's digest.
     pub digest: String,
+    /// The control service's word for the version; empty while another one is offered.
     pub standing: String,
 }
 
+/// What happened to a group.
 #[derive(Clone, Debug, Default)]
 pub struct History {
+    /// The deadline of every job.
     pub deadline: Span,
+    /// By how much later than given an answer may reach its caller.
     pub grace: Span,
+    /// Faults of nodes.
     pub fault_intervals: Vec<FaultInterval>,
+    /// All jobs of callers.
     pub jobs: Vec<Job>,
     /// How often each job was started, by node.
     pub runs: Vec<BTreeMap<String, u32>>,
-    /// Answers for no open call.
+    /// Answers to calls that were not open.
     pub unmatched_answers: u64,
+    /// Versions that nodes were seen to serve by, in order of time.
     pub observations: Vec<NodeObservation>,
-    /// When each node was last looked at.
+    /// When each node was last observed.
     pub last_observed: BTreeMap<usize, Time>,
-    /// What was published: digests of documents that do harm.
+    /// Digests of published documents that do harm.
     pub harmful: Vec<String>,
-    /// The control service was given an old counter or none, or there are two: numbers may come again with other documents.
+    /// The control service was given an old counter or none, or there are two: numbers may name other documents again.
     pub version_numbers_reused: bool,
-    /// What came together at the dependency was more than the whole: how often, and by how much at worst.
+    /// How often calls came past the budget's total at the dependency, and by how many at worst.
     pub budget_overloads: Option<(usize, usize)>,
-    /// Processes that ended otherwise than they should.
+    /// Nodes that ended otherwise than they should, and how.
     pub unexpected_exits: Vec<(usize, String)>,
-    /// What did not come in time, once all faults were over.
+    /// What did not happen in time once all faults were over.
     pub unmet_expectations: Vec<String>,
 }
 
-/// A rule that was broken, and by what.
+/// A rule that was broken.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
+    /// The rule.
     pub rule: &'static str,
+    /// What broke it.
     pub what: String,
 }
 
@@ -103,12 +126,14 @@
 }
 
 impl History {
+    /// Notes that a fault begins; does nothing if it lasts already.
     pub fn fault_begins(&mut self, node: usize, fault_kind: FaultKind, from: Time) {
         if !self.fault_lasts(node, fault_kind) {
             self.fault_intervals.push(FaultInterval { node, fault_kind, from, to: None });
         }
     }
 
+    /// Notes that a fault ends.
     pub fn fault_ends(&mut self, node: usize, fault_kind: FaultKind, to: Time) {
         let open = |interval: &&mut FaultInterval| {
             interval.node == node && interval.fault_kind == fault_kind && interval.to.is_none()
@@ -116,24 +141,26 @@
         self.fault_intervals.iter_mut().filter(open).for_each(|interval| interval.to = Some(to));
     }
 
+    /// Whether a fault lasts.
     pub fn fault_lasts(&self, node: usize, fault_kind: FaultKind) -> bool {
         self.fault_intervals.iter().any(|interval| {
             interval.node == node && interval.fault_kind == fault_kind && interval.to.is_none()
         })
     }
 
-    /// What was seen of a node: noted only when it differs from before.
-    pub fn record_observation(&mut self, mut seen: NodeObservation) {
-        seen.since = self.last_observed.insert(seen.node, seen.at).unwrap_or(seen.at);
-        let before = self.observations.iter().rev().find(|before| before.node == seen.node);
+    /// Notes an observation if it differs from the node's previous one.
+    pub fn record_observation(&mut self, mut observation: NodeObservation) {
+        observation.since =
+            self.last_observed.insert(observation.node, observation.at).unwrap_or(observation.at);
+        let before = self.observations.iter().rev().find(|before| before.node == observation.node);
         if before.is_none_or(|before| {
-            NodeObservation { at: before.at, since: before.since, ..seen.clone() } != *before
+            NodeObservation { at: before.at, since: before.since, ..observation.clone() } != *before
         }) {
-            self.observations.push(seen);
+            self.observations.push(observation);
         }
     }
 
-    /// Whether one of these troubles of the node touches the time from the job's sending to its end.
+    /// Whether one of these faults of the node touches the time from the job's sending to its end.
     fn excused(&self, job: &Job, by: &[FaultKind]) -> bool {
         let (unsure, crossing) = (Span::from_ms(UNSURE_MS), Span::from_ms(CROSSING_MS));
         let (from, to) = (job.sent - unsure, job.sent + job.latency + unsure);
@@ -153,130 +180,145 @@
     /// Every rule that was broken.
     pub fn violations(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
-        let mut say = |rule, what: String| violations.push(Violation { rule, what });
+        let mut report = |rule, what: String| violations.push(Violation { rule, what });
+        self.check_jobs(&mut report);
+        self.check_runs(&mut report);
+        if self.unmatched_answers > 0 {
+            report("one answer", format!("{} answers for no open call", self.unmatched_answers));
+        }
+        if let Some((times, worst)) = self.budget_overloads.filter(|(times, _)| *times > 0) {
+            report(
+                "never more than the whole",
+                format!("{times} calls came past it, {worst} too many at worst"),
+            );
+        }
+        self.check_versions(&mut report);
+        self.unexpected_exits
+            .iter()
+            .for_each(|(node, how)| report("safe drain", format!("node {node} {how}")));
+        self.unmet_expectations.iter().for_each(|what| report("all is well again", what.clone()));
+        violations
+    }
+
+    /// No job lost or late, but for faults of its node that excuse it.
+    fn check_jobs(&self, report: &mut impl FnMut(&'static str, String)) {
         use FaultKind::*;
         for job in &self.jobs {
-            let shown = || {
-                format!(
-                    "job {} of node {}, {:?} after {} ms",
-                    job.id,
-                    job.node,
-                    job.outcome,
-                    job.latency.as_ms()
-                )
-            };
-            match job.outcome {
+            let late = job.latency > self.deadline + self.grace;
+            let broken = match job.outcome {
                 JobOutcome::Lost => {
                     let by_force = self.excused(job, &[Killed, CallersReset, CallersHeld]);
                     let refused = !self.ran(job) && self.excused(job, &[Gone]);
-                    if !by_force && !refused {
-                        say("no job lost", shown());
-                    }
+                    (!by_force && !refused).then_some("no job lost")
                 }
                 // It never reached the node, or the node had left: it is sent again elsewhere.
-                JobOutcome::Crossed => {}
-                _ if job.latency > self.deadline + self.grace
-                    && !self.excused(job, &[Stopped, CallersHeld]) =>
-                {
-                    say("no job late", shown());
-                }
-                _ => {}
+                JobOutcome::Crossed => None,
+                _ => (late && !self.excused(job, &[Stopped, CallersHeld])).then_some("no job late"),
+            };
+            if let Some(rule) = broken {
+                let latency_ms = job.latency.as_ms();
+                let what =
+                    format!("job {} of node {}, {:?} after {latency_ms} ms", job.id, job.node, job.outcome);
+                report(rule, what);
             }
         }
+    }
+
+    /// No job run twice, by one node or by two.
+    fn check_runs(&self, report: &mut impl FnMut(&'static str, String)) {
         for (node, runs) in self.runs.iter().enumerate() {
             for (id, count) in runs.iter().filter(|(_, count)| **count > 1) {
-                say("no effect twice", format!("job {id} was run {count} times by node {node}"));
+                report("no effect twice", format!("job {id} was run {count} times by node {node}"));
             }
         }
         let mut by_id: BTreeMap<&str, usize> = BTreeMap::new();
         for (node, runs) in self.runs.iter().enumerate() {
             for id in runs.keys() {
                 if let Some(other) = by_id.insert(id, node) {
-                    say("no effect twice", format!("job {id} was run by nodes {other} and {node}"));
+                    report("no effect twice", format!("job {id} was run by nodes {other} and {node}"));
                 }
             }
         }
-        if self.unmatched_answers > 0 {
-            say("one answer", format!("{} answers for no open call", self.unmatched_answers));
-        }
-        if let Some((times, worst)) = self.budget_overloads.filter(|(times, _)| *times > 0) {
-            say(
-                "never more than the whole",
-                format!("{times} calls came past it, {worst} too many at worst"),
-            );
-        }
-        self.check_versions(&mut say);
-        self.unexpected_exits.iter().for_each(|(node, how)| say("safe drain", format!("node {node} {how}")));
-        self.unmet_expectations.iter().for_each(|what| say("all is well again", what.clone()));
-        violations
     }
 
     /// No two nodes by different documents of one number; no node ever by a second one; none back but after a trial; none good by what does harm.
-    fn check_versions(&self, say: &mut impl FnMut(&'static str, String)) {
+    fn check_versions(&self, report: &mut impl FnMut(&'static str, String)) {
         let mut documents: BTreeMap<u64, &NodeObservation> = BTreeMap::new();
         let mut last: BTreeMap<usize, &NodeObservation> = BTreeMap::new();
         let mut own: BTreeMap<(usize, u32, u64), &str> = BTreeMap::new();
-        for seen in &self.observations {
-            let first = *own.entry((seen.node, seen.disk, seen.number)).or_insert(&seen.digest);
-            if first != seen.digest {
-                let what =
-                    format!("node {} has {} as {first} and as {}", seen.node, seen.number, seen.digest);
-                say("one document a number", what);
+        for observation in &self.observations {
+            let first = *own
+                .entry((observation.node, observation.disk, observation.number))
+                .or_insert(&observation.digest);
+            if first != observation.digest {
+                let what = format!(
+                    "node {} has {} as {first} and as {}",
+                    observation.node, observation.number, observation.digest
+                );
+                report("one document a number", what);
             }
-            let first = documents.entry(seen.number).or_insert(seen);
-            if first.digest != seen.digest && !self.version_numbers_reused {
+            let first = documents.entry(observation.number).or_insert(observation);
+            if first.digest != observation.digest && !self.version_numbers_reused {
                 let what = format!(
                     "number {} is {} for node {} and {} for node {}",
-                    seen.number, first.digest, first.node, seen.digest, seen.node
+                    observation.number, first.digest, first.node, observation.digest, observation.node
                 );
-                say("one document a number", what);
+                report("one document a number", what);
             }
-            if seen.standing == "good" && self.harmful.contains(&seen.digest) && !self.unjudged(seen) {
-                say(
+            if observation.standing == "good"
+                && self.harmful.contains(&observation.digest)
+                && !self.unjudged(observation)
+            {
+                report(
                     "no harm stays",
-                    format!("node {} took {} {} as good", seen.node, seen.number, seen.digest),
+                    format!(
+                        "node {} took {} {} as good",
+                        observation.node, observation.number, observation.digest
+                    ),
                 );
             }
-            let before = last.insert(seen.node, seen).filter(|before| before.disk == seen.disk);
-            if let Some(before) = before.filter(|before| before.number > seen.number)
+            let before =
+                last.insert(observation.node, observation).filter(|before| before.disk == observation.disk);
+            if let Some(before) = before.filter(|before| before.number > observation.number)
                 && before.standing == "good"
             {
-                let what = format!("node {} went from {} back to {}", seen.node, before.number, seen.number);
-                say("versions go on", what);
+                let what = format!(
+                    "node {} went from {} back to {}",
+                    observation.node, before.number, observation.number
+                );
+                report("versions go on", what);
             }
         }
     }
 
     /// Whether anything was done to the node while the version was on trial: with few jobs, or none that fare well
     /// before, service proves nothing.
-    fn unjudged(&self, seen: &NodeObservation) -> bool {
-        let from = seen.since - Span::from_ms(TRIAL_MS);
+    fn unjudged(&self, observation: &NodeObservation) -> bool {
+        let from = observation.since - Span::from_ms(TRIAL_MS);
         let of_node = self
             .fault_intervals
             .iter()
-            .filter(|interval| interval.node == seen.node && interval.from <= seen.at);
+            .filter(|interval| interval.node == observation.node && interval.from <= observation.at);
         of_node.into_iter().any(|interval| interval.to.is_none_or(|to| to >= from))
     }
 
-    /// The part of a node's jobs, sent in this time, that were succeeded within `goal`; none if it had none.
-    pub fn served_ratio(&self, node: usize, from: Time, to: Time, goal: Span) -> Option<f64> {
-        self.ratio(node, from, to, |job| job.outcome == JobOutcome::Succeeded && job.latency <= goal)
+    /// The ratio of a node's jobs sent in this interval that succeeded within `objective`; none if it had no jobs.
+    pub fn served_ratio(&self, node: usize, from: Time, to: Time, objective: Span) -> Option<f64> {
+        self.ratio(node, from, to, |job| job.outcome == JobOutcome::Succeeded && job.latency <= objective)
     }
 
-    /// What was answered by then, whatever the answer, in parts of all.
-    pub fn answered_ratio(&self, node: usize, from: Time, to: Time, within: Span) -> Option<f64> {
-        self.ratio(node, from, to, |job| job.outcome != JobOutcome::Lost && job.latency <= within)
+    /// The ratio of a node's jobs sent in this interval that were answered within `timeout`, whatever the answer.
+    pub fn answered_ratio(&self, node: usize, from: Time, to: Time, timeout: Span) -> Option<f64> {
+        self.ratio(node, from, to, |job| job.outcome != JobOutcome::Lost && job.latency <= timeout)
     }
 
-    fn ratio(&self, node: usize, from: Time, to: Time, so: impl Fn(&Job) -> bool) -> Option<f64> {
+    fn ratio(&self, node: usize, from: Time, to: Time, condition: impl Fn(&Job) -> bool) -> Option<f64> {
         let sent = |job: &&Job| {
             job.node == node && job.sent >= from && job.sent < to && job.outcome != JobOutcome::Crossed
         };
-        let (all, those) = self
-            .jobs
-            .iter()
-            .filter(sent)
-            .fold((0.0, 0.0), |(all, those), job| (all + 1.0, those + f64::from(u8::from(so(job)))));
-        (all > 0.0).then(|| those / all)
+        let (all, matching) = self.jobs.iter().filter(sent).fold((0.0, 0.0), |(all, matching), job| {
+            (all + 1.0, matching + f64::from(u8::from(condition(job))))
+        });
+        (all > 0.0).then(|| matching / all)
     }
 }
--- a/crates/hazelgrade-fault-injection/src/plan.rs
+++ b/crates/hazelgrade-fault-injection/src/plan.rs
@@ -1,7 +1,6 @@
-//! Fault plans: which fault comes when, by what has happened and not by the clock. Drawn by seed, written and read as
-//! TOML, so that what failed can be played again.
+//! Fault plans: which fault is injected when, by what has happened and not by the clock. Written and read as TOML, so that
+//! a plan that failed can be run again.
 
-use hazelgrade::random::MultiplyWithCarry;
 use serde::{Deserialize, Serialize};
 
 /// Why a text is not a fault plan.
@@ -29,181 +28,261 @@
     Rate,
 }
 
-/// What has to have happened, since the step before, for a step to be taken.
+/// What has to happen after the previous step for a step to be taken.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Trigger {
+    /// Nothing: at once.
     Now,
     /// So many more answers reached callers, over the whole group.
     Answers(u64),
     /// So many nodes have acknowledged the version that was published last.
     Acknowledged(usize),
-    /// A node has the version that was published last on trial.
+    /// This node has the version that was published last on trial.
     OnTrial(usize),
-    /// A node says that it drains, or has ended.
+    /// This node says that it drains, or has ended.
     Draining(usize),
+    /// This node has ended.
     Ended(usize),
-    /// A node is ready, as a check says.
+    /// This node is ready by its health check.
     Ready(usize),
 }
 
-/// What of a node an edge leads to or from.
+/// A link of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Link {
+    /// From its callers.
     Callers,
+    /// To its executor.
     Executor,
+    /// To the database, or the shared dependency.
     Database,
+    /// To the registry.
     Registry,
+    /// To its control service.
     Control,
 }
 
-/// `To` the process that listens, as seen from the edge.
+/// Directions of a link that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Directions {
+    /// Both directions.
     Both,
+    /// Towards the process that listens.
     To,
+    /// From the process that listens.
     Back,
 }
 
-/// What a process finds on the disk when it is started again.
+/// What a process finds on its disk when it is started again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Disk {
+    /// What it left.
     Own,
-    /// As it was when the version before the last was good: yesterday's.
+    /// An older copy: as it was when the version before the last was published.
     Old,
+    /// Nothing.
     Empty,
 }
 
+/// A fault, or the end of one. Numbers name nodes, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
+    /// Holds what is sent on a link.
     Cut {
+        /// The node.
         node: usize,
+        /// The link.
         link: Link,
+        /// The directions held.
         #[serde(rename = "ways")]
         directions: Directions,
     },
+    /// Delays what is sent on a link.
     Delay {
+        /// The node.
         node: usize,
+        /// The link.
         link: Link,
+        /// How long, in ms.
         ms: u32,
     },
+    /// Limits how fast a link forwards.
     Rate {
+        /// The node.
         node: usize,
+        /// The link.
         link: Link,
+        /// Bytes a second, in each direction.
         bytes_per_s: u32,
     },
+    /// Resets the open connections of a link.
     Reset {
+        /// The node.
         node: usize,
+        /// The link.
         link: Link,
     },
+    /// Resets each connection of a link once so many bytes came back on it.
     ResetAfter {
+        /// The node.
         node: usize,
+        /// The link.
         link: Link,
+        /// How many bytes.
         bytes: u32,
     },
+    /// Resets new connections of a link at once.
     Refuse {
+        /// The node.
         node: usize,
+        /// The link.
         link: Link,
     },
-    /// Datagrams to the registry: parts of a hundred.
+    /// Datagrams to the registry, in percent of all.
     #[serde(rename = "garble")]
     DegradeDatagrams {
+        /// The node.
         node: usize,
+        /// Lost.
         lost: u32,
+        /// Duplicated.
         #[serde(rename = "doubled")]
         duplicated: u32,
+        /// Reordered.
         #[serde(rename = "overtaken")]
         reordered: u32,
     },
+    /// Ends every fault of a link.
     Heal {
+        /// The node.
         node: usize,
+        /// The link.
         link: Link,
     },
+    /// Suspends a node by a signal.
     Stop {
+        /// The node.
         node: usize,
     },
+    /// Resumes it.
     Wake {
+        /// The node.
         node: usize,
     },
+    /// Kills a node.
     Kill {
+        /// The node.
         node: usize,
     },
+    /// Tells a node to drain.
     Term {
+        /// The node.
         node: usize,
     },
+    /// Tells a node to read its settings again.
     Hup {
+        /// The node.
         node: usize,
     },
+    /// Starts a node that has ended.
     Start {
+        /// The node.
         node: usize,
+        /// What it finds on its disk.
         disk: Disk,
     },
+    /// Kills the first control service.
     KillControl,
+    /// Suspends it by a signal.
     StopControl,
+    /// Resumes it.
     WakeControl,
+    /// Starts it again.
     StartControl {
+        /// What it finds on its disk.
         disk: Disk,
     },
+    /// Publishes another document.
     Publish {
+        /// Whether jobs fare badly under it.
         harmful: bool,
     },
-    /// The same with the second site's control service.
+    /// Kills the second site's control service.
     KillOther,
+    /// Suspends it by a signal.
     StopOther,
+    /// Resumes it.
     WakeOther,
+    /// Starts it again.
     StartOther {
+        /// What it finds on its disk.
         disk: Disk,
     },
-    /// The keepers of the two sites, from each other.
+    /// Holds what the lessors of the two sites send to each other.
     CutKeepers {
+        /// The directions held.
         #[serde(rename = "ways")]
         directions: Directions,
     },
+    /// Ends that.
     HealKeepers,
-    /// Publishes budgets with another whole.
+    /// Publishes budgets with another total.
     #[serde(rename = "whole")]
     SetBudgetTotal {
+        /// The new total.
         units: u32,
     },
-    /// The whole machine stands still, control service and nodes together.
+    /// Suspends the control services and all nodes together, as on a machine that stalls.
     Stall {
+        /// How long, in ms.
         ms: u32,
     },
 }
 
+/// A fault and what it waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
+    /// What has to happen first.
     #[serde(rename = "cue")]
     pub trigger: Trigger,
+    /// The fault to inject.
     pub fault: Fault,
 }
 
+/// Faults to inject into a group, in order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FaultPlan {
+    /// The seed that the plan was drawn by.
     pub seed: u64,
+    /// How many nodes the group has.
     pub nodes: usize,
     /// Jobs a second to each node.
     pub rate: f64,
-    /// The nodes share a budget of calls below.
+    /// The budget that the nodes share, if they do.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub shared: Option<SharedBudgetPlan>,
+    /// The steps, in order.
     #[serde(default, rename = "step")]
     pub steps: Vec<Step>,
 }
 
-/// What of a shared budget a plan names; the rest is as usual.
+/// What a plan says of a shared budget; the rest has defaults.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SharedBudgetPlan {
+    /// How many sites have a control service and a lessor: 1 or 2.
     pub sites: usize,
+    /// Units of the budget over all sites.
     #[serde(rename = "whole")]
     pub total: u32,
 }
 
 impl FaultPlan {
+    /// The plan in TOML, as [`FaultPlan::read`] reads it.
     pub fn to_toml(&self) -> String {
         toml::to_string(self).unwrap_or_else(|error| format!("# {error}\n"))
     }
@@ -215,8 +294,8 @@
     /// [`PlanError`] if the text is not a plan, or a value is out of its range.
     pub fn read(text: &str) -> Result<FaultPlan, PlanError> {
         let plan: FaultPlan = toml::from_str(text)?;
-        let named = plan.steps.iter().filter_map(|step| step.fault.node()).chain(
-            plan.steps.iter().filter_map(|step| match step.trigger {
+        let named = plan.steps.iter().filter_map(|steps| steps.fault.node()).chain(
+            plan.steps.iter().filter_map(|steps| match steps.trigger {
                 Trigger::OnTrial(node)
                 | Trigger::Draining(node)
                 | Trigger::Ended(node)
@@ -234,128 +313,10 @@
             _ => Ok(plan),
         }
     }
-
-    /// A plan of faults between nodes that share budgets. Bytes on the way to the dependency are not held: what a network
-    /// holds back past the longest use and delivers all the same is counted by nobody.
-    pub fn draw_shared(seed: u64, nodes: usize, faults: usize, sites: usize, whole: u32) -> FaultPlan {
-        let mut plan = FaultPlan::draw(seed, nodes, faults);
-        let mut chance = MultiplyWithCarry::new(seed ^ 0x5eed);
-        let mut pick = |of: usize| ((chance.next_f64() * of as f64) as usize).min(of.saturating_sub(1));
-        let mut step = Vec::new();
-        let (mut keepers_cut, mut other_out, mut lowered) = (false, None, false);
-        for one in plan.steps {
-            let fault = match one.fault {
-                Fault::Cut { link: Link::Database, node, .. }
-                | Fault::Rate { link: Link::Database, node, .. } => {
-                    Fault::Refuse { node, link: Link::Database }
-                }
-                other => other,
-            };
-            step.push(Step { fault, ..one });
-            let trigger = Trigger::Answers(5 + pick(60) as u64);
-            let more = match pick(8) {
-                0 if sites > 1 && !keepers_cut => Some(Fault::CutKeepers {
-                    directions: [Directions::Both, Directions::To, Directions::Back][pick(3)],
-                }),
-                1 if keepers_cut => Some(Fault::HealKeepers),
-                2 if sites > 1 && other_out.is_none() => Some([Fault::KillOther, Fault::StopOther][pick(2)]),
-                3 | 4 if other_out.is_some() => match other_out {
-                    Some(Fault::StopOther) => Some(Fault::WakeOther),
-                    _ => Some(Fault::StartOther {
-                        disk: [Disk::Own, Disk::Own, Disk::Own, Disk::Old][pick(4)],
-                    }),
-                },
-                5 if !lowered => Some(Fault::SetBudgetTotal { units: whole / 2 }),
-                6 if lowered => Some(Fault::SetBudgetTotal { units: whole }),
-                _ => None,
-            };
-            match more {
-                Some(Fault::CutKeepers { .. }) => keepers_cut = true,
-                Some(Fault::HealKeepers) => keepers_cut = false,
-                Some(Fault::KillOther | Fault::StopOther) => other_out = more,
-                Some(Fault::WakeOther | Fault::StartOther { .. }) => other_out = None,
-                Some(Fault::SetBudgetTotal { units }) => lowered = units < whole,
-                _ => {}
-            }
-            step.extend(more.map(|fault| Step { trigger, fault }));
-        }
-        plan.steps = step;
-        plan.shared = Some(SharedBudgetPlan { sites, total: whole });
-        plan
-    }
-
-    /// A plan of about so many faults, each with what ends it somewhere after.
-    pub fn draw(seed: u64, nodes: usize, faults: usize) -> FaultPlan {
-        let mut chance = MultiplyWithCarry::new(seed);
-        let mut pick = |of: usize| ((chance.next_f64() * of as f64) as usize).min(of.saturating_sub(1));
-        let mut step: Vec<Step> = Vec::new();
-        let mut open: Vec<Fault> = Vec::new();
-        // A node that was told to leave, killed or stopped is left alone until it is started or woken.
-        let mut out: Vec<usize> = Vec::new();
-        let mut control_out = false;
-        for _ in 0..faults {
-            if !open.is_empty() && pick(3) == 0 {
-                let end = open.remove(pick(open.len()));
-                out.retain(|node| {
-                    !(matches!(end, Fault::Wake { .. } | Fault::Start { .. }) && end.node() == Some(*node))
-                });
-                control_out &= !matches!(end, Fault::WakeControl | Fault::StartControl { .. });
-                step.push(Step { trigger: Trigger::Answers(10 + pick(60) as u64), fault: end });
-            }
-            let node = pick(nodes);
-            let link =
-                [Link::Callers, Link::Executor, Link::Database, Link::Registry, Link::Control][pick(5)];
-            let directions = [Directions::Both, Directions::To, Directions::Back][pick(3)];
-            let disk = [Disk::Own, Disk::Own, Disk::Old, Disk::Empty][pick(4)];
-            let heal = Fault::Heal { node, link };
-            let (fault, end) = match pick(16) {
-                0 | 1 => (Fault::Cut { node, link, directions }, Some(heal)),
-                2 => (Fault::Delay { node, link, ms: 1 + pick(80) as u32 }, Some(heal)),
-                3 => (Fault::Rate { node, link, bytes_per_s: 20_000 + 1000 * pick(100) as u32 }, Some(heal)),
-                4 => (Fault::Reset { node, link }, None),
-                5 => (Fault::ResetAfter { node, link, bytes: 1 + pick(4000) as u32 }, Some(heal)),
-                6 => (Fault::Refuse { node, link }, Some(heal)),
-                7 => {
-                    let (lost, doubled, overtaken) = (pick(60) as u32, pick(30) as u32, pick(30) as u32);
-                    let heal = Fault::Heal { node, link: Link::Registry };
-                    (
-                        Fault::DegradeDatagrams { node, lost, duplicated: doubled, reordered: overtaken },
-                        Some(heal),
-                    )
-                }
-                8 if !out.contains(&node) => (Fault::Stop { node }, Some(Fault::Wake { node })),
-                9 if !out.contains(&node) => (Fault::Kill { node }, Some(Fault::Start { node, disk })),
-                10 if !out.contains(&node) => {
-                    (Fault::Term { node }, Some(Fault::Start { node, disk: Disk::Own }))
-                }
-                11 => (Fault::Hup { node }, None),
-                12 if !control_out => {
-                    // Of a counter that went back nodes are told by themselves; one that is lost likewise.
-                    (Fault::KillControl, Some(Fault::StartControl { disk }))
-                }
-                13 if !control_out => (Fault::StopControl, Some(Fault::WakeControl)),
-                14 => (Fault::Stall { ms: 200 + pick(600) as u32 }, None),
-                _ => (Fault::Publish { harmful: pick(4) == 0 }, None),
-            };
-            match fault {
-                Fault::Stop { node } | Fault::Kill { node } | Fault::Term { node } => out.push(node),
-                Fault::KillControl | Fault::StopControl => control_out = true,
-                _ => {}
-            }
-            let trigger = match pick(6) {
-                0 => Trigger::Now,
-                1 if !control_out => Trigger::Acknowledged(1 + pick(nodes)),
-                _ => Trigger::Answers(5 + pick(80) as u64),
-            };
-            step.push(Step { trigger, fault });
-            open.extend(end);
-        }
-        FaultPlan { seed, nodes, rate: 40.0, shared: None, steps: step }
-    }
 }
 
 impl Fault {
-    /// The node that it is about, if it is about one.
+    /// The node that the fault concerns, if it concerns one.
     pub fn node(&self) -> Option<usize> {
         match *self {
             Fault::Cut { node, .. }
--- a/crates/hazelgrade-fault-injection/src/plan_run.rs
+++ b/crates/hazelgrade-fault-injection/src/plan_run.rs
@@ -1,4 +1,4 @@
-//! Plays a plan on a group: waits for what each step waits for, brings its fault about, and judges at the end.
+//! Runs a fault plan on a group: waits for each step's trigger, injects its fault, and checks the rules at the end.
 
 use crate::group::{Group, GroupError, GroupNode};
 use crate::history::{History, Violation};
@@ -7,14 +7,16 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What a step waits for may never happen, as other faults forbid it: it is taken then all the same.
-const CUE_WITHIN: Duration = Duration::from_secs(4);
+/// A trigger may never happen, as other faults prevent it: its step is taken after this time all the same.
+const TRIGGER_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// What became of a plan.
 pub struct PlanResult {
+    /// What happened.
     pub history: History,
+    /// The rules that were broken.
     pub violations: Vec<Violation>,
-    /// Steps whose cue did not come.
+    /// Steps whose trigger did not happen in time.
     pub missed_triggers: usize,
 }
 
@@ -39,13 +41,13 @@
 /// # Errors
 ///
 /// [`PlanRunError`] if the group does not start or a fault cannot be injected; a broken rule is no error.
-pub fn run_plan(plan: &FaultPlan, program: &Path, words: &[&str]) -> Result<PlanResult, PlanRunError> {
+pub fn run_plan(plan: &FaultPlan, program: &Path, arguments: &[&str]) -> Result<PlanResult, PlanRunError> {
     let setting = plan.shared.map(|SharedBudgetPlan { sites, total: whole }| SharedBudgetConfig {
         sites,
         total: whole,
         ..SharedBudgetConfig::default()
     });
-    let mut group = Group::start_with(program, words, plan.nodes, plan.rate, setting)?;
+    let mut group = Group::start_with(program, arguments, plan.nodes, plan.rate, setting)?;
     let mut unmet = 0;
     for step in &plan.steps {
         if !await_trigger(&mut group, step.trigger) {
@@ -61,19 +63,19 @@
     let answers = |group: &Group| group.nodes.iter().map(GroupNode::job_count).sum::<usize>() as u64;
     let before = answers(group);
     let registry = group.registry.clone();
-    group.wait_until(CUE_WITHIN, |group| {
-        let stands = |node: usize, words: &[&str]| {
+    group.wait_until(TRIGGER_TIMEOUT, |group| {
+        let has_standing = |node: usize, standings: &[&str]| {
             let known = &group.standings[node];
-            known.version.ends_with(&group.published_digest) && words.contains(&known.standing.as_str())
+            known.version.ends_with(&group.published_digest) && standings.contains(&known.standing.as_str())
         };
         match trigger {
             Trigger::Now => true,
             Trigger::Answers(count) => answers(group) >= before + count,
             Trigger::Acknowledged(count) => {
                 let taken = ["on trial", "good"];
-                (0..group.nodes.len()).filter(|node| stands(*node, &taken)).count() >= count
+                (0..group.nodes.len()).filter(|node| has_standing(*node, &taken)).count() >= count
             }
-            Trigger::OnTrial(node) => stands(node, &["on trial"]),
+            Trigger::OnTrial(node) => has_standing(node, &["on trial"]),
             Trigger::Draining(node) => {
                 let name = &group.nodes[node].node.config.name;
                 !group.nodes[node].is_running() || registry.last_state(name).as_deref() == Some("draining")
--- a/crates/hazelgrade-fault-injection/src/proxy.rs
+++ b/crates/hazelgrade-fault-injection/src/proxy.rs
@@ -1,4 +1,4 @@
-//! Edges: every connection or datagram between two processes of a test goes through one, at an address of its own.
+//! Fault proxies: every connection or datagram between two processes of a test passes one, at an address of its own.
 
 use crate::direction::{Datagrams, Delivery, LinkConditions, Stream};
 use async_executor::Executor;
@@ -14,28 +14,30 @@
 use std::sync::{Arc, LazyLock, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Bytes that are read at a time.
-const PIECE: usize = 16 * 1024;
+/// Bytes that are read at once.
+const CHUNK_BYTES: usize = 16 * 1024;
 
-/// All edges of a process are served here, by two threads.
-static EDGES: LazyLock<&'static Executor<'static>> = LazyLock::new(|| {
+/// Runs all proxies of this process, on two threads.
+static PROXY_EXECUTOR: LazyLock<&'static Executor<'static>> = LazyLock::new(|| {
     let proxies: &'static Executor<'static> = Box::leak(Box::new(Executor::new()));
     for _ in 0..2 {
         std::thread::spawn(|| async_io::block_on(proxies.run(pending::<()>())));
     }
     proxies
 });
-static BEGAN: LazyLock<Instant> = LazyLock::new(Instant::now);
+static START: LazyLock<Instant> = LazyLock::new(Instant::now);
 
-/// Since the first edge of this process.
+/// The time since the first proxy of this process.
 pub fn now() -> Time {
     at(Instant::now())
 }
 
+/// An instant as time since the first proxy of this process.
 pub fn at(instant: Instant) -> Time {
-    Time::from_ms(instant.saturating_duration_since(*BEGAN).as_secs_f64() * 1000.0)
+    Time::from_ms(instant.saturating_duration_since(*START).as_secs_f64() * 1000.0)
 }
 
+/// Waits until a time, or forever.
 async fn until(at: Option<Time>) {
     match at {
         Some(at) => {
@@ -45,10 +47,12 @@
     }
 }
 
-/// Towards the process that listens behind the edge, or back.
+/// A direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
+    /// Towards the process that listens behind the proxy.
     To,
+    /// From it, back to who connected.
     Back,
 }
 
@@ -56,22 +60,23 @@
     target: Mutex<SocketAddr>,
     conditions: Mutex<[LinkConditions; 2]>,
     refuses: AtomicBool,
-    /// Grows with each order to reset what stands.
+    /// Grows with each command to reset all connections.
     resets: AtomicU64,
     changed: Event,
     connections: AtomicU64,
     forwarded: [AtomicU64; 2],
 }
 
-/// A handle; clones are the same edge. It is there until the process ends.
+/// A proxy that forwards until its process ends. Clones are the same one.
 #[derive(Clone)]
 pub struct FaultProxy {
     shared: Arc<Shared>,
+    /// Where it listens.
     pub address: SocketAddr,
 }
 
-fn lock<T>(of: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl FaultProxy {
@@ -88,63 +93,74 @@
         FaultProxy { shared: Arc::new(shared), address }
     }
 
-    /// An edge for connections.
+    /// A proxy for connections.
+    ///
+    /// # Errors
+    ///
+    /// If no port can be bound.
     pub fn tcp(target: SocketAddr) -> io::Result<FaultProxy> {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
         rustix::net::listen(&listener, 4096)?;
         let proxy = FaultProxy::new(target, listener.get_ref().local_addr()?);
         let shared = proxy.shared.clone();
-        EDGES.spawn(accept(listener, shared)).detach();
+        PROXY_EXECUTOR.spawn(accept(listener, shared)).detach();
         Ok(proxy)
     }
 
-    /// An edge for datagrams that nobody answers; `seed` draws which are lost, doubled or overtaken.
+    /// A proxy for datagrams that nobody answers; `seed` draws which are lost, duplicated or reordered.
+    ///
+    /// # Errors
+    ///
+    /// If no port can be bound.
     pub fn udp(target: SocketAddr, seed: u64) -> io::Result<FaultProxy> {
         let socket = Async::<UdpSocket>::bind(([127, 0, 0, 1], 0))?;
         let proxy = FaultProxy::new(target, socket.get_ref().local_addr()?);
         let shared = proxy.shared.clone();
-        EDGES.spawn(forward(socket, shared, seed)).detach();
+        PROXY_EXECUTOR.spawn(forward(socket, shared, seed)).detach();
         Ok(proxy)
     }
 
-    /// The process behind it is elsewhere from now on.
+    /// Forwards new connections elsewhere from now on.
     pub fn set_target(&self, target: SocketAddr) {
         *lock(&self.shared.target) = target;
     }
 
-    /// Changes the rules of a way; what waits on it goes by the new ones.
-    pub fn set_conditions(&self, way: Direction, change: impl FnOnce(&mut LinkConditions)) {
-        change(&mut lock(&self.shared.conditions)[way as usize]);
+    /// Changes the conditions of a direction, also for what is queued in it.
+    pub fn set_conditions(&self, direction: Direction, change: impl FnOnce(&mut LinkConditions)) {
+        change(&mut lock(&self.shared.conditions)[direction as usize]);
         self.shared.changed.notify(usize::MAX);
     }
 
+    /// Changes the conditions of both directions.
     pub fn set_both_conditions(&self, change: impl Fn(&mut LinkConditions)) {
-        [Direction::To, Direction::Back].into_iter().for_each(|way| self.set_conditions(way, &change));
+        [Direction::To, Direction::Back]
+            .into_iter()
+            .for_each(|direction| self.set_conditions(direction, &change));
     }
 
-    /// Cut both ways: connections stand and nothing comes through.
+    /// Holds both directions: connections stay open and nothing is forwarded.
     pub fn cut(&self) {
-        self.set_both_conditions(|rules| rules.held = true);
+        self.set_both_conditions(|conditions| conditions.held = true);
     }
 
-    /// As if nothing had been; what was held goes on.
+    /// Ends every fault; what was held is forwarded.
     pub fn heal(&self) {
         self.shared.refuses.store(false, Ordering::SeqCst);
-        self.set_both_conditions(|rules| *rules = LinkConditions::default());
+        self.set_both_conditions(|conditions| *conditions = LinkConditions::default());
     }
 
-    /// Anything but a plain way.
+    /// Whether any fault is in effect.
     pub fn is_faulty(&self) -> bool {
         self.shared.refuses.load(Ordering::SeqCst)
             || *lock(&self.shared.conditions) != [LinkConditions::default(); 2]
     }
 
-    /// New connections are reset at once.
+    /// Whether new connections are reset at once.
     pub fn set_refusing(&self, refuses: bool) {
         self.shared.refuses.store(refuses, Ordering::SeqCst);
     }
 
-    /// Resets all connections that stand.
+    /// Resets all open connections.
     pub fn reset(&self) {
         self.shared.resets.fetch_add(1, Ordering::SeqCst);
         self.shared.changed.notify(usize::MAX);
@@ -155,9 +171,9 @@
         self.shared.connections.load(Ordering::SeqCst)
     }
 
-    /// Bytes that came through so far.
-    pub fn forwarded_bytes(&self, way: Direction) -> u64 {
-        self.shared.forwarded[way as usize].load(Ordering::SeqCst)
+    /// Bytes that were forwarded in a direction so far.
+    pub fn forwarded_bytes(&self, direction: Direction) -> u64 {
+        self.shared.forwarded[direction as usize].load(Ordering::SeqCst)
     }
 }
 
@@ -196,7 +212,7 @@
             reset(&near);
             continue;
         }
-        EDGES.spawn(connection(near, shared.clone())).detach();
+        PROXY_EXECUTOR.spawn(connection(near, shared.clone())).detach();
     }
 }
 
@@ -218,9 +234,9 @@
     let _ = near.get_ref().set_nodelay(true);
     let _ = far.get_ref().set_nodelay(true);
     let ends = Arc::new(Ends { near, far, resets, broken: AtomicBool::new(false) });
-    let to = EDGES.spawn(pump(ends.clone(), shared.clone(), Direction::To));
-    let back = EDGES.spawn(pump(ends.clone(), shared.clone(), Direction::Back));
-    // An orderly end of one way leaves the other open.
+    let to = PROXY_EXECUTOR.spawn(pump(ends.clone(), shared.clone(), Direction::To));
+    let back = PROXY_EXECUTOR.spawn(pump(ends.clone(), shared.clone(), Direction::Back));
+    // An orderly end of one direction leaves the other open.
     to.await;
     back.await;
     if ends.is_broken(&shared) {
@@ -229,13 +245,13 @@
     }
 }
 
-/// Carries one way of a connection until it ends there, or is to be reset.
-async fn pump(ends: Arc<Ends>, shared: Arc<Shared>, way: Direction) {
-    let (from, to) = match way {
+/// Forwards one direction of a connection until it ends there, or is to be reset.
+async fn pump(ends: Arc<Ends>, shared: Arc<Shared>, direction: Direction) {
+    let (from, to) = match direction {
         Direction::To => (&ends.near, &ends.far),
         Direction::Back => (&ends.far, &ends.near),
     };
-    let (mut lane, mut over, mut piece) = (Stream::default(), false, vec![0; PIECE]);
+    let (mut queue, mut source_ended, mut chunk) = (Stream::default(), false, vec![0; CHUNK_BYTES]);
     let broken = async || loop {
         let changed = shared.changed.listen();
         if ends.is_broken(&shared) {
@@ -248,8 +264,8 @@
         if ends.is_broken(&shared) {
             return;
         }
-        let rules = lock(&shared.conditions)[way as usize];
-        match lane.next(now(), &rules) {
+        let conditions = lock(&shared.conditions)[direction as usize];
+        match queue.next(now(), &conditions) {
             Delivery::Reset => return ends.mark_broken(&shared),
             Delivery::Pass(bytes) => {
                 let mut sink = to;
@@ -261,23 +277,23 @@
                 if !or(written, stopped).await {
                     return ends.mark_broken(&shared);
                 }
-                shared.forwarded[way as usize].fetch_add(bytes.len() as u64, Ordering::SeqCst);
+                shared.forwarded[direction as usize].fetch_add(bytes.len() as u64, Ordering::SeqCst);
             }
-            Delivery::Wait(_) if over && lane.is_empty() => {
+            Delivery::Wait(_) if source_ended && queue.is_empty() => {
                 let _ = to.get_ref().shutdown(Shutdown::Write);
                 return;
             }
             Delivery::Wait(at) => {
-                let (reads, mut source) = (!over && lane.has_room(), from);
+                let (reads, mut source) = (!source_ended && queue.has_room(), from);
                 let read =
-                    async { if reads { Some(source.read(&mut piece).await) } else { pending().await } };
+                    async { if reads { Some(source.read(&mut chunk).await) } else { pending().await } };
                 let woken = async {
                     or(until(at), changed).await;
                     None
                 };
                 match or(read, woken).await {
-                    Some(Ok(0)) => over = true,
-                    Some(Ok(count)) => lane.put(now(), &rules, &piece[..count]),
+                    Some(Ok(0)) => source_ended = true,
+                    Some(Ok(count)) => queue.put(now(), &conditions, &chunk[..count]),
                     Some(Err(_)) => return ends.mark_broken(&shared),
                     None => {}
                 }
@@ -287,9 +303,9 @@
 }
 
 async fn forward(socket: Async<UdpSocket>, shared: Arc<Shared>, seed: u64) {
-    let (mut lane, mut datagram) = (Datagrams::new(seed), [0; 2048]);
+    let (mut queue, mut datagram) = (Datagrams::new(seed), [0; 2048]);
     loop {
-        let next = lane.next(now());
+        let next = queue.next(now());
         if let Delivery::Pass(bytes) = next {
             let target = *lock(&shared.target);
             // What can't be sent is lost, as datagrams are.
@@ -304,14 +320,14 @@
             None
         };
         if let Some(count) = or(read, woken).await {
-            let rules = lock(&shared.conditions)[Direction::To as usize];
-            lane.put(now(), &rules, &datagram[..count]);
+            let conditions = lock(&shared.conditions)[Direction::To as usize];
+            queue.put(now(), &conditions, &datagram[..count]);
             shared.connections.fetch_add(1, Ordering::SeqCst);
         }
     }
 }
 
-/// A span in milliseconds, for rules.
+/// A span in milliseconds, for conditions.
 pub fn ms(ms: f64) -> Span {
     Span::from_ms(ms)
 }
--- a/crates/hazelgrade-fault-injection/src/shrink.rs
+++ b/crates/hazelgrade-fault-injection/src/shrink.rs
@@ -1,27 +1,27 @@
-//! The least plan that still fails: whole runs of steps are left out, then smaller ones, as long as the failure stays.
+//! Reduces a plan that fails: leaves out runs of steps, then shorter ones, as long as the failure stays.
 
 use crate::plan::FaultPlan;
 
-/// `fails` plays a plan; it is asked at most `most` times. What comes back has failed, if `plan` has.
-pub fn shrink(plan: &FaultPlan, most: usize, mut fails: impl FnMut(&FaultPlan) -> bool) -> FaultPlan {
-    let (mut least, mut asked) = (plan.clone(), 0);
-    let mut length = least.steps.len().div_ceil(2);
+/// The smallest plan found that still fails. `fails` runs a plan and is called at most `max_runs` times.
+pub fn shrink(plan: &FaultPlan, max_runs: usize, mut fails: impl FnMut(&FaultPlan) -> bool) -> FaultPlan {
+    let (mut smallest, mut runs) = (plan.clone(), 0);
+    let mut length = smallest.steps.len().div_ceil(2);
     while length > 0 {
         let (mut from, mut smaller) = (0, false);
-        while from < least.steps.len() {
-            if asked >= most {
-                return least;
+        while from < smallest.steps.len() {
+            if runs >= max_runs {
+                return smallest;
             }
-            let mut without = least.clone();
-            without.steps.drain(from..(from + length).min(least.steps.len()));
-            asked += 1;
+            let mut without = smallest.clone();
+            without.steps.drain(from..(from + length).min(smallest.steps.len()));
+            runs += 1;
             if fails(&without) {
-                (least, smaller) = (without, true);
+                (smallest, smaller) = (without, true);
             } else {
                 from += length;
             }
         }
         length = if length == 1 && smaller { 1 } else { length / 2 };
     }
-    least
+    smallest
 }
--- a/crates/hazelgrade-fault-injection/src/subscriber_fleet.rs
+++ b/crates/hazelgrade-fault-injection/src/subscriber_fleet.rs
@@ -1,5 +1,5 @@
-//! Many light subscribers: the real subscriber and its connection each, with nothing to serve, on a few threads. They
-//! stand for nodes where a machine can't hold as many processes.
+//! Many subscribers in one process: the real subscriber with its connection each, with nothing to serve, on a few threads.
+//! They stand for nodes where a machine can't hold as many processes.
 
 use async_executor::LocalExecutor;
 use futures_lite::future::{BoxedLocal, FutureExt, pending};
@@ -20,16 +20,16 @@
 
 const THREADS: usize = 4;
 
-/// What one serves by, as it took effect: digests, the latest last.
-type Took = Arc<Mutex<Vec<Vec<String>>>>;
+/// The digests that each subscriber took, the latest last.
+type TakenDigests = Arc<Mutex<Vec<Vec<String>>>>;
 
-struct Light {
+struct FleetSubscriber {
     began: Instant,
-    place: usize,
-    took: Took,
+    index: usize,
+    taken: TakenDigests,
 }
 
-impl Host for Light {
+impl Host for FleetSubscriber {
     fn now(&self) -> Time {
         Time::from_ms(1e12 + self.began.elapsed().as_secs_f64() * 1000.0)
     }
@@ -40,8 +40,8 @@
 
     fn apply(&self, document: Option<&Document>, _: bool) -> Result<(), String> {
         if let Some(document) = document {
-            let mut took = self.took.lock().unwrap_or_else(PoisonError::into_inner);
-            took[self.place].push(document.digest().to_string());
+            let mut taken = self.taken.lock().unwrap_or_else(PoisonError::into_inner);
+            taken[self.index].push(document.digest().to_string());
         }
         Ok(())
     }
@@ -51,54 +51,56 @@
     }
 }
 
-/// They follow until the process ends.
+/// Subscribers that follow a control service until the process ends.
 pub struct SubscriberFleet {
-    took: Took,
+    taken: TakenDigests,
 }
 
 impl SubscriberFleet {
+    /// Starts so many subscribers of `control`.
     pub fn start(count: usize, control: SocketAddr) -> SubscriberFleet {
-        let took: Took = Arc::new(Mutex::new(vec![Vec::new(); count]));
+        let taken: TakenDigests = Arc::new(Mutex::new(vec![Vec::new(); count]));
         for thread in 0..THREADS {
-            let took = took.clone();
+            let taken = taken.clone();
             std::thread::spawn(move || {
                 let tasks = Rc::new(LocalExecutor::new());
-                for place in (thread..count).step_by(THREADS) {
-                    let host = Rc::new(Light { began: Instant::now(), place, took: took.clone() });
+                for index in (thread..count).step_by(THREADS) {
+                    let host =
+                        Rc::new(FleetSubscriber { began: Instant::now(), index, taken: taken.clone() });
                     let start = SubscriberConfig {
                         kind: Kind::Serving,
-                        node: format!("light{place}"),
+                        node: format!("light{index}"),
                         program: "light".into(),
                         lineage: Some("test".into()),
                         trial_rules: Trial { span: Span::from_ms(100.0), ..Trial::default() },
                         control_services: 1,
-                        random: MultiplyWithCarry::new(place as u64),
+                        random: MultiplyWithCarry::new(index as u64),
                         backoff: Backoff::default(),
                         stored: StoredState::default(),
                         local_document: None,
                     };
                     let mut first = Vec::new();
                     let subscriber = Subscriber::start(host.now(), start, &mut first);
-                    let leaving = Rc::new(Notify::default());
-                    let follow = SubscriberClient {
+                    let drain_started = Rc::new(Notify::default());
+                    let client = SubscriberClient {
                         host,
                         control_services: vec![control],
                         executor: tasks.clone(),
-                        drain_started: leaving,
+                        drain_started,
                     };
-                    tasks.spawn(async move { follow.run(subscriber, first).await }).detach();
+                    tasks.spawn(async move { client.run(subscriber, first).await }).detach();
                 }
                 async_io::block_on(tasks.run(pending::<()>()));
             });
         }
-        SubscriberFleet { took }
+        SubscriberFleet { taken }
     }
 
-    /// How many serve by this document, and how many ever took it up more than once.
+    /// How many serve by this document, and how many took it more than once.
     pub fn serving(&self, digest: &str) -> (usize, usize) {
-        let took = self.took.lock().unwrap_or_else(PoisonError::into_inner);
-        let of = |took: &&Vec<String>| took.last().is_some_and(|last| last == digest);
-        let again = |took: &&Vec<String>| took.iter().filter(|one| *one == digest).count() > 1;
-        (took.iter().filter(of).count(), took.iter().filter(again).count())
+        let taken = self.taken.lock().unwrap_or_else(PoisonError::into_inner);
+        let serves = |taken: &&Vec<String>| taken.last().is_some_and(|last| last == digest);
+        let took_again = |taken: &&Vec<String>| taken.iter().filter(|one| *one == digest).count() > 1;
+        (taken.iter().filter(serves).count(), taken.iter().filter(took_again).count())
     }
 }
