--- a/crates/hazelgrade-demo/src/trouble.rs
+++ b/crates/hazelgrade-demo/src/fault_campaign.rs
@@ -2,7 +2,7 @@
 //! breaks a rule is played again and shrunk to the least plan that still does.
 
 use crate::SELF;
-use crate::parts::{failed, program};
+use crate::processes::{program, to_message};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use hazelgrade_fakes::callers::JobOutcome;
 use hazelgrade_fault_injection::plan::FaultPlan;
@@ -32,16 +32,16 @@
 
 fn asked(words: &[&str]) -> Result<Asked, String> {
     let mut words = Arguments::from_vec(words.iter().map(OsString::from).collect());
-    let sites: Option<usize> = words.opt_value_from_str("--sites").map_err(failed)?;
-    let whole: Option<u32> = words.opt_value_from_str("--whole").map_err(failed)?;
+    let sites: Option<usize> = words.opt_value_from_str("--sites").map_err(to_message)?;
+    let whole: Option<u32> = words.opt_value_from_str("--whole").map_err(to_message)?;
     let asked = Asked {
         shared: sites.map(|sites| (sites.clamp(1, 2), whole.unwrap_or(10).clamp(2, 1000))),
-        seed: words.opt_value_from_str("--seed").map_err(failed)?.unwrap_or(1),
-        minutes: words.opt_value_from_str("--minutes").map_err(failed)?,
-        nodes: words.opt_value_from_str("--nodes").map_err(failed)?.unwrap_or(NODES),
-        faults: words.opt_value_from_str("--faults").map_err(failed)?.unwrap_or(FAULTS),
-        repeat: words.opt_value_from_str("--repeat").map_err(failed)?.unwrap_or(1),
-        plan: words.opt_value_from_str("--plan").map_err(failed)?,
+        seed: words.opt_value_from_str("--seed").map_err(to_message)?.unwrap_or(1),
+        minutes: words.opt_value_from_str("--minutes").map_err(to_message)?,
+        nodes: words.opt_value_from_str("--nodes").map_err(to_message)?.unwrap_or(NODES),
+        faults: words.opt_value_from_str("--faults").map_err(to_message)?.unwrap_or(FAULTS),
+        repeat: words.opt_value_from_str("--repeat").map_err(to_message)?.unwrap_or(1),
+        plan: words.opt_value_from_str("--plan").map_err(to_message)?,
     };
     match words.finish().first() {
         Some(word) => Err(format!("trouble: {} is not known here", word.to_string_lossy())),
@@ -75,7 +75,7 @@
 }
 
 fn once(plan: &FaultPlan) -> Result<PlanResult, String> {
-    run_plan(plan, &program()?, &[SELF]).map_err(failed)
+    run_plan(plan, &program()?, &[SELF]).map_err(to_message)
 }
 
 /// `true` if no rule was broken.
--- a/crates/hazelgrade-demo/src/main.rs
+++ b/crates/hazelgrade-demo/src/main.rs
@@ -1,9 +1,9 @@
 //! Plays the parts of hazelgrade together on loopback: scenes that end with a table, and measurements.
 
+mod fault_campaign;
 mod measure;
-mod parts;
+mod processes;
 mod scenes;
-mod trouble;
 
 use pico_args::Arguments;
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
@@ -43,12 +43,12 @@
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     let done = match words[..] {
         [] | ["streaming"] => scenes::streaming::play(),
-        ["trouble", ..] => trouble::play(&words[1..]),
+        ["trouble", ..] => fault_campaign::play(&words[1..]),
         ["budgets"] => scenes::budgets::play(),
         ["measure", "budgets"] => measure::budgets::all(),
         ["measure"] => measure::streaming::all(),
         ["measure", "identity"] => measure::identity::all(),
-        ["measure", "trouble"] => measure::trouble::all(),
+        ["measure", "trouble"] => measure::fault_injection::all(),
         ["measure", what] => measure::streaming::one(what),
         _ => {
             print!("{USAGE}");
--- a/crates/hazelgrade-demo/src/measure/budgets.rs
+++ b/crates/hazelgrade-demo/src/measure/budgets.rs
@@ -2,7 +2,8 @@
 //! what it costs: the real machines in simulated time, and groups of processes; tables in Markdown.
 
 use crate::SELF;
-use crate::parts::{failed, program};
+use crate::measure::report::spread;
+use crate::processes::{program, to_message};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use hazelgrade_fakes::callers::JobOutcome;
 use hazelgrade_fakes::fleet::{DivisionPolicy, Fault, Fleet, FleetConfig, RestartStore};
@@ -12,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 const SEEDS: u64 = 9;
-const SOON: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn table(head: &[&str], rows: Vec<Vec<String>>) {
     let mut table = Table::new();
@@ -24,23 +25,6 @@
     println!("\n{table}\n");
 }
 
-/// Median, lowest and highest.
-fn spread(mut of: Vec<f64>, digits: usize) -> String {
-    of.sort_by(f64::total_cmp);
-    match of[..] {
-        [] => "-".into(),
-        _ => format!(
-            "{:.*} ({:.*} to {:.*})",
-            digits,
-            of[of.len() / 2],
-            digits,
-            of[0],
-            digits,
-            of[of.len() - 1]
-        ),
-    }
-}
-
 /// Demand of each node, in calls in hand, adding up to the whole.
 fn demands(nodes: usize, whole: u32, skew: f64) -> Vec<f64> {
     let weights: Vec<f64> = (1..=nodes).map(|rank| (rank as f64).powf(-skew)).collect();
@@ -188,13 +172,13 @@
         call_duration: Duration::from_millis(100),
         ..SharedBudgetConfig::default()
     };
-    let mut group = Group::start_with(&program, &[SELF], 5, 40.0, Some(setting)).map_err(failed)?;
+    let mut group = Group::start_with(&program, &[SELF], 5, 40.0, Some(setting)).map_err(to_message)?;
     let all = |group: &mut Group| number(group, "granted") == 12;
     let (mut deaths, mut starts) = (Vec::new(), Vec::new());
     for turn in 0..5 {
-        group.wait_until(SOON, all);
+        group.wait_until(TIMEOUT, all);
         let began = Instant::now();
-        group.inject(Trouble::Kill { node: turn }).map_err(failed)?;
+        group.inject(Trouble::Kill { node: turn }).map_err(to_message)?;
         let moved = |group: &mut Group| {
             let calls = group.control_service.budget_status()["budgets"]["calls"].clone();
             let holders = calls["holders"].as_array().into_iter().flatten();
@@ -205,14 +189,14 @@
                 .sum::<u64>()
                 == 12
         };
-        group.wait_until(SOON, moved);
+        group.wait_until(TIMEOUT, moved);
         deaths.push(began.elapsed().as_secs_f64() * 1000.0);
-        group.inject(Trouble::Start { node: turn, disk: Disk::Own }).map_err(failed)?;
-        group.wait_until(SOON, all);
-        group.inject(Trouble::KillControl).map_err(failed)?;
+        group.inject(Trouble::Start { node: turn, disk: Disk::Own }).map_err(to_message)?;
+        group.wait_until(TIMEOUT, all);
+        group.inject(Trouble::KillControl).map_err(to_message)?;
         let began = Instant::now();
-        group.inject(Trouble::StartControl { disk: Disk::Own }).map_err(failed)?;
-        group.wait_until(SOON, all);
+        group.inject(Trouble::StartControl { disk: Disk::Own }).map_err(to_message)?;
+        group.wait_until(TIMEOUT, all);
         starts.push(began.elapsed().as_secs_f64() * 1000.0);
     }
     let account = group.finish();
@@ -231,9 +215,9 @@
     );
 
     let served = |setting: Option<SharedBudgetConfig>| -> Result<(String, String), String> {
-        let mut group = Group::start_with(&program, &[SELF], 3, 40.0, setting).map_err(failed)?;
+        let mut group = Group::start_with(&program, &[SELF], 3, 40.0, setting).map_err(to_message)?;
         let from: usize = group.nodes.iter().map(|member| member.job_count()).sum();
-        group.wait_until(SOON, |group| {
+        group.wait_until(TIMEOUT, |group| {
             group.nodes.iter().map(|member| member.job_count()).sum::<usize>() >= from + 1500
         });
         let account = group.finish();
--- a/crates/hazelgrade-demo/src/measure/trouble.rs
+++ b/crates/hazelgrade-demo/src/measure/fault_injection.rs
@@ -1,7 +1,8 @@
 //! What an edge costs, and how many plans a minute are played, as tables in Markdown.
 
 use crate::SELF;
-use crate::parts::{failed, program};
+use crate::measure::report::spread;
+use crate::processes::{program, to_message};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use hazelgrade_fault_injection::plan::FaultPlan;
 use hazelgrade_fault_injection::plan_run::run_plan;
@@ -67,33 +68,28 @@
 
 /// One round: microseconds there and back (50th and 99th percentile), and lines a second with 32 open.
 fn round(address: SocketAddr) -> Result<[f64; 3], String> {
-    let mut peer = Peer::of(address).map_err(failed)?;
-    let mut turns = Histogram::<u64>::new(3).map_err(failed)?;
+    let mut peer = Peer::of(address).map_err(to_message)?;
+    let mut turns = Histogram::<u64>::new(3).map_err(to_message)?;
     for _ in 0..TURNS {
         let began = Instant::now();
-        peer.say().and_then(|()| peer.hear()).map_err(failed)?;
-        turns.record(began.elapsed().as_nanos() as u64).map_err(failed)?;
+        peer.say().and_then(|()| peer.hear()).map_err(to_message)?;
+        turns.record(began.elapsed().as_nanos() as u64).map_err(to_message)?;
     }
     for _ in 0..OPEN {
-        peer.say().map_err(failed)?;
+        peer.say().map_err(to_message)?;
     }
     let (began, mut count) = (Instant::now(), 0.0);
     while began.elapsed() < LASTING {
-        peer.hear().and_then(|()| peer.say()).map_err(failed)?;
+        peer.hear().and_then(|()| peer.say()).map_err(to_message)?;
         count += 1.0;
     }
     let us = |part| turns.value_at_quantile(part) as f64 / 1000.0;
     Ok([us(0.5), us(0.99), count / began.elapsed().as_secs_f64()])
 }
 
-fn spread(mut of: Vec<f64>, digits: usize) -> String {
-    of.sort_by(f64::total_cmp);
-    format!("{:.digits$} ({:.digits$} to {:.digits$})", of[of.len() / 2], of[0], of[of.len() - 1])
-}
-
 fn proxies() -> Result<Table, String> {
-    let plain = echo().map_err(failed)?;
-    let proxy = FaultProxy::tcp(plain).map_err(failed)?;
+    let plain = echo().map_err(to_message)?;
+    let proxy = FaultProxy::tcp(plain).map_err(to_message)?;
     let mut rounds: [Vec<[f64; 3]>; 2] = Default::default();
     for _ in 0..ROUNDS {
         rounds[0].push(round(plain)?);
@@ -113,7 +109,7 @@
     let (mut took, mut jobs, mut broken) = (Vec::new(), Vec::new(), 0);
     for seed in 1..=PLANS {
         let began = Instant::now();
-        let played = run_plan(&FaultPlan::draw(seed, 5, 14), &program()?, &[SELF]).map_err(failed)?;
+        let played = run_plan(&FaultPlan::draw(seed, 5, 14), &program()?, &[SELF]).map_err(to_message)?;
         took.push(began.elapsed().as_secs_f64());
         jobs.push(played.history.jobs.len() as f64);
         broken += usize::from(!played.violations.is_empty());
--- a/crates/hazelgrade-demo/src/measure/mod.rs
+++ b/crates/hazelgrade-demo/src/measure/mod.rs
@@ -1,4 +1,7 @@
+//! Measurements, printed as tables.
+
 pub mod budgets;
+pub mod fault_injection;
 pub mod identity;
+mod report;
 pub mod streaming;
-pub mod trouble;
--- a/crates/hazelgrade-demo/src/scenes/budgets.rs
+++ b/crates/hazelgrade-demo/src/scenes/budgets.rs
@@ -2,14 +2,14 @@
 //! the keeper dies. What is in hand is counted at the dependency.
 
 use crate::SELF;
-use crate::parts::{failed, program};
+use crate::processes::{program, to_message};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use hazelgrade_fault_injection::group::Group;
 use hazelgrade_fault_injection::plan::{Disk, Fault};
 use hazelgrade_fault_injection::shared_budget::SharedBudgetConfig;
 use std::time::{Duration, Instant};
 
-const WITHIN: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const WHOLE: u32 = 12;
 
 fn parts(group: &Group) -> Vec<u64> {
@@ -28,14 +28,14 @@
         call_duration: Duration::from_millis(150),
         ..SharedBudgetConfig::default()
     };
-    let mut group = Group::start_with(&program()?, &[SELF], 3, 60.0, Some(setting)).map_err(failed)?;
+    let mut group = Group::start_with(&program()?, &[SELF], 3, 60.0, Some(setting)).map_err(to_message)?;
     let mut table = Table::new();
     table.load_style(ASCII_MARKDOWN);
     table.set_header(["act", "came after", "parts of n0, n1, n2", "whole", "in hand at the dependency"]);
     let mut good = true;
     let mut act = |group: &mut Group, name: &str, whole: u32, so: &dyn Fn(&[u64]) -> bool| {
         let began = Instant::now();
-        let came = group.wait_until(WITHIN, |group| so(&parts(group)));
+        let came = group.wait_until(TIMEOUT, |group| so(&parts(group)));
         good &= came;
         let (after, shown) = (began.elapsed().as_secs_f64(), parts(group));
         let in_hand = group.shared_budget.as_ref().map_or(0, |shared| shared.dependency.in_flight());
@@ -52,14 +52,14 @@
     act(&mut group, "three nodes have the whole", WHOLE, &|parts| {
         sum(parts) == 12 && parts.iter().all(|part| *part >= 3)
     });
-    group.inject(Fault::Kill { node: 0 }).map_err(failed)?;
+    group.inject(Fault::Kill { node: 0 }).map_err(to_message)?;
     act(&mut group, "n0 is killed: its part moves", WHOLE, &|parts| parts[1] + parts[2] == 12);
-    group.inject(Fault::Start { node: 0, disk: Disk::Own }).map_err(failed)?;
+    group.inject(Fault::Start { node: 0, disk: Disk::Own }).map_err(to_message)?;
     act(&mut group, "n0 is back: it gets a share", WHOLE, &|parts| parts[0] >= 3);
-    group.inject(Fault::SetBudgetTotal { units: WHOLE / 2 }).map_err(failed)?;
+    group.inject(Fault::SetBudgetTotal { units: WHOLE / 2 }).map_err(to_message)?;
     act(&mut group, "the whole is halved in use", WHOLE / 2, &|parts| sum(parts) == 6);
-    group.inject(Fault::KillControl).map_err(failed)?;
-    group.inject(Fault::StartControl { disk: Disk::Own }).map_err(failed)?;
+    group.inject(Fault::KillControl).map_err(to_message)?;
+    group.inject(Fault::StartControl { disk: Disk::Own }).map_err(to_message)?;
     act(&mut group, "the keeper died and is back", WHOLE / 2, &|parts| sum(parts) == 6);
     let peak = group.shared_budget.as_ref().map_or(0, |shared| shared.dependency.peak());
     let account = group.finish();
--- a/crates/hazelgrade-demo/src/scenes/streaming.rs
+++ b/crates/hazelgrade-demo/src/scenes/streaming.rs
@@ -2,7 +2,7 @@
 //! is streamed, then a document that is wrong, then one that is right and does harm.
 
 use crate::SELF;
-use crate::parts::{control as control_service, failed, program};
+use crate::processes::{program, start_control_service, to_message};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
 use hazelgrade_fakes::callers::{Callers, CallersReport, JobOutcome, JobResult};
 use hazelgrade_fakes::control_process::ControlServiceProcess;
@@ -14,7 +14,7 @@
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
-const WITHIN: Duration = Duration::from_secs(15);
+const TIMEOUT: Duration = Duration::from_secs(15);
 const LOOK: Duration = Duration::from_millis(50);
 /// Each act has at least so long for callers to be heard.
 const ACT: Duration = Duration::from_secs(3);
@@ -23,7 +23,7 @@
 const GRACE: Duration = Duration::from_millis(250);
 
 struct Stage {
-    world: TestEnvironment,
+    environment: TestEnvironment,
     node: NodeProcess,
     callers: Callers,
 }
@@ -46,7 +46,7 @@
 /// Waits until both nodes stand so with a version of this number.
 fn wait(control: &ControlServiceProcess, number: u64, word: &str) -> Result<(), String> {
     let mut status = Value::Null;
-    let so = wait_until(WITHIN, || {
+    let so = wait_until(TIMEOUT, || {
         std::thread::sleep(LOOK);
         status = control.status();
         ["n1", "n2"].iter().all(|node| {
@@ -76,20 +76,20 @@
 
 /// `true` if every rule was kept and every act ended as it should.
 pub fn play() -> Result<bool, String> {
-    let first = document(&[READ], 2, "").map_err(failed)?;
-    let control = control_service(&first)?;
+    let first = document(&[READ], 2, "").map_err(to_message)?;
+    let control = start_control_service(&first)?;
     let work = Workload { cores: 4, job_duration: Duration::from_millis(20), makes_call: true };
     let stage = |name: &str| -> Result<Stage, String> {
-        let world = TestEnvironment::new(work).map_err(failed)?;
+        let environment = TestEnvironment::new(work).map_err(to_message)?;
         let stream = format!("lineage = \"demo\"\n{TRIAL}");
-        let mut plan = world.node_config(name, &program()?, &[SELF], control.address, &stream);
+        let mut plan = environment.node_config(name, &program()?, &[SELF], control.address, &stream);
         plan.log = "off".into();
-        let node = plan.start().map_err(failed)?;
+        let node = plan.start().map_err(to_message)?;
         if !node.wait_until_ready(true) {
             return Err(format!("{name} is not ready in time"));
         }
         let callers = start_callers(node.config.listen, 60.0, &["read"]);
-        Ok(Stage { world, node, callers })
+        Ok(Stage { environment, node, callers })
     };
     println!("a control service at {}, two nodes that follow it, 60 jobs a second to each", control.address);
     let mut stages = [stage("n1")?, stage("n2")?];
@@ -98,19 +98,19 @@
     let acts = [
         act(&control, "version 1: the first there is, on trial, then good", || wait(&control, 1, "good"))?,
         act(&control, "version 2: a use case and a customer more", || {
-            control.publish(&good).map_err(failed)?;
+            control.publish(&good).map_err(to_message)?;
             wait(&control, 2, "good")
         })?,
         act(&control, "a document that is wrong: told, not published", || {
-            control.publish("[use_case.read]\ngoal_ms = \"soon\"\n").map_err(failed)?;
-            let told = wait_until(WITHIN, || {
+            control.publish("[use_case.read]\ngoal_ms = \"soon\"\n").map_err(to_message)?;
+            let told = wait_until(TIMEOUT, || {
                 std::thread::sleep(LOOK);
                 control.status()["folder"].is_string()
             });
             if told { Ok(()) } else { Err("what is wrong is not told in time".into()) }
         })?,
         act(&control, "version 3: right, and does harm: a cut-off of 10 ms; both nodes go back", || {
-            control.publish(&harmful).map_err(failed)?;
+            control.publish(&harmful).map_err(to_message)?;
             wait(&control, 3, "went back")
         })?,
         act(&control, "after it", || Ok(()))?,
@@ -125,9 +125,9 @@
     let mut told: Vec<JobResult> = Vec::new();
     let mut kept = clean;
     println!();
-    for Stage { world, node, callers } in stages {
+    for Stage { environment, node, callers } in stages {
         let CallersReport { results: of_node, unmatched_answers: twice } = callers.stop();
-        let verdict = rule_check::check(&of_node, twice, &world.executor.runs(), CUT_OFF, GRACE);
+        let verdict = rule_check::check(&of_node, twice, &environment.executor.runs(), CUT_OFF, GRACE);
         println!("{}: {verdict}", node.config.name);
         kept &= verdict.passed();
         told.extend(of_node);
