--- a/crates/hazelgrade-demo/src/fault_campaign.rs
+++ b/crates/hazelgrade-demo/src/fault_campaign.rs
@@ -11,7 +11,7 @@
 use pico_args::Arguments;
 use std::collections::BTreeMap;
 use std::ffi::OsString;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
 /// Plans that are played to shrink one that failed.
@@ -19,7 +19,8 @@
 const FAULTS: usize = 14;
 const NODES: usize = 5;
 
-struct Asked {
+/// Options of the sub-command.
+struct Options {
     seed: u64,
     minutes: Option<f64>,
     nodes: usize,
@@ -30,11 +31,11 @@
     shared: Option<(usize, u32)>,
 }
 
-fn asked(words: &[&str]) -> Result<Asked, String> {
+fn parse_options(words: &[&str]) -> Result<Options, String> {
     let mut words = Arguments::from_vec(words.iter().map(OsString::from).collect());
     let sites: Option<usize> = words.opt_value_from_str("--sites").map_err(to_message)?;
     let whole: Option<u32> = words.opt_value_from_str("--whole").map_err(to_message)?;
-    let asked = Asked {
+    let options = Options {
         shared: sites.map(|sites| (sites.clamp(1, 2), whole.unwrap_or(10).clamp(2, 1000))),
         seed: words.opt_value_from_str("--seed").map_err(to_message)?.unwrap_or(1),
         minutes: words.opt_value_from_str("--minutes").map_err(to_message)?,
@@ -45,14 +46,23 @@
     };
     match words.finish().first() {
         Some(word) => Err(format!("trouble: {} is not known here", word.to_string_lossy())),
-        None if asked.nodes == 0 || asked.nodes > 20 => Err("--nodes: expected 1 to 20".into()),
-        None => Ok(asked),
+        None if options.nodes == 0 || options.nodes > 20 => Err("--nodes: expected 1 to 20".into()),
+        None => Ok(options),
+    }
+}
+
+impl Options {
+    fn draw(&self, seed: u64) -> FaultPlan {
+        match self.shared {
+            Some((sites, total)) => FaultPlan::draw_shared(seed, self.nodes, self.faults, sites, total),
+            None => FaultPlan::draw(seed, self.nodes, self.faults),
+        }
     }
 }
 
 /// What all plans came to.
 #[derive(Default)]
-struct Sum {
+struct Summary {
     plans: usize,
     faults: usize,
     unmet: usize,
@@ -60,7 +70,7 @@
     failed: Vec<(u64, Vec<String>)>,
 }
 
-impl Sum {
+impl Summary {
     fn add(&mut self, plan: &FaultPlan, played: &PlanResult) {
         self.plans += 1;
         self.faults += plan.steps.len();
@@ -72,92 +82,94 @@
             self.failed.push((plan.seed, played.violations.iter().map(ToString::to_string).collect()));
         }
     }
+
+    /// Prints what all plans came to.
+    fn print(&self, lasted: Duration) {
+        let mut table = Table::new();
+        table.load_style(ASCII_MARKDOWN);
+        table.set_header([
+            "plans",
+            "steps",
+            "cues unmet",
+            "jobs",
+            "satisfied",
+            "bounced",
+            "lost, excused or not",
+            "plans that broke a rule",
+        ]);
+        let count = |fate| self.jobs.get(&fate).copied().unwrap_or(0).to_string();
+        table.add_row([
+            self.plans.to_string(),
+            self.faults.to_string(),
+            self.unmet.to_string(),
+            self.jobs.values().sum::<usize>().to_string(),
+            count(JobOutcome::Succeeded),
+            count(JobOutcome::Rejected),
+            count(JobOutcome::Lost),
+            self.failed.len().to_string(),
+        ]);
+        println!("\n{table}\n");
+        println!("{:.1} plans a minute", self.plans as f64 * 60.0 / lasted.as_secs_f64());
+        for (seed, violations) in &self.failed {
+            println!("seed {seed}: {}", violations.join("; "));
+        }
+        println!("rules: {}", if self.failed.is_empty() { "all kept" } else { "BROKEN" });
+    }
 }
 
 fn once(plan: &FaultPlan) -> Result<PlanResult, String> {
     run_plan(plan, &program()?, &[SELF]).map_err(to_message)
 }
 
-/// `true` if no rule was broken.
+/// Runs plans until the time is up; `true` if no rule was broken.
 pub fn play(words: &[&str]) -> Result<bool, String> {
-    let asked = asked(words)?;
+    let options = parse_options(words)?;
     let began = Instant::now();
-    let lasting = asked.minutes.map(|minutes| Duration::from_secs_f64(minutes.clamp(0.0, 600.0) * 60.0));
-    let given = match &asked.plan {
-        None => None,
-        Some(path) => {
-            let shown = path.display();
-            let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
-            Some(FaultPlan::read(&text).map_err(|error| format!("{shown}: {error}"))?)
-        }
-    };
-    let mut sum = Sum::default();
-    let mut seed = asked.seed;
+    let duration = options.minutes.map(|minutes| Duration::from_secs_f64(minutes.clamp(0.0, 600.0) * 60.0));
+    let given = options.plan.as_deref().map(read_plan).transpose()?;
+    let mut summary = Summary::default();
+    let mut seed = options.seed;
     loop {
-        let plan = given.clone().unwrap_or_else(|| match asked.shared {
-            Some((sites, whole)) => FaultPlan::draw_shared(seed, asked.nodes, asked.faults, sites, whole),
-            None => FaultPlan::draw(seed, asked.nodes, asked.faults),
-        });
-        let at = Instant::now();
+        let plan = given.clone().unwrap_or_else(|| options.draw(seed));
+        let plan_began = Instant::now();
         let played = once(&plan)?;
-        sum.add(&plan, &played);
+        summary.add(&plan, &played);
         println!(
             "{:>6.0} s  seed {:<8} {:>2} steps, {:>4} jobs, {:>5.1} s: {}",
             began.elapsed().as_secs_f64(),
             plan.seed,
             plan.steps.len(),
             played.history.jobs.len(),
-            at.elapsed().as_secs_f64(),
+            plan_began.elapsed().as_secs_f64(),
             if played.violations.is_empty() { "kept" } else { "BROKEN" }
         );
         if !played.violations.is_empty() {
-            played.violations.iter().take(5).for_each(|broken| println!("         {broken}"));
-            tell_least(&plan);
+            played.violations.iter().take(5).for_each(|violation| println!("         {violation}"));
+            print_smallest(&plan);
         }
         seed += 1;
-        let time_is_up = lasting.is_none_or(|lasting| began.elapsed() >= lasting);
-        if time_is_up && sum.plans >= asked.repeat {
+        let time_is_up = duration.is_none_or(|duration| began.elapsed() >= duration);
+        if time_is_up && summary.plans >= options.repeat {
             break;
         }
     }
-    let mut table = Table::new();
-    table.load_style(ASCII_MARKDOWN);
-    table.set_header([
-        "plans",
-        "steps",
-        "cues unmet",
-        "jobs",
-        "satisfied",
-        "bounced",
-        "lost, excused or not",
-        "plans that broke a rule",
-    ]);
-    let of = |fate| sum.jobs.get(&fate).copied().unwrap_or(0).to_string();
-    table.add_row([
-        sum.plans.to_string(),
-        sum.faults.to_string(),
-        sum.unmet.to_string(),
-        sum.jobs.values().sum::<usize>().to_string(),
-        of(JobOutcome::Succeeded),
-        of(JobOutcome::Rejected),
-        of(JobOutcome::Lost),
-        sum.failed.len().to_string(),
-    ]);
-    println!("\n{table}\n");
-    println!("{:.1} plans a minute", sum.plans as f64 * 60.0 / began.elapsed().as_secs_f64());
-    for (seed, violations) in &sum.failed {
-        println!("seed {seed}: {}", violations.join("; "));
-    }
-    println!("rules: {}", if sum.failed.is_empty() { "all kept" } else { "BROKEN" });
-    Ok(sum.failed.is_empty())
+    summary.print(began.elapsed());
+    Ok(summary.failed.is_empty())
+}
+
+fn read_plan(path: &Path) -> Result<FaultPlan, String> {
+    let shown = path.display();
+    let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
+    FaultPlan::read(&text).map_err(|error| format!("{shown}: {error}"))
 }
 
 /// Plays a plan that failed again, with fewer and fewer steps.
-fn tell_least(plan: &FaultPlan) {
+fn print_smallest(plan: &FaultPlan) {
     println!("         shrinking, at most {TRIES} plans");
-    let least = shrink(plan, TRIES, |plan| once(plan).is_ok_and(|played| !played.violations.is_empty()));
-    if least.steps.len() < plan.steps.len() || once(plan).is_ok_and(|played| !played.violations.is_empty()) {
-        println!("the least plan that failed, for --plan:\n\n{}", least.to_toml());
+    let smallest = shrink(plan, TRIES, |plan| once(plan).is_ok_and(|played| !played.violations.is_empty()));
+    if smallest.steps.len() < plan.steps.len() || once(plan).is_ok_and(|played| !played.violations.is_empty())
+    {
+        println!("the least plan that failed, for --plan:\n\n{}", smallest.to_toml());
     } else {
         println!("played again, it kept the rules; the whole plan, for --plan:\n\n{}", plan.to_toml());
     }
