--- a/crates/hazelgrade-demo/src/measure/budgets.rs
+++ b/crates/hazelgrade-demo/src/measure/budgets.rs
@@ -8,7 +8,7 @@
 use hazelgrade_fakes::callers::JobOutcome;
 use hazelgrade_fakes::fleet::{DivisionPolicy, Fault, Fleet, FleetConfig, RestartStore};
 use hazelgrade_fault_injection::group::Group;
-use hazelgrade_fault_injection::plan::{Disk, Fault as Trouble};
+use hazelgrade_fault_injection::plan::{Disk, Fault as ProcessFault};
 use hazelgrade_fault_injection::shared_budget::SharedBudgetConfig;
 use std::time::{Duration, Instant};
 
@@ -53,15 +53,16 @@
 }
 
 /// Milliseconds until something is so, looked at each 5 ms.
-fn until(fleet: &mut Fleet, so: impl Fn(&Fleet) -> bool) -> f64 {
+fn until(fleet: &mut Fleet, condition: impl Fn(&Fleet) -> bool) -> f64 {
     let from = fleet.now_ms();
-    while !so(fleet) && fleet.now_ms() - from < 60_000.0 {
+    while !condition(fleet) && fleet.now_ms() - from < 60_000.0 {
         fleet.run(5.0);
     }
     fleet.now_ms() - from
 }
 
-fn simulated() {
+/// How much of the total is used under different demand, by division policy.
+fn simulated_use() {
     println!(
         "Use of the whole (100 units, 20 nodes, calls of 50 ms, demand of 100 in all, one minute), {SEEDS} seeds:"
     );
@@ -80,7 +81,10 @@
         ]
     });
     table(&["demand", "fixed parts", "divided anew", "oracle"], rows.collect());
+}
 
+/// How long a new division takes after a change, in simulated time.
+fn simulated_division() {
     println!(
         "Milliseconds until the new division (20 nodes, 100 units, leases of 2 s, longest use 1 s), {SEEDS} seeds:"
     );
@@ -141,7 +145,8 @@
     table(&["what", "ms"], rows);
 }
 
-fn said() {
+/// Messages between nodes and lessor under steady demand.
+fn message_rates() {
     println!("What is said, a second, with steady demand (leases of 2 s, ten units a node, ten seconds):");
     let rows = [10, 100, 1000].map(|nodes| {
         let whole = nodes as u32 * 10;
@@ -162,7 +167,8 @@
     table(&["nodes", "asks", "kB", "CPU s, machines and simulation"], rows.to_vec());
 }
 
-fn processes() -> Result<(), String> {
+/// How long a new division takes in a group of processes.
+fn process_division() -> Result<(), String> {
     let program = program()?;
     let number = |group: &Group, field: &str| {
         group.control_service.budget_status()["budgets"]["calls"][field].as_u64().unwrap_or(0)
@@ -178,7 +184,7 @@
     for turn in 0..5 {
         group.wait_until(TIMEOUT, all);
         let began = Instant::now();
-        group.inject(Trouble::Kill { node: turn }).map_err(to_message)?;
+        group.inject(ProcessFault::Kill { node: turn }).map_err(to_message)?;
         let moved = |group: &mut Group| {
             let calls = group.control_service.budget_status()["budgets"]["calls"].clone();
             let holders = calls["holders"].as_array().into_iter().flatten();
@@ -191,15 +197,15 @@
         };
         group.wait_until(TIMEOUT, moved);
         deaths.push(began.elapsed().as_secs_f64() * 1000.0);
-        group.inject(Trouble::Start { node: turn, disk: Disk::Own }).map_err(to_message)?;
+        group.inject(ProcessFault::Start { node: turn, disk: Disk::Own }).map_err(to_message)?;
         group.wait_until(TIMEOUT, all);
-        group.inject(Trouble::KillControl).map_err(to_message)?;
+        group.inject(ProcessFault::KillControl).map_err(to_message)?;
         let began = Instant::now();
-        group.inject(Trouble::StartControl { disk: Disk::Own }).map_err(to_message)?;
+        group.inject(ProcessFault::StartControl { disk: Disk::Own }).map_err(to_message)?;
         group.wait_until(TIMEOUT, all);
         starts.push(began.elapsed().as_secs_f64() * 1000.0);
     }
-    let account = group.finish();
+    let history = group.finish();
     println!("Processes (5 nodes, 12 units, leases of 0.6 s, longest use 0.6 s), five times each, ms:");
     table(
         &["what", "ms"],
@@ -210,18 +216,23 @@
     );
     println!(
         "the whole was passed {:?} times; rules broken: {}",
-        account.budget_overloads,
-        account.violations().len()
+        history.budget_overloads,
+        history.violations().len()
     );
+    Ok(())
+}
 
+/// Latency of jobs with budgets and without, where the total is never short.
+fn job_latency() -> Result<(), String> {
+    let program = program()?;
     let served = |setting: Option<SharedBudgetConfig>| -> Result<(String, String), String> {
         let mut group = Group::start_with(&program, &[SELF], 3, 40.0, setting).map_err(to_message)?;
         let from: usize = group.nodes.iter().map(|member| member.job_count()).sum();
         group.wait_until(TIMEOUT, |group| {
             group.nodes.iter().map(|member| member.job_count()).sum::<usize>() >= from + 1500
         });
-        let account = group.finish();
-        let mut took: Vec<f64> = account
+        let history = group.finish();
+        let mut took: Vec<f64> = history
             .jobs
             .iter()
             .filter(|job| job.outcome == JobOutcome::Succeeded)
@@ -243,8 +254,10 @@
 }
 
 pub fn all() -> Result<bool, String> {
-    simulated();
-    processes()?;
-    said();
+    simulated_use();
+    simulated_division();
+    process_division()?;
+    job_latency()?;
+    message_rates();
     Ok(true)
 }
