--- a/crates/hazelgrade-demo/src/measure/budgets.rs
+++ b/crates/hazelgrade-demo/src/measure/budgets.rs
@@ -2,17 +2,18 @@
 //! what it costs: the real machines in simulated time, and groups of processes; tables in Markdown.
 
 use crate::SELF;
-use crate::parts::{failed, program};
+use crate::measure::report::spread;
+use crate::processes::{program, to_message};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
-use hazelgrade_fakes::callers::Fate;
+use hazelgrade_fakes::callers::JobOutcome;
 use hazelgrade_fakes::fleet::{DivisionPolicy, Fault, Fleet, FleetConfig, RestartStore};
 use hazelgrade_fault_injection::group::Group;
-use hazelgrade_fault_injection::plan::{Disk, Fault as Trouble};
-use hazelgrade_fault_injection::shared_budget::Setting as Shared;
+use hazelgrade_fault_injection::plan::{Disk, Fault as ProcessFault};
+use hazelgrade_fault_injection::shared_budget::SharedBudgetConfig;
 use std::time::{Duration, Instant};
 
 const SEEDS: u64 = 9;
-const SOON: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn table(head: &[&str], rows: Vec<Vec<String>>) {
     let mut table = Table::new();
@@ -24,23 +25,6 @@
     println!("\n{table}\n");
 }
 
-/// Median, lowest and highest.
-fn spread(mut of: Vec<f64>, digits: usize) -> String {
-    of.sort_by(f64::total_cmp);
-    match of[..] {
-        [] => "-".into(),
-        _ => format!(
-            "{:.*} ({:.*} to {:.*})",
-            digits,
-            of[of.len() / 2],
-            digits,
-            of[0],
-            digits,
-            of[of.len() - 1]
-        ),
-    }
-}
-
 /// Demand of each node, in calls in hand, adding up to the whole.
 fn demands(nodes: usize, whole: u32, skew: f64) -> Vec<f64> {
     let weights: Vec<f64> = (1..=nodes).map(|rank| (rank as f64).powf(-skew)).collect();
@@ -69,15 +53,16 @@
 }
 
 /// Milliseconds until something is so, looked at each 5 ms.
-fn until(fleet: &mut Fleet, so: impl Fn(&Fleet) -> bool) -> f64 {
+fn until(fleet: &mut Fleet, condition: impl Fn(&Fleet) -> bool) -> f64 {
     let from = fleet.now_ms();
-    while !so(fleet) && fleet.now_ms() - from < 60_000.0 {
+    while !condition(fleet) && fleet.now_ms() - from < 60_000.0 {
         fleet.run(5.0);
     }
     fleet.now_ms() - from
 }
 
-fn simulated() {
+/// How much of the total is used under different demand, by division policy.
+fn simulated_use() {
     println!(
         "Use of the whole (100 units, 20 nodes, calls of 50 ms, demand of 100 in all, one minute), {SEEDS} seeds:"
     );
@@ -96,7 +81,10 @@
         ]
     });
     table(&["demand", "fixed parts", "divided anew", "oracle"], rows.collect());
+}
 
+/// How long a new division takes after a change, in simulated time.
+fn simulated_division() {
     println!(
         "Milliseconds until the new division (20 nodes, 100 units, leases of 2 s, longest use 1 s), {SEEDS} seeds:"
     );
@@ -157,7 +145,8 @@
     table(&["what", "ms"], rows);
 }
 
-fn said() {
+/// Messages between nodes and lessor under steady demand.
+fn message_rates() {
     println!("What is said, a second, with steady demand (leases of 2 s, ten units a node, ten seconds):");
     let rows = [10, 100, 1000].map(|nodes| {
         let whole = nodes as u32 * 10;
@@ -178,20 +167,26 @@
     table(&["nodes", "asks", "kB", "CPU s, machines and simulation"], rows.to_vec());
 }
 
-fn processes() -> Result<(), String> {
+/// How long a new division takes in a group of processes.
+fn process_division() -> Result<(), String> {
     let program = program()?;
-    let number =
-        |group: &Group, field: &str| group.service.budgets()["budgets"]["calls"][field].as_u64().unwrap_or(0);
-    let setting = Shared { whole: 12, call: Duration::from_millis(100), ..Shared::default() };
-    let mut group = Group::start_with(&program, &[SELF], 5, 40.0, Some(setting))?;
+    let number = |group: &Group, field: &str| {
+        group.control_service.budget_status()["budgets"]["calls"][field].as_u64().unwrap_or(0)
+    };
+    let setting = SharedBudgetConfig {
+        total: 12,
+        call_duration: Duration::from_millis(100),
+        ..SharedBudgetConfig::default()
+    };
+    let mut group = Group::start_with(&program, &[SELF], 5, 40.0, Some(setting)).map_err(to_message)?;
     let all = |group: &mut Group| number(group, "granted") == 12;
     let (mut deaths, mut starts) = (Vec::new(), Vec::new());
     for turn in 0..5 {
-        group.wait_until(SOON, all);
+        group.wait_until(TIMEOUT, all);
         let began = Instant::now();
-        group.inject(Trouble::Kill { node: turn }).map_err(failed)?;
+        group.inject(ProcessFault::Kill { node: turn }).map_err(to_message)?;
         let moved = |group: &mut Group| {
-            let calls = group.service.budgets()["budgets"]["calls"].clone();
+            let calls = group.control_service.budget_status()["budgets"]["calls"].clone();
             let holders = calls["holders"].as_array().into_iter().flatten();
             let gone = format!("n{turn}");
             holders
@@ -200,17 +195,17 @@
                 .sum::<u64>()
                 == 12
         };
-        group.wait_until(SOON, moved);
+        group.wait_until(TIMEOUT, moved);
         deaths.push(began.elapsed().as_secs_f64() * 1000.0);
-        group.inject(Trouble::Start { node: turn, disk: Disk::Own }).map_err(failed)?;
-        group.wait_until(SOON, all);
-        group.inject(Trouble::KillControl).map_err(failed)?;
+        group.inject(ProcessFault::Start { node: turn, disk: Disk::Own }).map_err(to_message)?;
+        group.wait_until(TIMEOUT, all);
+        group.inject(ProcessFault::KillControl).map_err(to_message)?;
         let began = Instant::now();
-        group.inject(Trouble::StartControl { disk: Disk::Own }).map_err(failed)?;
-        group.wait_until(SOON, all);
+        group.inject(ProcessFault::StartControl { disk: Disk::Own }).map_err(to_message)?;
+        group.wait_until(TIMEOUT, all);
         starts.push(began.elapsed().as_secs_f64() * 1000.0);
     }
-    let account = group.finish();
+    let history = group.finish();
     println!("Processes (5 nodes, 12 units, leases of 0.6 s, longest use 0.6 s), five times each, ms:");
     table(
         &["what", "ms"],
@@ -219,26 +214,39 @@
             vec!["the keeper is started anew: all is granted".into(), spread(starts, 0)],
         ],
     );
-    println!("the whole was passed {:?} times; rules broken: {}", account.passed, account.violations().len());
+    println!(
+        "the whole was passed {:?} times; rules broken: {}",
+        history.budget_overloads,
+        history.violations().len()
+    );
+    Ok(())
+}
 
-    let served = |setting: Option<Shared>| -> Result<(String, String), String> {
-        let mut group = Group::start_with(&program, &[SELF], 3, 40.0, setting)?;
-        let from: usize = group.members.iter().map(|member| member.jobs()).sum();
-        group.wait_until(SOON, |group| {
-            group.members.iter().map(|member| member.jobs()).sum::<usize>() >= from + 1500
+/// Latency of jobs with budgets and without, where the total is never short.
+fn job_latency() -> Result<(), String> {
+    let program = program()?;
+    let served = |setting: Option<SharedBudgetConfig>| -> Result<(String, String), String> {
+        let mut group = Group::start_with(&program, &[SELF], 3, 40.0, setting).map_err(to_message)?;
+        let from: usize = group.nodes.iter().map(|member| member.job_count()).sum();
+        group.wait_until(TIMEOUT, |group| {
+            group.nodes.iter().map(|member| member.job_count()).sum::<usize>() >= from + 1500
         });
-        let account = group.finish();
-        let mut took: Vec<f64> = account
+        let history = group.finish();
+        let mut took: Vec<f64> = history
             .jobs
             .iter()
-            .filter(|job| job.fate == Fate::Succeeded)
-            .map(|job| job.after.as_ms())
+            .filter(|job| job.outcome == JobOutcome::Succeeded)
+            .map(|job| job.latency.as_ms())
             .collect();
         took.sort_by(f64::total_cmp);
         let at = |part: f64| format!("{:.1}", took[((took.len() - 1) as f64 * part) as usize]);
         Ok((at(0.5), at(0.99)))
     };
-    let roomy = Shared { whole: 60, call: Duration::from_millis(2), ..Shared::default() };
+    let roomy = SharedBudgetConfig {
+        total: 60,
+        call_duration: Duration::from_millis(2),
+        ..SharedBudgetConfig::default()
+    };
     let (on, off) = (served(Some(roomy))?, served(None)?);
     println!("A job, from its caller, where the whole is never short (3 nodes, 40 jobs a second each), ms:");
     table(&["budgets", "p50", "p99"], vec![vec!["on".into(), on.0, on.1], vec!["off".into(), off.0, off.1]]);
@@ -246,8 +254,10 @@
 }
 
 pub fn all() -> Result<bool, String> {
-    simulated();
-    processes()?;
-    said();
+    simulated_use();
+    simulated_division();
+    process_division()?;
+    job_latency()?;
+    message_rates();
     Ok(true)
 }
--- a/crates/hazelgrade-demo/src/scenes/streaming.rs
+++ b/crates/hazelgrade-demo/src/scenes/streaming.rs
@@ -2,19 +2,19 @@
 //! is streamed, then a document that is wrong, then one that is right and does harm.
 
 use crate::SELF;
-use crate::parts::{control as control_service, failed, program};
+use crate::processes::{program, start_control_service, to_message};
 use comfy_table::{Table, presets::ASCII_MARKDOWN};
-use hazelgrade_fakes::callers::{Callers, Fate, Told};
+use hazelgrade_fakes::callers::{Callers, CallersReport, JobOutcome, JobResult};
+use hazelgrade_fakes::control_process::ControlServiceProcess;
 use hazelgrade_fakes::documents::{BOOK, READ, document, text};
-use hazelgrade_fakes::executor::Work;
-use hazelgrade_fakes::node::Node;
-use hazelgrade_fakes::service::Service;
-use hazelgrade_fakes::world::{World, callers};
-use hazelgrade_fakes::{comes_true, rules};
+use hazelgrade_fakes::executor::Workload;
+use hazelgrade_fakes::node_process::NodeProcess;
+use hazelgrade_fakes::test_environment::{TestEnvironment, start_callers};
+use hazelgrade_fakes::{rule_check, wait_until};
 use serde_json::Value;
 use std::time::{Duration, Instant};
 
-const WITHIN: Duration = Duration::from_secs(15);
+const TIMEOUT: Duration = Duration::from_secs(15);
 const LOOK: Duration = Duration::from_millis(50);
 /// Each act has at least so long for callers to be heard.
 const ACT: Duration = Duration::from_secs(3);
@@ -23,8 +23,8 @@
 const GRACE: Duration = Duration::from_millis(250);
 
 struct Stage {
-    world: World,
-    node: Node,
+    environment: TestEnvironment,
+    node: NodeProcess,
     callers: Callers,
 }
 
@@ -44,9 +44,9 @@
 }
 
 /// Waits until both nodes stand so with a version of this number.
-fn wait(control: &Service, number: u64, word: &str) -> Result<(), String> {
+fn wait(control: &ControlServiceProcess, number: u64, word: &str) -> Result<(), String> {
     let mut status = Value::Null;
-    let so = comes_true(WITHIN, || {
+    let so = wait_until(TIMEOUT, || {
         std::thread::sleep(LOOK);
         status = control.status();
         ["n1", "n2"].iter().all(|node| {
@@ -58,7 +58,7 @@
 }
 
 fn act(
-    control: &Service,
+    control: &ControlServiceProcess,
     name: &'static str,
     what: impl FnOnce() -> Result<(), String>,
 ) -> Result<Act, String> {
@@ -76,20 +76,20 @@
 
 /// `true` if every rule was kept and every act ended as it should.
 pub fn play() -> Result<bool, String> {
-    let first = document(&[READ], 2, "")?;
-    let control = control_service(&first)?;
-    let work = Work { cores: 4, takes: Duration::from_millis(20), calls: true };
+    let first = document(&[READ], 2, "").map_err(to_message)?;
+    let control = start_control_service(&first)?;
+    let work = Workload { cores: 4, job_duration: Duration::from_millis(20), makes_call: true };
     let stage = |name: &str| -> Result<Stage, String> {
-        let world = World::new(work).map_err(failed)?;
+        let environment = TestEnvironment::new(work).map_err(to_message)?;
         let stream = format!("lineage = \"demo\"\n{TRIAL}");
-        let mut plan = world.plan(name, &program()?, &[SELF], control.address, &stream);
+        let mut plan = environment.node_config(name, &program()?, &[SELF], control.address, &stream);
         plan.log = "off".into();
-        let node = plan.start().map_err(failed)?;
-        if !node.becomes(true) {
+        let node = plan.start().map_err(to_message)?;
+        if !node.wait_until_ready(true) {
             return Err(format!("{name} is not ready in time"));
         }
-        let callers = callers(node.plan.listen, 60.0, &["read"]);
-        Ok(Stage { world, node, callers })
+        let callers = start_callers(node.config.listen, 60.0, &["read"]);
+        Ok(Stage { environment, node, callers })
     };
     println!("a control service at {}, two nodes that follow it, 60 jobs a second to each", control.address);
     let mut stages = [stage("n1")?, stage("n2")?];
@@ -98,19 +98,19 @@
     let acts = [
         act(&control, "version 1: the first there is, on trial, then good", || wait(&control, 1, "good"))?,
         act(&control, "version 2: a use case and a customer more", || {
-            control.publish(&good).map_err(failed)?;
+            control.publish(&good).map_err(to_message)?;
             wait(&control, 2, "good")
         })?,
         act(&control, "a document that is wrong: told, not published", || {
-            control.publish("[use_case.read]\ngoal_ms = \"soon\"\n").map_err(failed)?;
-            let told = comes_true(WITHIN, || {
+            control.publish("[use_case.read]\ngoal_ms = \"soon\"\n").map_err(to_message)?;
+            let told = wait_until(TIMEOUT, || {
                 std::thread::sleep(LOOK);
                 control.status()["folder"].is_string()
             });
             if told { Ok(()) } else { Err("what is wrong is not told in time".into()) }
         })?,
         act(&control, "version 3: right, and does harm: a cut-off of 10 ms; both nodes go back", || {
-            control.publish(&harmful).map_err(failed)?;
+            control.publish(&harmful).map_err(to_message)?;
             wait(&control, 3, "went back")
         })?,
         act(&control, "after it", || Ok(()))?,
@@ -120,29 +120,30 @@
     for stage in &stages {
         stage.node.signal("TERM");
     }
-    let clean = stages.iter_mut().all(|stage| stage.node.ended().is_some_and(|status| status.success()));
-    let mut told: Vec<Told> = Vec::new();
+    let clean =
+        stages.iter_mut().all(|stage| stage.node.wait_for_exit().is_some_and(|status| status.success()));
+    let mut told: Vec<JobResult> = Vec::new();
     let mut kept = clean;
     println!();
-    for Stage { world, node, callers } in stages {
-        let (of_node, twice) = callers.stop();
-        let verdict = rules::check(&of_node, twice, &world.executor.runs(), CUT_OFF, GRACE);
-        println!("{}: {verdict}", node.plan.name);
-        kept &= verdict.kept();
+    for Stage { environment, node, callers } in stages {
+        let CallersReport { results: of_node, unmatched_answers: twice } = callers.stop();
+        let verdict = rule_check::check(&of_node, twice, &environment.executor.runs(), CUT_OFF, GRACE);
+        println!("{}: {verdict}", node.config.name);
+        kept &= verdict.passed();
         told.extend(of_node);
     }
     let mut table = Table::new();
     table.load_style(ASCII_MARKDOWN);
     table.set_header(["act", "jobs", "satisfied", "bounced", "written off", "versions at its end"]);
     for Act { name, from, to, versions } in &acts {
-        let of_act: Vec<&Told> = told.iter().filter(|told| (*from..*to).contains(&told.sent)).collect();
-        let count = |fate| of_act.iter().filter(|told| told.fate == fate).count().to_string();
+        let of_act: Vec<&JobResult> = told.iter().filter(|told| (*from..*to).contains(&told.sent)).collect();
+        let count = |fate| of_act.iter().filter(|told| told.outcome == fate).count().to_string();
         table.add_row([
             (*name).to_owned(),
             of_act.len().to_string(),
-            count(Fate::Succeeded),
-            count(Fate::Rejected),
-            count(Fate::Failed),
+            count(JobOutcome::Succeeded),
+            count(JobOutcome::Rejected),
+            count(JobOutcome::Failed),
             versions.join(", "),
         ]);
     }
--- a/crates/hazelgrade-fakes/src/dependency.rs
+++ b/crates/hazelgrade-fakes/src/dependency.rs
@@ -1,6 +1,6 @@
-//! Stands in for what all nodes call together: counts the calls in hand at each instant, by the bytes that reached it, and
-//! notes when they are more than it lives through. A call is in hand until it was answered, was given up, or its time is over,
-//! whether its caller lives or not.
+//! A dependency that all nodes call: counts the calls in flight at each instant, by the bytes that reached it, and
+//! notes when they exceed its capacity. A call is in flight until it is answered, cancelled, or out of time, whether its
+//! caller lives or not.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -12,33 +12,34 @@
 type Call = (u64, String);
 
 struct State {
-    takes: Duration,
-    /// What it lives through now.
-    most: usize,
-    in_hand: BTreeMap<Call, Arc<Mutex<TcpStream>>>,
+    /// How long a call takes.
+    call_duration: Duration,
+    /// How many calls may be in flight at once.
+    capacity: usize,
+    in_flight: BTreeMap<Call, Arc<Mutex<TcpStream>>>,
     due: BinaryHeap<Reverse<(Instant, Call, bool)>>,
-    /// The most that was in hand at once.
+    /// The most that was in flight at once.
     peak: usize,
-    /// How often more came than it lives through, and by how much at worst.
-    passed: usize,
-    worst: usize,
+    /// How often a call came past the capacity, and by how many at worst.
+    overloads: usize,
+    worst_excess: usize,
     calls: u64,
-    /// In-hand integrated over time, for its mean.
-    area: f64,
-    since: Instant,
+    /// Calls in flight integrated over time, in call seconds.
+    call_seconds: f64,
+    integrated_until: Instant,
 }
 
 impl State {
-    fn account(&mut self) {
-        self.area += self.in_hand.len() as f64 * self.since.elapsed().as_secs_f64();
-        self.since = Instant::now();
+    fn integrate(&mut self) {
+        self.call_seconds += self.in_flight.len() as f64 * self.integrated_until.elapsed().as_secs_f64();
+        self.integrated_until = Instant::now();
     }
 
-    fn came(&mut self) {
-        self.peak = self.peak.max(self.in_hand.len());
-        if self.in_hand.len() > self.most {
-            self.passed += 1;
-            self.worst = self.worst.max(self.in_hand.len() - self.most);
+    fn record_arrival(&mut self) {
+        self.peak = self.peak.max(self.in_flight.len());
+        if self.in_flight.len() > self.capacity {
+            self.overloads += 1;
+            self.worst_excess = self.worst_excess.max(self.in_flight.len() - self.capacity);
         }
     }
 }
@@ -54,86 +55,95 @@
     }
 }
 
-/// Answers until the process ends.
+/// A dependency that answers until the process ends. Clones are the same one.
 #[derive(Clone)]
 pub struct Dependency {
     shared: Arc<Shared>,
+    /// Where it listens.
     pub address: SocketAddr,
 }
 
 impl Dependency {
-    /// Each call takes so long; more than `most` at once it does not live through.
-    pub fn start(takes: Duration, most: usize) -> std::io::Result<Dependency> {
+    /// Starts it. Each call takes `call_duration`; more than `capacity` at once are counted as an overload.
+    ///
+    /// # Errors
+    ///
+    /// If no port can be bound.
+    pub fn start(call_duration: Duration, capacity: usize) -> std::io::Result<Dependency> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let state = State {
-            takes,
-            most,
-            in_hand: BTreeMap::new(),
+            call_duration,
+            capacity,
+            in_flight: BTreeMap::new(),
             due: BinaryHeap::new(),
             peak: 0,
-            passed: 0,
-            worst: 0,
+            overloads: 0,
+            worst_excess: 0,
             calls: 0,
-            area: 0.0,
-            since: Instant::now(),
+            call_seconds: 0.0,
+            integrated_until: Instant::now(),
         };
         let shared = Arc::new(Shared { state: Mutex::new(state), changed: Condvar::new() });
-        let timing = shared.clone();
-        std::thread::spawn(move || keep_time(&timing));
+        let timer = shared.clone();
+        std::thread::spawn(move || answer_due_calls(&timer));
         let accepting = shared.clone();
         std::thread::spawn(move || {
             for (connection, stream) in listener.incoming().flatten().enumerate() {
                 let shared = accepting.clone();
-                std::thread::spawn(move || hear(&shared, connection as u64, stream));
+                std::thread::spawn(move || serve_connection(&shared, connection as u64, stream));
             }
         });
         Ok(Dependency { shared, address })
     }
 
-    pub fn change(&self, takes: Duration) {
-        self.shared.lock().takes = takes;
+    /// Changes how long a call takes.
+    pub fn set_call_duration(&self, call_duration: Duration) {
+        self.shared.lock().call_duration = call_duration;
     }
 
-    /// From now on it lives through so many.
-    pub fn lives_through(&self, most: usize) {
-        self.shared.lock().most = most;
+    /// Changes how many calls may be in flight at once.
+    pub fn set_capacity(&self, capacity: usize) {
+        self.shared.lock().capacity = capacity;
     }
 
-    pub fn in_hand(&self) -> usize {
-        self.shared.lock().in_hand.len()
+    /// Calls in flight now.
+    pub fn in_flight(&self) -> usize {
+        self.shared.lock().in_flight.len()
     }
 
+    /// The most calls that were in flight at once.
     pub fn peak(&self) -> usize {
         self.shared.lock().peak
     }
 
-    /// How often there was more than it lives through, and by how much at worst.
-    pub fn passed(&self) -> (usize, usize) {
+    /// How often a call came past the capacity, and by how many at worst.
+    pub fn overloads(&self) -> (usize, usize) {
         let state = self.shared.lock();
-        (state.passed, state.worst)
+        (state.overloads, state.worst_excess)
     }
 
+    /// Calls that came so far.
     pub fn calls(&self) -> u64 {
         self.shared.lock().calls
     }
 
-    /// Calls in hand, summed up over time since the start: by seconds.
+    /// Calls in flight, integrated over time since the start, in call seconds.
     pub fn call_seconds(&self) -> f64 {
         let mut state = self.shared.lock();
-        state.account();
-        state.area
+        state.integrate();
+        state.call_seconds
     }
 }
 
-fn keep_time(shared: &Shared) {
+fn answer_due_calls(shared: &Shared) {
     let mut state = shared.lock();
     loop {
         let next = state.due.peek().map(|Reverse((at, ..))| *at);
         if next.is_some_and(|at| at <= Instant::now()) {
             if let Some(Reverse((_, call, answered))) = state.due.pop() {
-                state.account();
-                let stream = state.in_hand.remove(&call);
+                state.integrate();
+                let stream = state.in_flight.remove(&call);
                 if let Some(stream) = stream {
                     let answer = if answered { "ROWS 4\r\nrows\r\n" } else { "TIMEOUT\r\n" };
                     let mut stream = stream.lock().unwrap_or_else(PoisonError::into_inner);
@@ -148,7 +158,7 @@
     }
 }
 
-fn hear(shared: &Shared, connection: u64, stream: TcpStream) -> Option<()> {
+fn serve_connection(shared: &Shared, connection: u64, stream: TcpStream) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     // A caller that takes nothing does not keep the others waiting.
     stream.set_write_timeout(Some(Duration::from_millis(50))).ok()?;
@@ -161,23 +171,23 @@
         }
         let words: Vec<&str> = line.split_whitespace().collect();
         match words[..] {
-            ["Q", id, within, length] => {
+            ["Q", id, timeout, length] => {
                 let mut body = vec![0; length.parse::<usize>().ok()? + 2];
                 reader.read_exact(&mut body).ok()?;
-                let within = Duration::from_millis(within.parse().ok()?);
+                let timeout = Duration::from_millis(timeout.parse().ok()?);
                 let mut state = shared.lock();
-                state.account();
+                state.integrate();
                 let call = (connection, id.to_owned());
-                state.in_hand.insert(call.clone(), writing.clone());
+                state.in_flight.insert(call.clone(), writing.clone());
                 state.calls += 1;
-                state.came();
-                let (after, answered) = (state.takes.min(within), state.takes <= within);
+                state.record_arrival();
+                let (after, answered) = (state.call_duration.min(timeout), state.call_duration <= timeout);
                 state.due.push(Reverse((Instant::now() + after, call, answered)));
             }
             ["X", id] => {
                 let mut state = shared.lock();
-                state.account();
-                state.in_hand.remove(&(connection, id.to_owned()));
+                state.integrate();
+                state.in_flight.remove(&(connection, id.to_owned()));
             }
             _ => {}
         }
--- a/crates/hazelgrade-fakes/src/executor.rs
+++ b/crates/hazelgrade-fakes/src/executor.rs
@@ -1,4 +1,4 @@
-//! Stands in for the executor: so many cores, jobs in the order that they come, each for its time; a job may stand at a
+//! An executor with a number of cores that runs jobs in order of arrival, each for a fixed time; a job may wait for a
 //! call halfway.
 
 use serde_json::{Value, json};
@@ -9,34 +9,36 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
+/// What jobs need.
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
+pub struct Workload {
+    /// How many jobs run at once.
     pub cores: usize,
-    /// How long a job takes, half of it before its call.
-    pub takes: Duration,
-    /// Jobs stand at a call once.
-    pub calls: bool,
+    /// How long a job takes on a core; half of it comes before its call.
+    pub job_duration: Duration,
+    /// Whether each job makes a call halfway.
+    pub makes_call: bool,
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    AtCall(String),
-    Over(String),
+enum TimerEvent {
+    CallDue(String),
+    JobEnds(String),
 }
 
 struct State {
-    work: Work,
+    workload: Workload,
     free_at: Vec<Instant>,
     link: Option<TcpStream>,
     /// Counts links: a new one replaces the one before, and what comes late on that counts no more.
-    links: u64,
+    link_generation: u64,
     /// All notices, the first with number 1.
     notices: Vec<Value>,
     /// Of the jobs that run, when each began.
     running: BTreeMap<String, Instant>,
     /// How often each job was started.
     runs: BTreeMap<String, u32>,
-    due: BinaryHeap<Reverse<(Instant, Due)>>,
+    due: BinaryHeap<Reverse<(Instant, TimerEvent)>>,
 }
 
 struct Shared {
@@ -44,10 +46,11 @@
     changed: Condvar,
 }
 
-/// Runs until the process ends.
+/// An executor that runs until the process ends. Clones are the same one.
 #[derive(Clone)]
 pub struct Executor {
     shared: Arc<Shared>,
+    /// Where it listens.
     pub address: SocketAddr,
 }
 
@@ -58,13 +61,13 @@
 }
 
 impl State {
-    fn notice(&mut self, mut notice: Value) {
+    fn publish_notice(&mut self, mut notice: Value) {
         notice["cursor"] = json!(self.notices.len() + 1);
-        self.say(&notice);
+        self.send(&notice);
         self.notices.push(notice);
     }
 
-    fn say(&mut self, message: &Value) {
+    fn send(&mut self, message: &Value) {
         if let Some(link) = &mut self.link
             && link.write_all(format!("{message}\n").as_bytes()).is_err()
         {
@@ -73,7 +76,7 @@
     }
 
     /// Gives a part of a job to the core that is free first.
-    fn occupy(&mut self, part: Duration) -> Instant {
+    fn reserve_core(&mut self, part: Duration) -> Instant {
         let now = Instant::now();
         let core = self.free_at.iter_mut().min();
         core.map_or(now + part, |free_at| {
@@ -88,17 +91,20 @@
         }
         *self.runs.entry(id.to_owned()).or_default() += 1;
         self.running.insert(id.to_owned(), Instant::now());
-        let Work { takes, calls, .. } = self.work;
-        let (part, due) =
-            if calls { (takes / 2, Due::AtCall(id.into())) } else { (takes, Due::Over(id.into())) };
-        let at = self.occupy(part);
+        let Workload { job_duration: takes, makes_call: calls, .. } = self.workload;
+        let (part, due) = if calls {
+            (takes / 2, TimerEvent::CallDue(id.into()))
+        } else {
+            (takes, TimerEvent::JobEnds(id.into()))
+        };
+        let at = self.reserve_core(part);
         self.due.push(Reverse((at, due)));
     }
 
-    fn go_on(&mut self, id: &str) {
+    fn resume(&mut self, id: &str) {
         if self.running.contains_key(id) {
-            let at = self.occupy(self.work.takes / 2);
-            self.due.push(Reverse((at, Due::Over(id.into()))));
+            let at = self.reserve_core(self.workload.job_duration / 2);
+            self.due.push(Reverse((at, TimerEvent::JobEnds(id.into()))));
         }
     }
 
@@ -106,19 +112,22 @@
         if let Some(began) = self.running.remove(id) {
             let body = if fate == "good" { "cmVzdWx0" } else { "" };
             let lasted = began.elapsed().as_millis() as u64;
-            self.notice(json!({"event": "EXIT", "handle": id, "fate": fate, "lasted": lasted, "arg": body}));
+            self.publish_notice(
+                json!({"event": "EXIT", "handle": id, "fate": fate, "lasted": lasted, "arg": body}),
+            );
         }
     }
 
-    fn hear(&mut self, command: &Value) {
+    fn handle(&mut self, command: &Value) {
         let id = command["handle"].as_str().unwrap_or_default();
         match command["event"].as_str() {
             Some("EXEC") => self.start(id),
-            Some("RETURN" | "BYPASS") => self.go_on(id),
+            Some("RETURN" | "BYPASS") => self.resume(id),
             Some("KILL") => self.end(id, "cut"),
             Some("METER") => {
-                let used = self.running.len().min(self.work.cores) as f64 / self.work.cores.max(1) as f64;
-                self.say(&json!({"event": "METERS", "ticket": command["ticket"], "figures": [3, used]}));
+                let used =
+                    self.running.len().min(self.workload.cores) as f64 / self.workload.cores.max(1) as f64;
+                self.send(&json!({"event": "METERS", "ticket": command["ticket"], "figures": [3, used]}));
             }
             _ => {}
         }
@@ -126,23 +135,28 @@
 }
 
 impl Executor {
-    pub fn start(work: Work) -> std::io::Result<Executor> {
+    /// Starts it.
+    ///
+    /// # Errors
+    ///
+    /// If no port can be bound.
+    pub fn start(work: Workload) -> std::io::Result<Executor> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let now = Instant::now();
         let state = State {
-            work,
+            workload: work,
             free_at: vec![now; work.cores.max(1)],
             link: None,
-            links: 0,
+            link_generation: 0,
             notices: Vec::new(),
             running: BTreeMap::new(),
             runs: BTreeMap::new(),
             due: BinaryHeap::new(),
         };
         let shared = Arc::new(Shared { state: Mutex::new(state), changed: Condvar::new() });
-        let timing = shared.clone();
-        std::thread::spawn(move || keep_time(&timing));
+        let timer = shared.clone();
+        std::thread::spawn(move || run_timer(&timer));
         let executor = Executor { shared: shared.clone(), address };
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -158,37 +172,38 @@
         self.shared.lock().runs.clone()
     }
 
+    /// Jobs that were started and have not ended.
     pub fn running(&self) -> usize {
         self.shared.lock().running.len()
     }
 
-    /// Other work from now on.
-    pub fn change(&self, work: Work) {
+    /// Changes what jobs need from now on.
+    pub fn set_workload(&self, work: Workload) {
         let mut state = self.shared.lock();
-        state.work = work;
+        state.workload = work;
         state.free_at.resize(work.cores.max(1), Instant::now());
     }
 
-    /// The node is to start anew: its notices are numbered from 1 again, and its runs are gone.
+    /// Forgets jobs and notices, for a node that starts anew: its notices are numbered from 1 again.
     pub fn restart(&self) {
         let mut state = self.shared.lock();
         state.link = None;
-        state.links += 1;
+        state.link_generation += 1;
         state.notices.clear();
         state.running.clear();
         state.due.clear();
     }
 }
 
-fn keep_time(shared: &Shared) {
+fn run_timer(shared: &Shared) {
     let mut state = shared.lock();
     loop {
         let next = state.due.peek().map(|Reverse((at, _))| *at);
         match next {
             Some(at) if at <= Instant::now() => match state.due.pop() {
-                Some(Reverse((_, Due::Over(id)))) => state.end(&id, "good"),
-                Some(Reverse((_, Due::AtCall(id)))) if state.running.contains_key(&id) => {
-                    state.notice(json!({"event": "CALLOUT", "handle": id, "arg": "cXVlcnk="}));
+                Some(Reverse((_, TimerEvent::JobEnds(id)))) => state.end(&id, "good"),
+                Some(Reverse((_, TimerEvent::CallDue(id)))) if state.running.contains_key(&id) => {
+                    state.publish_notice(json!({"event": "CALLOUT", "handle": id, "arg": "cXVlcnk="}));
                 }
                 _ => {}
             },
@@ -203,22 +218,22 @@
 }
 
 fn serve(shared: &Shared, stream: TcpStream) {
-    let Ok(writing) = stream.try_clone() else { return };
+    let Ok(writer) = stream.try_clone() else { return };
     let _ = stream.set_nodelay(true);
-    let (mut writing, mut own) = (Some(writing), 0);
+    let (mut writer, mut own_generation) = (Some(writer), 0);
     for line in BufReader::new(stream).lines() {
         let Ok(Ok(command)) = line.map(|line| serde_json::from_str::<Value>(&line)) else { return };
         let mut state = shared.lock();
         if command["event"] == "JOIN" {
-            state.link = writing.take();
-            state.links += 1;
-            own = state.links;
+            state.link = writer.take();
+            state.link_generation += 1;
+            own_generation = state.link_generation;
             let read = command["cursor"].as_u64().unwrap_or(0) as usize;
-            state.say(&json!({"event": "WELCOME", "fate": "old", "lasted": 1000}));
+            state.send(&json!({"event": "WELCOME", "fate": "old", "lasted": 1000}));
             let missed: Vec<Value> = state.notices.iter().skip(read).cloned().collect();
-            missed.iter().for_each(|notice| state.say(notice));
-        } else if own == state.links {
-            state.hear(&command);
+            missed.iter().for_each(|notice| state.send(notice));
+        } else if own_generation == state.link_generation {
+            state.handle(&command);
         } else {
             return;
         }
--- a/crates/hazelgrade-fakes/src/node.rs
+++ b/crates/hazelgrade-fakes/src/node_process.rs
@@ -1,6 +1,6 @@
-//! A node as a process, with its files.
+//! A node as a process, with its configuration, operator's file and store.
 
-use crate::{SOON, comes_true};
+use crate::{EVENT_TIMEOUT, wait_until};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpStream};
@@ -10,36 +10,47 @@
 
 /// How a node is started.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    /// The program, and the words before `serve`, if any.
+pub struct NodeConfig {
+    /// The program.
     pub program: PathBuf,
-    pub words: Vec<String>,
+    /// Arguments before the sub-command `serve`.
+    pub arguments: Vec<String>,
     /// Where its files go.
-    pub folder: PathBuf,
+    pub directory: PathBuf,
+    /// Its name, also of its files.
     pub name: String,
+    /// Where it listens for callers.
     pub listen: SocketAddr,
+    /// Its executor.
     pub executor: SocketAddr,
+    /// Where its heartbeats go.
     pub registry: SocketAddr,
+    /// What its jobs call; none if they make no calls.
     pub database: Option<SocketAddr>,
+    /// The control services it follows, in order.
     pub control: Vec<SocketAddr>,
     /// The rest of the operator's table `stream`, in TOML.
     pub stream: String,
+    /// Its time to drain, in ms.
     pub stop_ms: u64,
+    /// Its log level; `off` also drops its standard error.
     pub log: String,
 }
 
-/// Sends a signal to a child of ours that was not waited for, so its id is still its own.
-pub fn send(child: &Child, signal: Signal) -> bool {
+/// Sends a signal to a child that was not waited for, so that its id is still its own; `false` if it fails.
+pub fn send_signal(child: &Child, signal: Signal) -> bool {
     let id = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
     id.is_some_and(|id| kill_process(id, signal).is_ok())
 }
 
-pub struct Node {
-    pub plan: Plan,
+/// A running node. It is killed when dropped.
+pub struct NodeProcess {
+    /// What it was started with.
+    pub config: NodeConfig,
     child: Child,
 }
 
-/// The settings without job classes: these are streamed.
+/// The settings without job classes, which are streamed.
 pub fn settings() -> Value {
     json!({
         "classes": [], "customers": [],
@@ -52,20 +63,26 @@
     })
 }
 
-impl Plan {
-    pub fn store(&self) -> PathBuf {
-        self.folder.join(format!("{}.store", self.name))
+impl NodeConfig {
+    /// Where its store is.
+    pub fn store_file(&self) -> PathBuf {
+        self.directory.join(format!("{}.store", self.name))
     }
 
-    pub fn operator(&self) -> PathBuf {
-        self.folder.join(format!("{}.operator.toml", self.name))
+    /// Where its operator's file is.
+    pub fn operator_file(&self) -> PathBuf {
+        self.directory.join(format!("{}.operator.toml", self.name))
     }
 
-    fn configuration(&self) -> PathBuf {
-        self.folder.join(format!("{}.json", self.name))
+    fn config_file(&self) -> PathBuf {
+        self.directory.join(format!("{}.json", self.name))
     }
 
-    /// Writes its files.
+    /// Writes its configuration and its operator's file.
+    ///
+    /// # Errors
+    ///
+    /// If a file cannot be written.
     pub fn write(&self) -> std::io::Result<()> {
         let configuration = json!({
             "name": self.name, "listen": self.listen.to_string(), "seed": "00000000000000ff",
@@ -74,24 +91,28 @@
             "db": self.database.map(|database| database.to_string()),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings()
         });
-        std::fs::write(self.configuration(), configuration.to_string())?;
+        std::fs::write(self.config_file(), configuration.to_string())?;
         let control: Vec<String> = self.control.iter().map(ToString::to_string).collect();
         let operator =
-            format!("[stream]\ncontrol = {control:?}\nstore = {:?}\n{}\n", self.store(), self.stream);
-        std::fs::write(self.operator(), operator)
+            format!("[stream]\ncontrol = {control:?}\nstore = {:?}\n{}\n", self.store_file(), self.stream);
+        std::fs::write(self.operator_file(), operator)
     }
 
     /// Writes its files and starts it.
-    pub fn start(&self) -> std::io::Result<Node> {
+    ///
+    /// # Errors
+    ///
+    /// If a file cannot be written or the program cannot be started.
+    pub fn start(&self) -> std::io::Result<NodeProcess> {
         self.write()?;
-        let child = self.spawn(&self.configuration())?;
-        Ok(Node { plan: self.clone(), child })
+        let child = self.spawn(&self.config_file())?;
+        Ok(NodeProcess { config: self.clone(), child })
     }
 
     fn spawn(&self, configuration: &Path) -> std::io::Result<Child> {
         let mut command = Command::new(&self.program);
-        command.args(&self.words).arg("serve").arg("--config").arg(configuration);
-        command.arg("--operator").arg(self.operator()).args(["--log", &self.log]);
+        command.args(&self.arguments).arg("serve").arg("--config").arg(configuration);
+        command.arg("--operator").arg(self.operator_file()).args(["--log", &self.log]);
         command.env_remove("PROXY_CONFIG").stdin(Stdio::null());
         if self.log == "off" {
             command.stderr(Stdio::null());
@@ -100,7 +121,8 @@
     }
 }
 
-impl Node {
+impl NodeProcess {
+    /// Sends `TERM`, `HUP`, `STOP` or `CONT`, or `KILL` for any other name; `false` if it fails.
     pub fn signal(&self, name: &str) -> bool {
         let signal = match name {
             "TERM" => Signal::TERM,
@@ -109,51 +131,57 @@
             "CONT" => Signal::CONT,
             _ => Signal::KILL,
         };
-        send(&self.child, signal)
+        send_signal(&self.child, signal)
     }
 
-    /// How it ended, if it has; without waiting.
-    pub fn has_ended(&mut self) -> Option<ExitStatus> {
+    /// How it ended, if it has; does not wait.
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Killed outright.
+    /// Kills it and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Started again with the files it had.
-    pub fn start_again(&mut self) -> std::io::Result<()> {
+    /// Kills it if it runs, and starts it with the files it has.
+    ///
+    /// # Errors
+    ///
+    /// If the program cannot be started.
+    pub fn restart(&mut self) -> std::io::Result<()> {
         self.kill();
-        self.child = self.plan.spawn(&self.plan.configuration())?;
+        self.child = self.config.spawn(&self.config.config_file())?;
         Ok(())
     }
 
+    /// Its process.
     pub fn process(&self) -> &Child {
         &self.child
     }
 
+    /// Whether it has not ended.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// How it ended, once it has ended by itself.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    /// Waits until it has ended by itself; none if it does not in time.
+    pub fn wait_for_exit(&mut self) -> Option<ExitStatus> {
         let mut status = None;
-        comes_true(SOON, || {
+        wait_until(EVENT_TIMEOUT, || {
             status = self.child.try_wait().ok().flatten();
             status.is_some()
         });
         status
     }
 
-    /// What it says to a health check; none if it can't be reached in time.
-    pub fn check(&self) -> Option<bool> {
+    /// What it answers to a health check; none if it cannot be reached in time.
+    pub fn health_check(&self) -> Option<bool> {
         use std::io::{BufRead, BufReader, Write};
         let mut stream = None;
-        comes_true(SOON, || {
-            stream = TcpStream::connect(self.plan.listen).ok();
+        wait_until(EVENT_TIMEOUT, || {
+            stream = TcpStream::connect(self.config.listen).ok();
             stream.is_some()
         });
         let stream = stream?;
@@ -164,13 +192,13 @@
         serde_json::from_str::<Value>(&line).ok()?["result"]["up"].as_bool()
     }
 
-    /// Waits until it is ready, or not.
-    pub fn becomes(&self, ready: bool) -> bool {
-        comes_true(SOON, || self.check() == Some(ready))
+    /// Waits until its health check answers `ready`; `false` if it does not in time.
+    pub fn wait_until_ready(&self, ready: bool) -> bool {
+        wait_until(EVENT_TIMEOUT, || self.health_check() == Some(ready))
     }
 }
 
-impl Drop for Node {
+impl Drop for NodeProcess {
     fn drop(&mut self) {
         self.kill();
     }
