--- a/crates/hazelgrade/src/api/job.rs
+++ b/crates/hazelgrade/src/api/job.rs
@@ -1,65 +1,65 @@
-//! Jobs as the host reads them, and how their runs and calls end.
+//! Jobs as the host reads them, and the outcomes of their runs and calls.
 
 use crate::time::{Span, Time};
 use std::rc::Rc;
 
-/// A job's id, as the host gave it; unique among the jobs in flight.
+/// The id that the host assigned to a job; unique among the jobs in flight.
 pub type JobId = Rc<str>;
 
-/// A job that has been read from its caller.
+/// A job that the host has read from a caller.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Unique among the jobs in flight.
+    /// The id of the job, unique among the jobs in flight.
     pub id: JobId,
-    /// Index of its class in the settings.
+    /// Index of the job class in the settings.
     pub job_class: usize,
-    /// Index of its tenant in the settings.
+    /// Index of the tenant in the settings.
     pub tenant: usize,
-    /// When it reached the machine, which may be long before it was read.
+    /// When the job reached the machine, which may be long before the host read the job.
     pub received_at: Time,
-    /// When its caller stops waiting, if the caller states it; otherwise the deadline of its class applies.
+    /// When the caller stops waiting, if the caller states a deadline; otherwise the deadline of the class applies.
     pub caller_deadline: Option<Time>,
-    /// Expected time on a standard core, if the caller states it.
+    /// Expected time on a standard core, if the caller states one.
     pub expected_work: Option<Span>,
-    /// Memory that it takes while queued, in kilobytes.
+    /// Memory that the job occupies while queued, in kilobytes.
     pub queued_kb: f64,
-    /// Its rank by priority weight among all jobs, from 0 up to less than 1.
+    /// Rank of the job by priority weight among all jobs, from 0 (inclusive) to 1 (exclusive).
     pub priority_rank: f64,
-    /// Known to be a retry or a hedged request.
+    /// Whether the job is known to be a retry or a hedged request.
     pub is_retry: bool,
-    /// The earlier job of which this one is a retry, where that is known.
+    /// The earlier job of which this job is a retry, if known.
     pub retry_of: Option<JobId>,
-    /// A job of its caller has run before, so what it sends is evidence of the load.
+    /// Whether an earlier job of the same caller has run. Only jobs of known callers count in load measurements.
     pub from_known_caller: bool,
-    /// Its caller is over its rate limit, so the job's priority weight is reduced.
+    /// Whether the caller exceeds its rate limit, which reduces the job's priority weight.
     pub over_caller_limit: bool,
-    /// Set if a budget that all servers share has nothing left for it: the time until there may be more.
+    /// Time until a budget that all servers share may have units for the job; set only if the budget is exhausted.
     pub lease_retry_after: Option<Span>,
 }
 
-/// How a run or a call ended.
+/// The outcome of a run or of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It succeeded.
+    /// The run or call succeeded.
     Completed,
-    /// It ran and failed.
+    /// The run or call executed and failed.
     Failed,
-    /// The dependency rejected it before it ran.
+    /// The dependency rejected the call before executing any of it.
     Rejected,
-    /// No reply came in time; it may have had its effect.
+    /// No reply arrived before the timeout; the call may have had its effect.
     TimedOut,
-    /// No connection could be made: nothing ran.
+    /// No connection could be established, so nothing was executed.
     Unreachable,
-    /// The connection was lost; it may have had its effect.
+    /// The connection was lost; the run or call may have had its effect.
     ConnectionLost,
-    /// The run was cancelled or preempted before its end.
+    /// The run was cancelled or preempted before completion.
     Cancelled,
-    /// Nothing started: the job was already over.
+    /// Nothing was executed, because the job had already ended.
     Superseded,
 }
 
 impl Outcome {
-    /// Whether it is certain that nothing ran.
+    /// Whether the outcome guarantees that nothing was executed.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::Unreachable | Outcome::Superseded)
     }
--- a/crates/hazelgrade/src/api/mod.rs
+++ b/crates/hazelgrade/src/api/mod.rs
@@ -1,5 +1,5 @@
-//! The controller's interface: jobs and how they end, its settings, leases of calls, and the sink that
-//! takes its decisions. Nothing here decides.
+//! The interface of the controller: jobs and their outcomes, settings, call leases, and the sink for decisions. This
+//! module contains data types only; the rules are in the other modules.
 
 mod decisions;
 mod job;
--- a/crates/hazelgrade/src/api/settings.rs
+++ b/crates/hazelgrade/src/api/settings.rs
@@ -1,5 +1,5 @@
-//! The settings of a controller: job classes, tenants, the machine, the service's limits, the dependency and
-//! its callers.
+//! The settings of a controller: job classes, tenants, the machine, the limits of the service, the dependency and the
+//! callers.
 
 use crate::time::Span;
 use std::fmt::{self, Display, Formatter};
@@ -7,11 +7,11 @@
 /// Whether a job of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run again at any time.
+    /// A job may run again at any time.
     Idempotent,
-    /// Retries carry an idempotency key: within the retry window it runs once, and retries share its result.
+    /// Retries carry an idempotency key: a job runs once within the retry window, and its retries share the result.
     Keyed,
-    /// It must not run again once it has been started.
+    /// A job must not run again after it has been started.
     AtMostOnce,
 }
 
@@ -25,144 +25,145 @@
     }
 }
 
-/// What jobs of one kind are worth, when they are due and what they may do.
+/// The priority weight, deadlines and permissions that jobs of one kind have in common.
 #[derive(Clone, Debug)]
 pub struct JobClass {
-    /// An answer within this time of the job's receipt has full weight.
+    /// An answer within this time of the job's receipt counts with the full priority weight.
     pub latency_objective: Span,
-    /// The latency objective grows by this ratio of the job's expected work.
+    /// Ratio of the job's expected work that is added to the latency objective.
     pub objective_per_work: f64,
-    /// A final answer is due within this time of the job's receipt, where the caller states no deadline.
+    /// Time from the job's receipt within which the final answer is due, unless the caller states a deadline.
     pub deadline: Span,
-    /// What a success is worth, in any unit common to all classes.
+    /// Relative value of a success, in any unit that all classes share.
     pub priority_weight: f64,
-    /// Ratio of the priority weight that is left after the latency objective, 0 to 1.
+    /// Ratio of the priority weight that remains after the latency objective has passed, 0 to 1.
     pub late_weight_ratio: f64,
-    /// Whether it may run more than once.
+    /// Whether a job may run more than once.
     pub idempotency: Idempotency,
-    /// How long after a keyed job's receipt a retry of it may come.
+    /// Time after a keyed job's receipt within which a retry of the job may arrive.
     pub retry_window: Span,
-    /// Whether its jobs may call the dependency.
+    /// Whether jobs of this class may call the dependency.
     pub calls_dependency: bool,
-    /// Ratio of the priority weight when its call was left out, 0 to 1; 0 where it must not be left out.
+    /// Ratio of the priority weight of an answer without the call, 0 to 1; 0 if the call must not be skipped.
     pub weight_ratio_without_call: f64,
 }
 
-/// A customer that jobs are run for.
+/// A customer on whose behalf jobs run.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Jobs a second over the whole fleet that have full weight.
+    /// Jobs per second over the whole fleet that have the full priority weight.
     pub quota_per_s: f64,
 }
 
-/// The machine that a server runs on.
+/// The machine on which a server runs.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Cores, 1 or more.
+    /// Number of cores, at least 1.
     pub cores: f64,
     /// Memory for jobs and idempotency records, in kilobytes.
     pub memory_kb: f64,
-    /// Memory of a running job as a ratio of that of a queued one.
+    /// Memory of a running job as a ratio of the memory of the same job while queued.
     pub running_memory_ratio: f64,
     /// Memory of an idempotency record, in kilobytes.
     pub record_kb: f64,
-    /// Whether it has just started, and is slow until it has warmed up.
+    /// Whether the machine has just started and is slow until its warm-up is complete.
     pub cold: bool,
-    /// What cancelling a run does.
+    /// The effect of cancelling a run.
     pub cancellation: Cancellation,
-    /// The shortest time between two rounds.
+    /// Shortest time between two rounds.
     pub tick: Span,
 }
 
-/// What cancelling a run does.
+/// The effect of cancelling a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cancellation {
     /// Runs cannot be cancelled.
     Unsupported,
-    /// The run ends and what it did is lost.
+    /// The run ends and its progress is lost.
     Discards,
-    /// The run ends and may be started again from where it was.
+    /// The run ends, and the job may be started again from the point that the run had reached.
     Requeues,
 }
 
-/// The figures that the service's rules are based on.
+/// The limits of the service within which the controller must keep.
 #[derive(Clone, Debug)]
 pub struct ServiceLimits {
-    /// How long after its deadline an answer still counts.
+    /// Time after the deadline during which an answer still counts.
     pub answer_slack: Span,
-    /// Speed of a cold machine as a ratio of a warm one's.
+    /// Speed of a cold machine as a ratio of the speed of a warm machine.
     pub cold_speed_ratio: f64,
-    /// How long a cold machine takes to warm up.
+    /// Time that a cold machine takes to warm up.
     pub warm_up: Span,
-    /// Jobs that are received within this time of the drain's notice may still be admitted.
+    /// Time after the notice of a drain during which a received job may still be admitted.
     pub drain_grace: Span,
-    /// Jobs per core that a warm machine withstands, averaged over some seconds; 1 or more.
+    /// Jobs per core that a warm machine can sustain, averaged over several seconds; at least 1.
     pub max_jobs_per_core: f64,
 }
 
-/// What jobs call.
+/// The service that jobs call.
 #[derive(Clone, Debug)]
 pub struct Dependency {
-    /// Calls that this server may have in flight there, averaged over `max_calls_window`; `None` where no limit is set.
+    /// Calls that this server may have in flight at the dependency, averaged over `max_calls_window`; `None` if
+    /// there is no limit.
     pub max_calls: Option<f64>,
-    /// Time over which calls in flight are averaged.
+    /// Period over which the calls in flight are averaged.
     pub max_calls_window: Span,
-    /// How long a call that was given up may stay there.
+    /// Longest time that an abandoned call may keep occupying the dependency.
     pub linger: Span,
 }
 
-/// What callers do with the load signal that is published to them.
+/// How callers interpret the load signal that the server publishes to them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadSignal {
-    /// Nothing is published.
+    /// No load signal is published.
     Silent,
-    /// They send nothing whose priority rank is below it.
+    /// Callers send no job whose priority rank is below the load signal.
     Level,
-    /// Each keeps at most that many jobs in flight here.
+    /// Each caller keeps at most as many jobs in flight at this server as the load signal says.
     Credit,
-    /// The probability with which a caller that has chosen this server sends to it.
+    /// A caller that has chosen this server sends the job with the probability that the load signal gives.
     Weight,
 }
 
-/// What is known about the callers.
+/// The properties of the callers that the controller takes into account.
 #[derive(Clone, Debug)]
 pub struct CallerSettings {
-    /// How many there are, 1 or more.
+    /// Number of callers, at least 1.
     pub count: f64,
-    /// What they do with the load signal.
+    /// How callers interpret the load signal.
     pub signal: LoadSignal,
-    /// How long a load signal is valid for them.
+    /// Time during which a published load signal is valid for a caller.
     pub signal_lifetime: Span,
-    /// The longest retry-after that they heed.
+    /// Longest retry-after that callers honour.
     pub max_retry_after: Span,
-    /// Whether their retries are marked as such.
+    /// Whether callers mark their retries as such.
     pub mark_retries: bool,
-    /// Servers in the fleet when this one started, itself included.
+    /// Number of servers in the fleet when this server started, including this server.
     pub fleet_size: f64,
-    /// Ratio of the priority weight for a tenant's jobs beyond its quota, 0 to 1.
+    /// Ratio of the priority weight that a tenant's jobs beyond its quota have, 0 to 1.
     pub over_quota_weight_ratio: f64,
 }
 
-/// A job class at its index; one that is no longer in use keeps its index while jobs in flight may name it.
+/// A job class at a fixed index. A class that is no longer in use keeps its index while jobs in flight may refer to it.
 #[derive(Clone, Debug)]
 pub struct ClassSlot {
     /// The class.
     pub class: JobClass,
-    /// Whether new jobs may name it.
+    /// Whether new jobs may refer to the class.
     pub in_use: bool,
 }
 
-/// Settings that replace those in effect, by index: at least as many classes and tenants as before.
+/// Settings that replace the current ones by index. There must be at least as many classes and tenants as before.
 #[derive(Clone, Debug)]
 pub struct SettingsUpdate {
     /// All job classes.
     pub job_classes: Vec<ClassSlot>,
     /// All tenants.
     pub tenants: Vec<Tenant>,
-    /// The service's limits.
+    /// The limits of the service.
     pub limits: ServiceLimits,
-    /// Indexes that now refer to another class: what was learned about the earlier one is forgotten.
+    /// Indexes that now refer to another class; statistics of the earlier class are discarded.
     pub reset_classes: Vec<usize>,
-    /// Indexes that now refer to another tenant: use of the earlier one's quota is forgotten.
+    /// Indexes that now refer to another tenant; the quota usage of the earlier tenant is discarded.
     pub reset_tenants: Vec<usize>,
 }
