--- a/crates/hazelgrade/src/controller/admission.rs
+++ b/crates/hazelgrade/src/controller/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: what becomes of a job that was just read.
+//! Admission of jobs that have just been read.
 
 use super::Controller;
 use crate::api::{Decisions, Idempotency, JobId};
@@ -6,37 +6,44 @@
 use crate::rejection::GiveUp;
 use crate::time::{Span, Time};
 
-/// Unmarked retries are received at least this ratio of their class's deadline after the request that they repeat.
-const RETRY_GAP_RATIO: f64 = 0.05;
+/// Shortest gap between the receipt of a request and the receipt of an unmarked retry of the request, as a ratio of the
+/// class's deadline.
+const MIN_RETRY_GAP_RATIO: f64 = 0.05;
 
 impl Controller {
-    /// Decides on a job that was just read: it waits for the job that it repeats, is given up, or stays in the run
-    /// queue.
+    /// Decides on a job that has just been read: the job waits for the result of the job of which it is a retry, is
+    /// given up, or stays in the run queue.
     pub(super) fn admit(&mut self, now: Time, id: &JobId, decisions: &mut dyn Decisions) {
-        if !self.admit_keyed(now, id, decisions) {
+        if !self.link_or_record_keyed(now, id, decisions) {
             return;
         }
-        if !self.admitted_by_drain(now, id) {
-            let give_up = GiveUp::Retry { retry_after: Span::ZERO, elsewhere: true };
+        if !self.is_admissible_in_drain(now, id) {
+            let give_up = GiveUp::Retry { retry_after: Span::ZERO, capacity_elsewhere: true };
             return self.give_up(now, id, give_up, decisions);
         }
         let Some(tracked) = self.jobs.get(id) else { return };
         if let Some(retry_after) = tracked.job.lease_retry_after {
             decisions.limited_by_lease(id);
-            return self.give_up(now, id, GiveUp::Retry { retry_after, elsewhere: false }, decisions);
+            return self.give_up(
+                now,
+                id,
+                GiveUp::Retry { retry_after, capacity_elsewhere: false },
+                decisions,
+            );
         }
-        self.admit_by_call_queue(now, id, decisions);
+        self.reject_if_call_queue_full(now, id, decisions);
     }
 
-    /// Links a keyed job to the one that it repeats, or stores a record of it. Returns whether the job is still to be
-    /// decided on; jobs of other classes always are.
-    fn admit_keyed(&mut self, now: Time, id: &JobId, decisions: &mut dyn Decisions) -> bool {
+    /// Links a keyed retry to its original job, or stores an idempotency record for a new keyed job. Returns whether
+    /// the admission of the job is still to be decided, which is always so for jobs of other classes.
+    fn link_or_record_keyed(&mut self, now: Time, id: &JobId, decisions: &mut dyn Decisions) -> bool {
         let Some(tracked) = self.jobs.get(id) else { return false };
         if tracked.class.idempotency != Idempotency::Keyed {
             return true;
         }
         self.records.remove_outdated(now);
-        // Two jobs that were read in one batch may name each other: the first has no record yet and is admitted.
+        // Two jobs that were read in one batch may each name the other as the original. The first one has no record yet
+        // and is admitted.
         let is_original = |prior: &JobId| self.records.contains(prior) || !self.jobs.contains(prior);
         if tracked.job.retry_of.as_ref().is_some_and(is_original) {
             decisions.await_original(id);
@@ -44,8 +51,8 @@
             return false;
         }
         let retry_window = tracked.class.retry_window;
-        if self.may_repeat_started(tracked) {
-            let give_up = GiveUp::Retry { retry_after: retry_window, elsewhere: true };
+        if self.may_duplicate_run(tracked) {
+            let give_up = GiveUp::Retry { retry_after: retry_window, capacity_elsewhere: true };
             self.give_up(now, id, give_up, decisions);
             return false;
         }
@@ -58,8 +65,8 @@
         true
     }
 
-    /// Whether a drain, if there is one, leaves time for the job.
-    fn admitted_by_drain(&mut self, now: Time, id: &JobId) -> bool {
+    /// Returns whether the job can still be answered in time; always true without a drain.
+    fn is_admissible_in_drain(&mut self, now: Time, id: &JobId) -> bool {
         let (Some(drain), Some(tracked)) = (self.drain, self.jobs.get(id)) else { return true };
         if !drain.in_grace(tracked.job.received_at, &self.limits) {
             return false;
@@ -68,8 +75,8 @@
         now + self.service_times.run_time(now, tracked.job.job_class) <= latest_answer
     }
 
-    /// Rejects a job that calls the dependency while the call queue is full.
-    fn admit_by_call_queue(&mut self, now: Time, id: &JobId, decisions: &mut dyn Decisions) {
+    /// Rejects a job of a class that calls the dependency if the call queue is full.
+    fn reject_if_call_queue_full(&mut self, now: Time, id: &JobId, decisions: &mut dyn Decisions) {
         let Some(tracked) = self.jobs.get(id) else { return };
         if !tracked.class.calls_dependency {
             return;
@@ -78,25 +85,25 @@
         if !self.call_limiter.is_queue_full(now, time_budget) {
             return;
         }
-        // A lease that is used up here may have something left at another server.
+        // The lease of another server may still have calls left, so the caller may try elsewhere.
         let by_lease = self.call_limiter.is_limited_by_lease(now);
         let mut lease_retry_after = Span::ZERO;
         if by_lease {
-            lease_retry_after = self.call_limiter.rejected_by_lease(now);
+            lease_retry_after = self.call_limiter.record_lease_rejection(now);
             decisions.limited_by_lease(id);
         }
         let retry_after = self.call_limiter.wait_budget(now, time_budget).max(lease_retry_after);
-        self.give_up(now, id, GiveUp::Retry { retry_after, elsewhere: by_lease }, decisions);
+        self.give_up(now, id, GiveUp::Retry { retry_after, capacity_elsewhere: by_lease }, decisions);
     }
 
-    /// Whether a job that no record is linked to may repeat a keyed job that has run.
-    pub(super) fn may_repeat_started(&self, tracked: &TrackedJob) -> bool {
-        let min_gap = tracked.class.deadline * RETRY_GAP_RATIO;
-        let marked = self.callers.mark_retries;
-        self.records.may_repeat_started(&tracked.job, tracked.stage_since, marked, min_gap)
+    /// Returns whether a job that is linked to no idempotency record may duplicate a keyed job that has run.
+    pub(super) fn may_duplicate_run(&self, tracked: &TrackedJob) -> bool {
+        let min_gap = tracked.class.deadline * MIN_RETRY_GAP_RATIO;
+        let retries_marked = self.callers.mark_retries;
+        self.records.may_duplicate_run(&tracked.job, tracked.stage_since, retries_marked, min_gap)
     }
 
-    /// Moves a job to another stage.
+    /// Moves a job to the given stage.
     pub(super) fn enter(&mut self, now: Time, id: &JobId, stage: Stage) {
         if let Some(tracked) = self.jobs.get_mut(id) {
             tracked.enter(now, stage);
--- a/crates/hazelgrade/src/controller/events.rs
+++ b/crates/hazelgrade/src/controller/events.rs
@@ -1,14 +1,14 @@
-//! The events since the last round, as the host reports them to the controller.
+//! The events since the last round, which the host reports to the controller.
 
 use super::Controller;
 use crate::api::{CallLease, Job, JobId, Outcome};
-use crate::call_limiter::CallEnding;
+use crate::call_limiter::CallEnd;
 use crate::deadline::Deadlines;
 use crate::drain::Drain;
 use crate::job_table::{Stage, TrackedJob};
 use crate::time::{Span, Time};
 
-/// Takes the events of a round, in the order in which they happened.
+/// Accepts the events of a round, in the order in which they happened.
 pub struct EventSink<'a> {
     controller: &'a mut Controller,
     now: Time,
@@ -19,12 +19,12 @@
         EventSink { controller, now }
     }
 
-    /// A job was read. One whose class the settings don't name is ignored.
+    /// Reports that a job was read. A job whose class is not in the settings is ignored.
     pub fn job_arrived(&mut self, job: Job) {
         let now = self.now;
         let controller = &mut *self.controller;
         let Some(class) = controller.job_classes.get(job.job_class).cloned() else { return };
-        controller.learn_from_arrival(now, &job);
+        controller.record_arrival_statistics(now, &job);
         let deadlines = Deadlines::new(&job, &class, &controller.limits);
         let tracked = TrackedJob {
             sequence: controller.next_sequence(),
@@ -33,7 +33,7 @@
             stage_since: now,
             core_time: Span::ZERO,
             latest_answer: deadlines.latest_answer,
-            objective: deadlines.objective,
+            objective_deadline: deadlines.objective_deadline,
             answered: false,
             has_run: false,
             call_attempts: 0,
@@ -46,7 +46,8 @@
         controller.jobs.insert(tracked);
     }
 
-    /// A run ended after `took`. A job whose run was cancelled before it was answered is queued again.
+    /// Reports that a run ended after `took`. If the run was cancelled before the job was answered, the job is queued
+    /// again.
     pub fn run_ended(&mut self, id: &JobId, outcome: Outcome, took: Span) {
         let now = self.now;
         let controller = &mut *self.controller;
@@ -55,7 +56,7 @@
         match tracked.stage {
             Stage::AwaitingCallPermit => controller.call_limiter.remove_queued(id),
             Stage::CallInFlight => {
-                controller.call_limiter.call_finished(now, stage_time, CallEnding::GivenUp);
+                controller.call_limiter.call_finished(now, stage_time, CallEnd::Abandoned);
             }
             Stage::Running => tracked.core_time += stage_time,
             Stage::Queued | Stage::AwaitingOriginal => return,
@@ -65,12 +66,12 @@
             tracked.stage_since = now;
             controller.jobs.insert(tracked);
         } else if outcome == Outcome::Completed {
-            controller.run_limiter.run_completed();
+            controller.run_limiter.record_completion();
             controller.service_times.record(now, tracked.job.job_class, tracked.core_time, took);
         }
     }
 
-    /// A run has come to a call and waits.
+    /// Reports that a run has requested a call and waits for the reply.
     pub fn call_requested(&mut self, id: &JobId) {
         let now = self.now;
         let Some(tracked) = self.controller.jobs.get_mut(id) else { return };
@@ -83,7 +84,8 @@
         self.controller.undecided.push(id.clone());
     }
 
-    /// A call ended after `took`. Unless it completed, the run still waits for it, and it may be made again.
+    /// Reports that a call ended after `took`. Unless the call completed, the run still waits, and the call may be
+    /// attempted again.
     pub fn call_ended(&mut self, id: &JobId, outcome: Outcome, took: Span) {
         let now = self.now;
         let controller = &mut *self.controller;
@@ -91,16 +93,16 @@
         if tracked.stage != Stage::CallInFlight {
             return;
         }
-        let ending = match outcome {
-            Outcome::TimedOut => CallEnding::GivenUp,
-            Outcome::ConnectionLost => CallEnding::ConnectionLost { timeout: tracked.call_timeout },
-            _ => CallEnding::Over,
+        let end = match outcome {
+            Outcome::TimedOut => CallEnd::Abandoned,
+            Outcome::ConnectionLost => CallEnd::ConnectionLost { timeout: tracked.call_timeout },
+            _ => CallEnd::Finished,
         };
-        controller.call_limiter.call_finished(now, took, ending);
+        controller.call_limiter.call_finished(now, took, end);
         if !outcome.never_ran() && outcome != Outcome::ConnectionLost {
             controller.call_limiter.record_latency(now, took);
         }
-        // Not `TrackedJob::enter`, which would reset the attempts at this call.
+        // `TrackedJob::enter` would reset the number of attempts at this call, so the stage is set directly.
         tracked.stage_since = now;
         if outcome == Outcome::Completed {
             tracked.stage = Stage::Running;
@@ -112,7 +114,7 @@
         }
     }
 
-    /// The caller no longer waits for an answer.
+    /// Reports that the caller no longer waits for the answer of a job.
     pub fn caller_disconnected(&mut self, id: &JobId) {
         let controller = &mut *self.controller;
         let Some(tracked) = controller.jobs.get_mut(id) else { return };
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Notice was given that the process will be stopped at `stops_at`; later notices change nothing.
+    /// Reports the notice that the process will be stopped at `stops_at`. Later notices are ignored.
     pub fn drain_started(&mut self, stops_at: Time) {
         self.controller.drain.get_or_insert(Drain { notified_at: self.now, stops_at });
         self.controller.load_signal.update_at_once();
@@ -137,19 +139,20 @@
         self.controller.call_limiter.set_lease(lease);
     }
 
-    /// A timer fired; `cores_used` is the ratio of the cores in use, 0 to 1, where the host can measure it.
+    /// Reports that a timer fired. `cores_used` is the ratio of the cores in use, 0 to 1, if the host can measure the
+    /// ratio.
     pub fn timer_fired(&mut self, token: u64, cores_used: Option<f64>) {
         if let Some(cores_used) = cores_used {
-            self.controller.run_limiter.cores_measured(self.now, cores_used);
+            self.controller.run_limiter.record_core_use(self.now, cores_used);
         }
         self.controller.timer = self.controller.timer.filter(|timer| timer.token != token);
     }
 }
 
 impl Controller {
-    /// Learns from a job's arrival how long jobs wait unread, how many are retries and what its tenant uses of its
-    /// quota. Jobs of unknown callers may be made up, and the host reads them late on purpose, so they don't count.
-    fn learn_from_arrival(&mut self, now: Time, job: &Job) {
+    /// Updates the statistics of unread time, retries and quota usage with the arrival of a job. Jobs of unknown
+    /// callers don't count, as such jobs may be forged and the host delays reading them on purpose.
+    fn record_arrival_statistics(&mut self, now: Time, job: &Job) {
         if job.from_known_caller {
             let unread = now.since(job.received_at);
             self.run_limiter.job_read(now, unread);
--- a/crates/hazelgrade/src/controller/mod.rs
+++ b/crates/hazelgrade/src/controller/mod.rs
@@ -1,20 +1,20 @@
-//! The controller: decides for one server which jobs it admits, runs and rejects.
+//! The controller, which decides for one server which jobs to admit, run and reject.
 //!
-//! The host calls [`Controller::round`] once per batch: a closure reports the events to the [`EventSink`], in order,
-//! then the controller writes its decisions to a [`Decisions`] sink. This file shows the order of the rules; each rule
-//! has its own module:
+//! The host calls [`Controller::round`] once per batch of events. A closure reports the events in order to the
+//! [`EventSink`]; then the controller writes its decisions to a [`Decisions`] sink. [`Controller::round`] defines the
+//! order in which the rules apply; each rule has its own module:
 //!
 //! | rule | module |
 //! | --- | --- |
-//! | calls to the dependency: permits, bounded queue, wait budget | `call_limiter` |
-//! | how many jobs run at once | `run_limiter` |
-//! | which queued job runs next; quotas | `run_queue` |
-//! | when an answer is due, until when a call is waited for | `deadline` |
-//! | reject or fail; retry-after; "not elsewhere" | `rejection` |
-//! | keyed jobs run once | `deduplication` |
-//! | memory in use, and what is shed | `memory` |
-//! | jobs that the cores withstand, warm-up | `host_load` |
-//! | load signal, health | `load_signal`, `health` |
+//! | limit on calls to the dependency: permits, bounded queue, wait budget | `call_limiter` |
+//! | limit on concurrent runs | `run_limiter` |
+//! | order of the queued jobs; quotas | `run_queue` |
+//! | deadlines of answers and calls | `deadline` |
+//! | rejection or failure; retry-after; whether other servers have capacity | `rejection` |
+//! | deduplication of keyed jobs | `deduplication` |
+//! | memory in use; limits for starting and shedding jobs | `memory` |
+//! | number of jobs that the cores can sustain; warm-up | `host_load` |
+//! | load signal; health | `load_signal`, `health` |
 //! | graceful shutdown | `drain` |
 
 mod admission;
@@ -47,16 +47,16 @@
 use crate::timescales::Timescales;
 use std::rc::Rc;
 
-/// A timer that the host was asked to set.
+/// A timer that the host has been asked to set.
 #[derive(Clone, Copy)]
 struct Timer {
     at: Time,
     token: u64,
 }
 
-/// Decides for one server which jobs it admits, runs and rejects.
+/// Decides for one server which jobs to admit, run and reject.
 ///
-/// It reads no clock and does no input or output: the same settings, seed and events give the same decisions.
+/// The controller reads no clock and performs no I/O: the same settings, seed and events give the same decisions.
 pub struct Controller {
     job_classes: Vec<Rc<JobClass>>,
     machine: Machine,
@@ -64,13 +64,13 @@
     callers: CallerSettings,
     timescales: Timescales,
     random: MultiplyWithCarry,
-    /// Numbers jobs and timers.
+    /// The last number given to a job or a timer.
     sequence: u64,
-    /// When the first round began.
+    /// Time of the first round.
     started_at: Option<Time>,
 
     jobs: JobTable,
-    /// Jobs with an event in this round that are still to be decided on.
+    /// Jobs with an event in this round that still need a decision.
     undecided: Vec<JobId>,
     records: IdempotencyRecords,
     call_limiter: CallLimiter,
@@ -85,7 +85,7 @@
 }
 
 impl Controller {
-    /// The controller of a server that has just started. `random` is seeded for this server.
+    /// Creates the controller of a server that has just started. The seed of `random` must be specific to this server.
     pub fn new(
         job_classes: Vec<JobClass>,
         tenants: Vec<Tenant>,
@@ -121,21 +121,21 @@
         }
     }
 
-    /// One round: takes in all events, then writes the decisions.
+    /// Executes one round: accepts all events, then writes the decisions.
     pub fn round(&mut self, now: Time, events: impl FnOnce(&mut EventSink), decisions: &mut dyn Decisions) {
         self.started_at.get_or_insert(now);
         events(&mut EventSink::new(self, now));
         self.publish_load(now, decisions);
         self.decide_on_events(now, decisions);
         self.skip_late_calls(now, decisions);
-        self.give_up_worthless(now, decisions);
+        self.give_up_expired(now, decisions);
         self.start_calls(now, decisions);
         self.start_runs(now, decisions);
         self.shed_memory(now, decisions);
         self.set_timer(now, decisions);
     }
 
-    /// Decides on the jobs that had an event since the last round.
+    /// Decides on each job that had an event since the last round.
     fn decide_on_events(&mut self, now: Time, decisions: &mut dyn Decisions) {
         for id in std::mem::take(&mut self.undecided) {
             match self.jobs.get(&id).map(|tracked| tracked.stage) {
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Calls that this server has in flight at the dependency, and would have with a larger lease.
+    /// Returns the calls that this server has in flight at the dependency, and those that it would have with a larger
+    /// lease.
     pub fn call_demand(&mut self, now: Time) -> CallDemand {
         self.call_limiter.demand(now, self.timescales.learning_window)
     }
@@ -157,45 +158,45 @@
         self.sequence
     }
 
-    /// Until when answers may be given in a drain.
+    /// Returns until when answers may be sent in a drain; `None` without a drain.
     fn drain_deadline(&self) -> Option<Time> {
         self.drain.map(|drain| drain.answer_deadline(&self.limits, self.machine.tick))
     }
 
-    /// When a job's answer must be given at the latest, also in a drain.
+    /// Returns the latest time for the answer of a job, taking a drain into account.
     fn latest_answer(&self, tracked: &TrackedJob) -> Time {
         deadline::latest_answer(tracked, self.drain_deadline())
     }
 
-    /// When a job's answer stops being worth anything.
-    fn worthless_from(&self, tracked: &TrackedJob) -> Time {
-        deadline::worthless_from(tracked, self.drain_deadline())
+    /// Returns when the answer of a job loses all its value.
+    fn expires_at(&self, tracked: &TrackedJob) -> Time {
+        deadline::expires_at(tracked, self.drain_deadline())
     }
 
-    /// How long a call of this job may take in all.
+    /// Returns the total time that a call of this job may take, including the wait in the call queue.
     fn call_time_budget(&self, now: Time, tracked: &TrackedJob) -> Span {
-        deadline::call_time_budget(tracked, now, self.worthless_from(tracked))
+        deadline::call_time_budget(tracked, now, self.expires_at(tracked))
     }
 
-    /// Jobs that the cores withstand now, at the slowest warm-up allowed for.
+    /// Returns the number of jobs that the cores can sustain now, assuming the slowest warm-up that the limits allow.
     fn max_jobs_on_cores(&self, now: Time) -> f64 {
         let uptime = self.started_at.map_or(Span::ZERO, |started_at| now.since(started_at));
         host_load::max_jobs_on_cores(&self.machine, &self.limits, uptime)
     }
 
-    /// Jobs on the cores, and those that may come back to them from a call.
+    /// Returns the number of jobs that use the cores or may use them again after the reply to their call.
     fn jobs_on_cores_or_calling(&self) -> f64 {
         self.jobs.count_in(&[Stage::Running, Stage::CallInFlight])
     }
 
-    /// How many times slower the current runs are than completed ones.
+    /// Returns how many times slower the current runs are than completed runs.
     fn slowdown(&mut self, now: Time) -> f64 {
         let mean_core_time = self.service_times.overall_core_time(now);
         host_load::slowdown(&self.jobs, mean_core_time, self.machine.cores, now)
     }
 
-    /// How long it takes until all jobs that are queued now have started.
-    fn run_queue_drains_in(&mut self, now: Time) -> Span {
+    /// Returns the expected time until all jobs that are queued now have started.
+    fn run_queue_clear_time(&mut self, now: Time) -> Span {
         let queued = self.jobs.count_in(&[Stage::Queued]);
         let mean_core_time = self.service_times.overall_core_time(now).unwrap_or(Span::ZERO);
         mean_core_time * (self.slowdown(now) * queued / self.run_limiter.limit())
--- a/crates/hazelgrade/src/controller/runs.rs
+++ b/crates/hazelgrade/src/controller/runs.rs
@@ -1,4 +1,4 @@
-//! Runs: which queued jobs are started now, and which are given up because they would start too late.
+//! Starts queued jobs, and gives up queued jobs that would end too late.
 
 use super::Controller;
 use crate::api::{Decisions, JobId};
@@ -9,11 +9,11 @@
 use crate::time::{Span, Time};
 use crate::timescales;
 
-/// The room for further runs in this round.
-struct RunRoom {
-    /// Jobs that may run at once, by the run limiter.
+/// The capacity for further runs in this round.
+struct RunCapacity {
+    /// Number of concurrent runs that the run limiter allows.
     limit: f64,
-    /// Jobs that the cores withstand.
+    /// Number of jobs that the cores can sustain.
     max_on_cores: f64,
     running: f64,
     on_cores_or_calling: f64,
@@ -21,16 +21,16 @@
     max_kb: f64,
 }
 
-impl RunRoom {
-    /// Whether there is room for one more run that takes this much additional memory.
+impl RunCapacity {
+    /// Returns whether one more run with this much additional memory fits into the capacity.
     fn admits(&self, additional_kb: f64) -> bool {
         self.running < self.limit
             && self.on_cores_or_calling < self.max_on_cores
             && self.used_kb + additional_kb <= self.max_kb
     }
 
-    /// Counts one more run.
-    fn take(&mut self, additional_kb: f64) {
+    /// Reserves capacity for one more run.
+    fn reserve(&mut self, additional_kb: f64) {
         self.running += 1.0;
         self.on_cores_or_calling += 1.0;
         self.used_kb += additional_kb;
@@ -38,26 +38,26 @@
 }
 
 impl Controller {
-    /// Starts queued jobs in the order of their priority, as far as there is room. One that would end too late is given
-    /// up now, so that its caller has time to try another server.
+    /// Starts queued jobs in order of priority while there is capacity. A job that would end too late is given up at
+    /// once, so that its caller still has time to try another server.
     pub(super) fn start_runs(&mut self, now: Time, decisions: &mut dyn Decisions) {
         let queue = self.queue_by_priority(now);
         let slowdown = self.slowdown(now);
-        let mut room = self.run_room(now);
+        let mut capacity = self.run_capacity(now);
         let mut work_ahead = Span::ZERO;
         let mut jobs_wait = false;
         for id in queue {
-            if self.has_room_for(now, &id, &room) {
-                self.start_run(now, &id, &mut room, decisions);
+            if self.can_start(now, &id, &capacity) {
+                self.start_run(now, &id, &mut capacity, decisions);
                 continue;
             }
             jobs_wait = true;
-            let starts_in = work_ahead * (1.0 / room.limit);
-            match self.work_if_in_time(now, &id, starts_in, slowdown) {
+            let starts_in = work_ahead * (1.0 / capacity.limit);
+            match self.core_time_if_in_time(now, &id, starts_in, slowdown) {
                 Some(work) => work_ahead += work,
                 None => {
-                    let retry_after = self.run_queue_drains_in(now);
-                    let give_up = GiveUp::Retry { retry_after, elsewhere: true };
+                    let retry_after = self.run_queue_clear_time(now);
+                    let give_up = GiveUp::Retry { retry_after, capacity_elsewhere: true };
                     self.give_up(now, &id, give_up, decisions);
                 }
             }
@@ -65,7 +65,8 @@
         self.run_limiter.adjust(now, jobs_wait);
     }
 
-    /// The queued jobs, the highest priority first; jobs of equal priority in the order in which they were read.
+    /// Returns the queued jobs in order of decreasing priority. Jobs of equal priority are in the order in which they
+    /// were read.
     fn queue_by_priority(&mut self, now: Time) -> Vec<JobId> {
         let mut queue = Vec::new();
         for id in self.jobs.select(|tracked| tracked.stage == Stage::Queued) {
@@ -79,8 +80,8 @@
         queue.into_iter().map(|(_, id)| id).collect()
     }
 
-    fn run_room(&mut self, now: Time) -> RunRoom {
-        RunRoom {
+    fn run_capacity(&mut self, now: Time) -> RunCapacity {
+        RunCapacity {
             limit: self.run_limiter.current_limit(now, self.timescales.unread_wait),
             max_on_cores: self.max_jobs_on_cores(now),
             running: self.jobs.count_in(&[Stage::Running]),
@@ -90,41 +91,54 @@
         }
     }
 
-    /// Whether a queued job can be started now: there is room for its run, and for its call, if it makes one.
-    fn has_room_for(&mut self, now: Time, id: &JobId, room: &RunRoom) -> bool {
+    /// Returns whether there is capacity for the run of a queued job and, if its class calls the dependency, for its
+    /// call.
+    fn can_start(&mut self, now: Time, id: &JobId, capacity: &RunCapacity) -> bool {
         let Some(tracked) = self.jobs.get(id) else { return false };
-        if !room.admits(memory::additional_kb_to_run(tracked, &self.machine)) {
+        if !capacity.admits(memory::additional_kb_to_run(tracked, &self.machine)) {
             return false;
         }
         let time_budget = self.call_time_budget(now, tracked);
         !tracked.class.calls_dependency || !self.call_limiter.is_queue_full(now, time_budget)
     }
 
-    /// Starts a job, unless it may repeat one that has run.
-    fn start_run(&mut self, now: Time, id: &JobId, room: &mut RunRoom, decisions: &mut dyn Decisions) {
+    /// Starts a job, or fails the job if it may duplicate a keyed job that has run.
+    fn start_run(
+        &mut self,
+        now: Time,
+        id: &JobId,
+        capacity: &mut RunCapacity,
+        decisions: &mut dyn Decisions,
+    ) {
         let Some(tracked) = self.jobs.get(id) else { return };
-        if self.may_repeat_started(tracked) {
+        if self.may_duplicate_run(tracked) {
             return self.give_up(now, id, GiveUp::Fail, decisions);
         }
         let additional_kb = memory::additional_kb_to_run(tracked, &self.machine);
         decisions.start_run(id);
         self.enter(now, id, Stage::Running);
         if let Some(lifetime) = self.records.mark_run(now, id) {
-            // A retry that is linked to no record may have replaced this one in the host's store.
+            // The record of a retry that is linked to no record may have replaced this record in the host's store.
             decisions.store_record(id, lifetime);
         }
-        room.take(additional_kb);
+        capacity.reserve(additional_kb);
     }
 
-    /// The core time of a queued job that would start after `starts_in`; `None` if it would then end too late, or wait
-    /// for longer than its class's queue patience.
-    fn work_if_in_time(&mut self, now: Time, id: &JobId, starts_in: Span, slowdown: f64) -> Option<Span> {
+    /// Returns the expected core time of a queued job that would start after `starts_in`; `None` if the job would end
+    /// too late or wait longer than its class allows.
+    fn core_time_if_in_time(
+        &mut self,
+        now: Time,
+        id: &JobId,
+        starts_in: Span,
+        slowdown: f64,
+    ) -> Option<Span> {
         let tracked = self.jobs.get(id)?;
         let job_class = tracked.job.job_class;
         let core_time = self.service_times.core_time(now, job_class) * slowdown;
         let ends_at = now + starts_in + self.service_times.run_time(now, job_class).max(core_time);
-        let in_time = ends_at <= self.worthless_from(tracked)
-            && starts_in <= timescales::queue_patience(&tracked.class);
+        let in_time =
+            ends_at <= self.expires_at(tracked) && starts_in <= timescales::max_queue_wait(&tracked.class);
         in_time.then_some(core_time)
     }
 }
--- a/crates/hazelgrade/src/controller/settings.rs
+++ b/crates/hazelgrade/src/controller/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that take effect between two rounds.
+//! Updates of the settings between two rounds.
 
 use super::Controller;
 use crate::api::SettingsUpdate;
@@ -7,11 +7,11 @@
 use std::rc::Rc;
 
 impl Controller {
-    /// Replaces the job classes, tenants and limits between two rounds. What was learned stays with its index, except
-    /// for indexes that are reset; jobs in flight keep the class that they arrived with.
+    /// Replaces the job classes, tenants and limits between two rounds. Statistics stay with their index, except for
+    /// indexes that are reset. Jobs in flight keep the class that they had on arrival.
     ///
-    /// Classes and tenants may be added at the end. None may be removed, as a job in flight may refer to it: with fewer
-    /// than before nothing changes and the result is `false`.
+    /// Classes and tenants may be added at the end but not removed, as jobs in flight may refer to them. An update with
+    /// fewer classes or tenants than before changes nothing and returns `false`.
     pub fn update_settings(&mut self, now: Time, update: SettingsUpdate) -> bool {
         let SettingsUpdate { job_classes, tenants, limits, reset_classes, reset_tenants } = update;
         if job_classes.len() < self.job_classes.len() || tenants.len() < self.quotas.len() {
--- a/crates/hazelgrade/src/deduplication.rs
+++ b/crates/hazelgrade/src/deduplication.rs
@@ -1,65 +1,67 @@
-//! Idempotency records: what is stored of a keyed job until no retry of it can come any more, so that it runs once.
+//! Idempotency records of keyed jobs. A record is kept until no retry of its job can arrive any more, so that the job
+//! runs only once.
 
 use crate::api::{Job, JobId};
 use crate::time::{Span, Time};
 use std::collections::BTreeMap;
 
-/// What is stored of a keyed job.
+/// The idempotency record of a keyed job.
 struct Record {
-    /// Until when a retry may be received.
+    /// Until when a retry of the job may be received.
     expires: Time,
-    /// Until when a retry that was received in time may be read and refer to this job.
-    removed_at: Time,
+    /// Until when a retry that was received before `expires` may still be read and refer to the job.
+    retained_until: Time,
     job_class: usize,
     received_at: Time,
-    /// When the record was made: a retry received between `received_at` and then can't have been linked to it.
+    /// When the record was created. A retry received between `received_at` and `stored_at` can't have been linked to
+    /// the record.
     stored_at: Time,
     is_retry: bool,
     has_run: bool,
 }
 
 impl Record {
-    /// Whether the recorded job has run and `job`, which is linked to no record, may repeat it. That takes two
-    /// conditions: both waited unread on the machine at the same time, and one of them is marked as a retry. Where
-    /// retries are not marked, they must instead have been received at least `min_gap` apart, the shortest time that a
-    /// caller waits before it tries again.
-    fn may_be_repeated_by(&self, job: &Job, read_at: Time, retries_marked: bool, min_gap: Span) -> bool {
+    /// Returns whether the recorded job has run and `job`, which is linked to no record, may be a duplicate of it.
+    /// There are two conditions: both jobs waited unread on the machine at the same time, and one of them is marked as
+    /// a retry. If callers don't mark retries, the second condition is instead that the jobs were received at least
+    /// `min_gap` apart, the shortest time that a caller waits before a retry.
+    fn may_be_duplicated_by(&self, job: &Job, read_at: Time, retries_marked: bool, min_gap: Span) -> bool {
         let gap = job.received_at.since(self.received_at) + self.received_at.since(job.received_at);
-        let plausible = if retries_marked { self.is_retry || job.is_retry } else { gap >= min_gap };
+        let is_plausible_retry = if retries_marked { self.is_retry || job.is_retry } else { gap >= min_gap };
         let unread_together =
             self.stored_at != read_at && job.received_at < self.stored_at && self.received_at < read_at;
-        self.has_run && self.job_class == job.job_class && unread_together && plausible
+        self.has_run && self.job_class == job.job_class && unread_together && is_plausible_retry
     }
 }
 
-/// The idempotency records by the ids of their jobs.
+/// The idempotency records by job id.
 #[derive(Default)]
 pub(crate) struct IdempotencyRecords {
     records: BTreeMap<JobId, Record>,
 }
 
 impl IdempotencyRecords {
-    /// Removes records that no retry can refer to any more.
+    /// Removes the records to which no retry can refer any more.
     pub fn remove_outdated(&mut self, now: Time) {
-        self.records.retain(|_, record| record.removed_at > now);
+        self.records.retain(|_, record| record.retained_until > now);
     }
 
-    /// Whether there is a record of this job.
+    /// Returns whether the job has a record.
     pub fn contains(&self, id: &JobId) -> bool {
         self.records.contains_key(id)
     }
 
-    /// Records that count as memory in use.
+    /// Returns the number of unexpired records, which count as memory in use.
     pub fn live_count(&self, now: Time) -> f64 {
         self.records.values().filter(|record| record.expires > now).count() as f64
     }
 
-    /// Records a job until `expires`. A retry may wait unread, so the record can be referred to for `max_unread`
-    /// longer.
+    /// Adds a record that expires at `expires`. The record is retained for another `max_unread`, as a retry that was
+    /// received in time may wait unread.
     pub fn insert(&mut self, now: Time, job: &Job, expires: Time, max_unread: Span) {
         let record = Record {
             expires,
-            removed_at: expires.max(now) + max_unread,
+            retained_until: expires.max(now) + max_unread,
             job_class: job.job_class,
             received_at: job.received_at,
             stored_at: now,
@@ -69,14 +71,14 @@
         self.records.insert(job.id.clone(), record);
     }
 
-    /// Notes that a job is started; returns how long its record is to be stored, if there is one.
+    /// Marks a job as started. Returns the remaining lifetime of the record, or `None` if the job has no record.
     pub fn mark_run(&mut self, now: Time, id: &JobId) -> Option<Span> {
         let record = self.records.get_mut(id)?;
         record.has_run = true;
         Some(record.expires.since(now))
     }
 
-    /// Removes the record of a job unless it has run; returns whether a record was removed.
+    /// Removes the record of a job that has not run. Returns whether a record was removed.
     pub fn remove_unless_run(&mut self, id: &JobId) -> bool {
         let removable = self.records.get(id).is_some_and(|record| !record.has_run);
         if removable {
@@ -85,8 +87,8 @@
         removable
     }
 
-    /// Whether `job`, read at `read_at` and linked to no record, may repeat a job that has run.
-    pub fn may_repeat_started(&self, job: &Job, read_at: Time, retries_marked: bool, min_gap: Span) -> bool {
-        self.records.values().any(|record| record.may_be_repeated_by(job, read_at, retries_marked, min_gap))
+    /// Returns whether `job`, which was read at `read_at` and is linked to no record, may duplicate a job that has run.
+    pub fn may_duplicate_run(&self, job: &Job, read_at: Time, retries_marked: bool, min_gap: Span) -> bool {
+        self.records.values().any(|record| record.may_be_duplicated_by(job, read_at, retries_marked, min_gap))
     }
 }
--- a/crates/hazelgrade/src/job_table.rs
+++ b/crates/hazelgrade/src/job_table.rs
@@ -1,4 +1,4 @@
-//! The jobs in flight: each from its arrival until it is answered and, if it was started, its run has ended.
+//! The jobs in flight. A job is in flight from its arrival until it is answered and, if started, its run has ended.
 
 use crate::api::{Job, JobClass, JobId};
 use crate::time::{Span, Time};
@@ -8,53 +8,53 @@
 /// The stage of a job in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Stage {
-    /// It waits to be started.
+    /// The job waits in the run queue.
     Queued,
-    /// Its run uses the cores.
+    /// The run uses the cores.
     Running,
-    /// Its run is at a call and waits in the call queue.
+    /// The run has requested a call, and the call waits in the call queue.
     AwaitingCallPermit,
-    /// Its run waits for the reply to a call.
+    /// The run waits for the reply to a call.
     CallInFlight,
-    /// It is a retry that waits for the result of the job it repeats.
+    /// The job is a retry that waits for the result of the original job.
     AwaitingOriginal,
 }
 
-/// A job in flight.
+/// A job in flight and its state.
 pub(crate) struct TrackedJob {
     pub job: Job,
-    /// Its class as of its arrival: new settings change nothing for jobs in flight.
+    /// The class of the job at its arrival. New settings do not affect jobs in flight.
     pub class: Rc<JobClass>,
-    /// Its tenant's quota as of its arrival, in jobs a second over the fleet.
+    /// The quota of the tenant at the arrival of the job, in jobs per second over the whole fleet.
     pub quota_per_s: f64,
-    /// Its position in the order in which jobs were read.
+    /// Position of the job in the order in which jobs were read.
     pub sequence: u64,
     pub stage: Stage,
     pub stage_since: Time,
-    /// Time that its run has spent on the cores, not counting the current stage.
+    /// Time that the run has spent on the cores, excluding the current stage.
     pub core_time: Span,
-    /// When its answer must be given at the latest, if there is no drain.
+    /// Latest time for the answer if there is no drain.
     pub latest_answer: Time,
-    /// Until when an answer meets its latency objective.
-    pub objective: Time,
+    /// Until when an answer meets the latency objective.
+    pub objective_deadline: Time,
     pub answered: bool,
-    /// Whether it has been started at least once.
+    /// Whether the job has been started at least once.
     pub has_run: bool,
-    /// Attempts at its run's current call.
+    /// Number of attempts at the current call of the run.
     pub call_attempts: u32,
-    /// The timeout of the latest attempt; zero before the first.
+    /// Timeout of the latest attempt at a call; zero before the first.
     pub call_timeout: Span,
-    /// Whether one of its calls may have had its effect without a reply.
+    /// Whether a call of the run may have had its effect although no reply arrived.
     pub call_in_doubt: bool,
 }
 
 impl TrackedJob {
-    /// Whether it has been started and its run has not ended.
+    /// Returns whether the job has a run that has not ended.
     pub fn is_started(&self) -> bool {
         !matches!(self.stage, Stage::Queued | Stage::AwaitingOriginal)
     }
 
-    /// Enters another stage. Only [`Stage::CallInFlight`] counts an attempt at the call; all others reset the count.
+    /// Enters the given stage. [`Stage::CallInFlight`] counts an attempt at the call; all other stages reset the count.
     pub fn enter(&mut self, now: Time, stage: Stage) {
         self.stage = stage;
         self.stage_since = now;
@@ -63,7 +63,7 @@
     }
 }
 
-/// The jobs in flight by their ids.
+/// The jobs in flight by id.
 #[derive(Default)]
 pub(crate) struct JobTable {
     jobs: BTreeMap<JobId, TrackedJob>,
@@ -94,25 +94,25 @@
         self.jobs.is_empty()
     }
 
-    /// All jobs, in the order of their ids.
+    /// Iterates over all jobs in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &TrackedJob> {
         self.jobs.values()
     }
 
-    /// A job that is in flight and not yet answered.
+    /// Returns the job if it is in flight and not yet answered.
     pub fn unanswered(&self, id: &JobId) -> Option<&TrackedJob> {
         self.jobs.get(id).filter(|tracked| !tracked.answered)
     }
 
-    /// The unanswered jobs that match `which`, in the order in which they were read.
-    pub fn select(&self, which: impl Fn(&TrackedJob) -> bool) -> Vec<JobId> {
+    /// Returns the unanswered jobs that match the predicate, in the order in which they were read.
+    pub fn select(&self, predicate: impl Fn(&TrackedJob) -> bool) -> Vec<JobId> {
         let mut selected: Vec<&TrackedJob> =
-            self.iter().filter(|tracked| !tracked.answered && which(tracked)).collect();
+            self.iter().filter(|tracked| !tracked.answered && predicate(tracked)).collect();
         selected.sort_by_key(|tracked| tracked.sequence);
         selected.into_iter().map(|tracked| tracked.job.id.clone()).collect()
     }
 
-    /// How many jobs are in one of these stages, answered or not.
+    /// Returns the number of jobs in one of these stages, whether answered or not.
     pub fn count_in(&self, stages: &[Stage]) -> f64 {
         self.iter().filter(|tracked| stages.contains(&tracked.stage)).count() as f64
     }
--- a/crates/hazelgrade/src/lib.rs
+++ b/crates/hazelgrade/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decides, inside one server of a fleet, which jobs it admits, runs and rejects.
+//! Admission control and scheduling for one server of a fleet: decides which jobs the server admits, runs and rejects.
 //!
-//! [`controller::Controller`] combines the rules; each rule has its own module. [`api`] holds the types that go in
-//! and out; [`time`], [`statistics`] and [`random`] are arithmetic. Nothing here reads a clock or does input or output.
-//! `docs/design.md` describes the mechanism and its exceptions.
+//! [`controller::Controller`] combines the rules, each of which has its own module. [`api`] contains the input and
+//! output types; [`time`], [`statistics`] and [`random`] contain arithmetic. The crate reads no clock and performs no
+//! I/O. `docs/design.md` describes the mechanism and its exceptions.
 
 #![warn(missing_docs)]
 
--- a/crates/hazelgrade/src/load_signal.rs
+++ b/crates/hazelgrade/src/load_signal.rs
@@ -1,23 +1,23 @@
-//! The load signal that is published to callers: it falls at once while jobs wait too long and rises slowly while they
-//! don't.
+//! The load signal that the server publishes to callers. The load signal falls at once while jobs wait too long, and
+//! rises slowly otherwise.
 
 use crate::api::LoadSignal;
 use crate::time::{Span, Time};
 
-/// The highest openness that a credit may mean.
+/// Highest openness for the load signal kind `Credit`.
 const MAX_CREDIT_OPENNESS: f64 = 5.0;
-/// The highest openness of the other signals: above 1 they would only fall later.
+/// Highest openness for the other kinds of load signal. A value above 1 would only delay the fall in an overload.
 const MAX_OPENNESS: f64 = 1.0;
-/// The lowest openness: without some load the server could not see that it has room.
+/// Lowest openness. Without some load, the server could not detect that it has capacity again.
 const MIN_OPENNESS: f64 = 0.08;
-/// Ratio by which the openness falls in one update, at most.
+/// Maximum relative decrease of the openness per update.
 const FALL_RATIO: f64 = 0.01;
-/// Ratio by which the openness rises in one update while nothing waits.
+/// Relative increase of the openness per update while no job waits.
 const RISE_RATIO: f64 = 0.06;
-/// The signal is updated this many times during its lifetime.
+/// Number of updates during the lifetime of a load signal.
 const UPDATES_PER_LIFETIME: f64 = 10.0;
 
-/// Steers the load signal.
+/// Controls the load signal.
 pub(crate) struct LoadSignalController {
     openness: f64,
     published: Option<f64>,
@@ -25,17 +25,17 @@
 }
 
 impl LoadSignalController {
-    /// Fully open, nothing published yet.
+    /// Creates a controller with an openness of 1 that has published no signal yet.
     pub fn new() -> LoadSignalController {
         LoadSignalController { openness: 1.0, published: None, next_update: None }
     }
 
-    /// How much load callers are asked to send, over 0; 1 is the usual load.
+    /// Returns the openness: the load that callers are asked to send, above 0, relative to the usual load of 1.
     pub fn openness(&self) -> f64 {
         self.openness
     }
 
-    /// Whether an update is due; if so, sets when the next one is.
+    /// Returns whether an update is due, and if so schedules the next update.
     pub fn begin_update(&mut self, now: Time, signal_lifetime: Span) -> bool {
         if self.next_update.is_some_and(|next_update| now < next_update) {
             return false;
@@ -44,18 +44,19 @@
         true
     }
 
-    /// Makes the next update due at once.
+    /// Makes the next update due immediately.
     pub fn update_at_once(&mut self) {
         self.next_update = None;
     }
 
-    /// When the next update is due.
+    /// Returns when the next update is due.
     pub fn next_update(&self) -> Option<Time> {
         self.next_update
     }
 
-    /// The signal to publish, or `None` if it has not changed. `wait_ratio` is how long jobs wait, as a ratio of the
-    /// target wait; `credit` is how many jobs in flight an openness of 1 grants to each caller.
+    /// Returns the signal to publish, or `None` if the signal has not changed. `wait_ratio` is the time that jobs wait
+    /// as a ratio of the target wait; `credit` is the number of jobs in flight that an openness of 1 grants to each
+    /// caller.
     pub fn update(&mut self, wait_ratio: f64, signal: LoadSignal, credit: f64) -> Option<f64> {
         let max = if signal == LoadSignal::Credit { MAX_CREDIT_OPENNESS } else { MAX_OPENNESS };
         let factor = if wait_ratio > 1.0 {
--- a/crates/hazelgrade/src/random.rs
+++ b/crates/hazelgrade/src/random.rs
@@ -1,12 +1,13 @@
-//! The seeded generator from which all randomness in decisions comes: the same seed gives the same sequence.
+//! The seeded pseudo-random number generator for all random choices in decisions. The same seed gives the same
+//! sequence.
 
-/// Numbers left out at the start, so that seeds that differ by little give sequences that differ in all bits.
+/// Number of values discarded at the start, so that similar seeds give sequences that differ in all bits.
 const DISCARDED_NUMBERS: u32 = 4;
 
 /// The multiplier of the generator, 2^32 - 9631.
 const MULTIPLIER: u64 = 4_294_957_665;
 
-/// 2^32, the number of values that one step can yield.
+/// 2^32, the number of distinct values that one step can produce.
 const RANGE: f64 = 4_294_967_296.0;
 
 /// A multiply-with-carry generator of 32-bit numbers.
@@ -17,10 +18,10 @@
 }
 
 impl MultiplyWithCarry {
-    /// A generator for this seed; similar seeds give unrelated sequences.
+    /// Creates a generator for this seed. Similar seeds give unrelated sequences.
     pub fn new(seed: u64) -> MultiplyWithCarry {
         let value = seed as u32 ^ 0x5bd1_e995;
-        // The carry is above 0 and below the multiplier, as the generator requires.
+        // The generator requires a carry above 0 and below the multiplier.
         let carry = ((seed >> 32) as u32 & 0x3fff_ffff) | 1;
         let mut generator = MultiplyWithCarry { value, carry };
         for _ in 0..DISCARDED_NUMBERS {
@@ -29,7 +30,7 @@
         generator
     }
 
-    /// The next number, from 0 up to less than 1.
+    /// Returns the next number, from 0 (inclusive) to 1 (exclusive).
     pub fn next_f64(&mut self) -> f64 {
         let next = u64::from(self.value) * MULTIPLIER + u64::from(self.carry);
         self.value = next as u32;
--- a/crates/hazelgrade/src/rejection.rs
+++ b/crates/hazelgrade/src/rejection.rs
@@ -1,64 +1,67 @@
-//! How a job that is given up is answered: rejected, with when and where to try again, or failed. It is answered at
-//! once, so that its caller has time to try another server.
+//! Answers for jobs that are given up: a rejection that says when and where to try again, or a failure. The answer is
+//! sent at once, so that the caller still has time to try another server.
 
 use crate::api::Idempotency;
 use crate::job_table::TrackedJob;
 use crate::statistics::DecayingSum;
 use crate::time::{Span, Time};
 
-/// Retry-after is drawn from this ratio of its base upwards, so that callers don't come back together.
-const JITTER_FROM: f64 = 0.75;
-/// The width of the range that retry-after is drawn from, as a ratio of its base.
-const JITTER_RANGE: f64 = 0.5;
-/// If more than this ratio of the requests are retries, other servers have no room either.
-const RETRIES_EVERYWHERE_RATIO: f64 = 0.1;
-/// Where retries are not marked, a rejection counts as this many retries to come.
+/// Lower end of the range from which the retry-after is drawn, as a ratio of the base. Random retry-after times prevent
+/// callers from returning all at once.
+const MIN_JITTER_RATIO: f64 = 0.75;
+/// Width of the range from which the retry-after is drawn, as a ratio of the base.
+const JITTER_RANGE_RATIO: f64 = 0.5;
+/// Ratio of retries among the requests above which other servers presumably have no capacity either.
+const FLEET_OVERLOAD_RETRY_RATIO: f64 = 0.1;
+/// Number of expected retries that a rejection counts as if callers do not mark their retries.
 const RETRIES_PER_REJECTION: f64 = 0.25;
 
-/// How a job is given up.
+/// How a job is answered when it is given up.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum GiveUp {
-    /// It may be sent again after `retry_after`, if it has had no effect; `elsewhere` if another server may have room.
-    Retry { retry_after: Span, elsewhere: bool },
-    /// It is answered with an error: a retry would not help.
+    /// The job may be sent again after `retry_after` if it has had no effect. `capacity_elsewhere` is whether another
+    /// server may have capacity for the job.
+    Retry { retry_after: Span, capacity_elsewhere: bool },
+    /// The job is answered with an error, as a retry would not help.
     Fail,
 }
 
-/// Whether a job may be rejected, which promises that it has had no effect that a retry would repeat.
-/// `may_repeat_started` is whether it may be a retry, linked to no record, of a job that ran.
-pub(crate) fn may_reject(tracked: &TrackedJob, may_repeat_started: bool) -> bool {
-    let may_have_run = tracked.has_run || tracked.job.retry_of.is_some() || may_repeat_started;
+/// Returns whether a job may be rejected. A rejection guarantees that the job has had no effect that a retry would
+/// duplicate. `may_duplicate_run` is whether the job may be a retry, linked to no idempotency record, of a job that
+/// ran.
+pub(crate) fn may_reject(tracked: &TrackedJob, may_duplicate_run: bool) -> bool {
+    let may_have_run = tracked.has_run || tracked.job.retry_of.is_some() || may_duplicate_run;
     tracked.class.idempotency == Idempotency::Idempotent || !may_have_run
 }
 
-/// How long after its rejection a job may come again: `base` spread by `random` (from 0 up to less than 1), divided by
-/// the load signal's `openness` (over 0) where that is below 1, and `max` at most.
+/// Returns the time after which a rejected job may be sent again: `base`, spread by `random` (from 0 inclusive to 1
+/// exclusive), divided by the `openness` of the load signal (above 0) if it is below 1, and at most `max`.
 pub(crate) fn retry_after(base: Span, random: f64, openness: f64, max: Span) -> Span {
-    let spread = base * ((JITTER_FROM + JITTER_RANGE * random) / openness.min(1.0));
+    let spread = base * ((MIN_JITTER_RATIO + JITTER_RANGE_RATIO * random) / openness.min(1.0));
     spread.min(max)
 }
 
-/// How many of the requests that arrive are retries: an estimate of whether other servers have room.
+/// The ratio of retries among arriving requests, from which the controller infers whether other servers have capacity.
 pub(crate) struct RetryRate {
     requests: DecayingSum,
     retries: DecayingSum,
     /// Whether callers mark their retries.
-    marked: bool,
+    retries_marked: bool,
 }
 
 impl RetryRate {
-    /// A rate without requests, learned over `window`.
-    pub fn new(window: Span, marked: bool) -> RetryRate {
-        RetryRate { requests: DecayingSum::new(window), retries: DecayingSum::new(window), marked }
+    /// Creates a rate without requests that is averaged over `window`.
+    pub fn new(window: Span, retries_marked: bool) -> RetryRate {
+        RetryRate { requests: DecayingSum::new(window), retries: DecayingSum::new(window), retries_marked }
     }
 
-    /// Learns over another window from now on.
+    /// Changes the window over which requests and retries are summed.
     pub fn set_window(&mut self, now: Time, window: Span) {
         self.requests.set_time_constant(now, window);
         self.retries.set_time_constant(now, window);
     }
 
-    /// Counts a request.
+    /// Records `count` requests, which are retries if `is_retry` is true.
     pub fn record_request(&mut self, now: Time, is_retry: bool, count: f64) {
         self.requests.add(now, count);
         if is_retry {
@@ -66,23 +69,23 @@
         }
     }
 
-    /// Counts a rejection: where retries are not marked, it counts as a fraction of a retry to come.
+    /// Records a rejection, which counts as a fraction of an expected retry if callers do not mark their retries.
     pub fn record_rejection(&mut self, now: Time) {
-        self.retries.add(now, if self.marked { 0.0 } else { RETRIES_PER_REJECTION });
+        self.retries.add(now, if self.retries_marked { 0.0 } else { RETRIES_PER_REJECTION });
     }
 
-    /// Requests over the window.
+    /// Returns the decaying sum of requests over the window.
     pub fn requests(&mut self, now: Time) -> f64 {
         self.requests.value(now)
     }
 
-    /// Whether more than `ratio` of the requests are retries.
+    /// Returns whether the ratio of retries among the requests exceeds `ratio`.
     pub fn exceeds(&mut self, now: Time, ratio: f64) -> bool {
         self.retries.value(now) > ratio * self.requests.value(now)
     }
 
-    /// Whether other servers seem to have no room either.
-    pub fn is_high_everywhere(&mut self, now: Time) -> bool {
-        self.exceeds(now, RETRIES_EVERYWHERE_RATIO)
+    /// Returns whether other servers appear to have no capacity either.
+    pub fn indicates_fleet_overload(&mut self, now: Time) -> bool {
+        self.exceeds(now, FLEET_OVERLOAD_RETRY_RATIO)
     }
 }
--- a/crates/hazelgrade/src/statistics.rs
+++ b/crates/hazelgrade/src/statistics.rs
@@ -1,9 +1,9 @@
-//! Sums and means whose samples decay exponentially with age. The decay is applied whenever they are read, so a read
-//! changes their state.
+//! Sums and means whose samples decay exponentially with age. Reading a sum or mean applies the decay and therefore
+//! changes its state.
 
 use crate::time::{Span, Time};
 
-/// A sum whose parts decay exponentially with their age.
+/// A sum whose samples decay exponentially with age.
 #[derive(Clone, Debug)]
 pub struct DecayingSum {
     sum: f64,
@@ -12,12 +12,12 @@
 }
 
 impl DecayingSum {
-    /// A sum of which a part that is `time_constant` old still counts by 1/e.
+    /// Creates an empty sum in which a sample of age `time_constant` has the weight 1/e.
     pub fn new(time_constant: Span) -> DecayingSum {
         DecayingSum { sum: 0.0, updated_at: None, time_constant }
     }
 
-    /// The sum as of `now`.
+    /// Returns the sum at `now`.
     pub fn value(&mut self, now: Time) -> f64 {
         if let Some(updated_at) = self.updated_at.filter(|updated_at| *updated_at < now) {
             self.sum *= (-(now.since(updated_at) / self.time_constant)).exp();
@@ -26,13 +26,13 @@
         self.sum
     }
 
-    /// Adds `amount` at `now`.
+    /// Adds a sample at `now`.
     pub fn add(&mut self, now: Time, amount: f64) {
         self.sum = self.value(now) + amount;
     }
 
-    /// Decays by another time constant from now on. A steady rate adds up to rate times time constant, so the sum is
-    /// scaled to the new one.
+    /// Changes the time constant. At a steady rate, the sum converges to the rate times the time constant, so the sum
+    /// is scaled to the new time constant.
     pub fn set_time_constant(&mut self, now: Time, time_constant: Span) {
         let sum = self.value(now);
         if time_constant != self.time_constant {
@@ -42,7 +42,7 @@
     }
 }
 
-/// The mean of a figure, in which old samples count for less.
+/// An exponentially weighted mean, in which older samples have less weight.
 #[derive(Clone, Debug)]
 pub struct DecayingMean {
     total: DecayingSum,
@@ -50,7 +50,7 @@
 }
 
 impl DecayingMean {
-    /// A mean without samples; a sample that is `time_constant` old counts by 1/e.
+    /// Creates a mean without samples, in which a sample of age `time_constant` has the weight 1/e.
     pub fn new(time_constant: Span) -> DecayingMean {
         DecayingMean { total: DecayingSum::new(time_constant), count: DecayingSum::new(time_constant) }
     }
@@ -61,13 +61,13 @@
         self.count.add(now, 1.0);
     }
 
-    /// Decays by another time constant from now on; the mean stays.
+    /// Changes the time constant; the mean does not change.
     pub fn set_time_constant(&mut self, now: Time, time_constant: Span) {
         self.total.set_time_constant(now, time_constant);
         self.count.set_time_constant(now, time_constant);
     }
 
-    /// The mean, or `None` before the first sample; while no samples come it stays as it was.
+    /// Returns the mean, or `None` before the first sample. The mean does not change while no samples are added.
     pub fn mean(&mut self, now: Time) -> Option<f64> {
         let total = self.total.value(now);
         let count = self.count.value(now);
@@ -75,12 +75,12 @@
     }
 }
 
-/// The mean of durations, in which old samples count for less.
+/// An exponentially weighted mean of durations, in which older samples have less weight.
 #[derive(Clone, Debug)]
 pub struct MeanDuration(DecayingMean);
 
 impl MeanDuration {
-    /// A mean without samples; a sample that is `time_constant` old counts by 1/e.
+    /// Creates a mean without samples, in which a sample of age `time_constant` has the weight 1/e.
     pub fn new(time_constant: Span) -> MeanDuration {
         MeanDuration(DecayingMean::new(time_constant))
     }
@@ -90,22 +90,22 @@
         self.0.record(now, duration.as_ms());
     }
 
-    /// Decays by another time constant from now on; the mean stays.
+    /// Changes the time constant; the mean does not change.
     pub fn set_time_constant(&mut self, now: Time, time_constant: Span) {
         self.0.set_time_constant(now, time_constant);
     }
 
-    /// How many samples still count.
+    /// Returns the decayed number of samples.
     pub fn sample_count(&mut self, now: Time) -> f64 {
         self.0.count.value(now)
     }
 
-    /// The mean, or `None` before the first sample.
+    /// Returns the mean, or `None` before the first sample.
     pub fn mean(&mut self, now: Time) -> Option<Span> {
         self.0.mean(now).map(Span::from_ms)
     }
 
-    /// The mean, or zero before the first sample.
+    /// Returns the mean, or zero before the first sample.
     pub fn mean_or_zero(&mut self, now: Time) -> Span {
         self.mean(now).unwrap_or(Span::ZERO)
     }
--- a/crates/hazelgrade/src/time.rs
+++ b/crates/hazelgrade/src/time.rs
@@ -1,52 +1,52 @@
-//! Points in time and spans between them, in whole microseconds, as two types that can't be mixed up.
+//! Points in time and time spans, in whole microseconds, as two distinct types.
 
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
 
-/// A point on the clock that the caller of the library supplies.
+/// A point in time on the clock of the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(i64);
 
-/// A length of time; never negative.
+/// A length of time, never negative.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(i64);
 
-/// Milliseconds in microseconds, rounded.
+/// Converts milliseconds to microseconds, rounded to the nearest integer.
 fn micros(ms: f64) -> i64 {
     (ms * 1000.0).round() as i64
 }
 
 impl Time {
-    /// The point that is `ms` milliseconds after the clock's zero, to the microsecond.
+    /// Returns the point `ms` milliseconds after the zero of the clock, rounded to the microsecond.
     pub fn from_ms(ms: f64) -> Time {
         Time(micros(ms))
     }
 
-    /// Milliseconds since the clock's zero.
+    /// Returns the milliseconds since the zero of the clock.
     pub fn as_ms(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 
-    /// The span from `earlier` to this point; zero if `earlier` is in fact later.
+    /// Returns the span from `earlier` to this point, or zero if `earlier` is the later point.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0).max(0))
     }
 }
 
 impl Span {
-    /// No time.
+    /// The span of length zero.
     pub const ZERO: Span = Span(0);
 
-    /// A span of `ms` milliseconds, to the microsecond; zero if `ms` is negative.
+    /// Returns a span of `ms` milliseconds, rounded to the microsecond, or zero if `ms` is negative.
     pub fn from_ms(ms: f64) -> Span {
         Span(micros(ms).max(0))
     }
 
-    /// Its milliseconds.
+    /// Returns the length in milliseconds.
     pub fn as_ms(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 
-    /// This span less `other`, or zero if `other` is longer.
+    /// Returns this span minus `other`, or zero if `other` is longer.
     pub fn saturating_sub(self, other: Span) -> Span {
         Span((self.0 - other.0).max(0))
     }
@@ -79,7 +79,7 @@
     }
 }
 
-/// Rounds down to the microsecond; zero for a negative factor.
+/// Rounds down to the microsecond and returns zero for a negative factor.
 impl Mul<f64> for Span {
     type Output = Span;
     fn mul(self, factor: f64) -> Span {
@@ -87,7 +87,7 @@
     }
 }
 
-/// The ratio of two spans; a divisor of zero counts as one microsecond.
+/// Returns the ratio of two spans. A divisor of zero counts as one microsecond.
 impl Div for Span {
     type Output = f64;
     fn div(self, other: Span) -> f64 {
--- a/crates/hazelgrade/src/timescales.rs
+++ b/crates/hazelgrade/src/timescales.rs
@@ -1,34 +1,36 @@
-//! Lengths of time that follow from the latency objectives of the job classes: what counts as waiting long, and over
-//! what time things are learned.
+//! Durations derived from the latency objectives of the job classes: thresholds for waiting times, and the window over
+//! which statistics are averaged.
 
 use crate::api::JobClass;
 use crate::time::Span;
 
-/// Learned figures decay over this many of the shortest latency objectives: some dozens of jobs, some seconds.
+/// Time constant of decaying statistics in units of the shortest latency objective, which typically covers some dozens
+/// of jobs in a few seconds.
 const LEARNING_WINDOW_OBJECTIVES: f64 = 2.0;
-/// Ratio of the shortest latency objective that jobs may wait on average before callers are asked to send less.
+/// Mean waiting time of jobs above which callers are asked to send less, as a ratio of the shortest latency objective.
 const TARGET_WAIT_RATIO: f64 = 0.15;
-/// Ratio of the shortest latency objective that jobs may wait unread before the server counts as lagging.
+/// Unread time of jobs above which the server counts as lagging, as a ratio of the shortest latency objective.
 const LAG_RATIO: f64 = 0.3;
-/// Ratio of the mean latency objective that jobs may wait unread on average before fewer run.
+/// Mean unread time of jobs above which fewer jobs run, as a ratio of the mean latency objective.
 const UNREAD_WAIT_RATIO: f64 = 0.07;
-/// Ratio of its latency objective that a job may wait in the run queue: beyond that another server is likely faster.
-const QUEUE_PATIENCE_RATIO: f64 = 0.3;
-/// The shortest latency objective where there are no job classes, in milliseconds.
+/// Longest expected wait of a job in the run queue, as a ratio of its latency objective. With a longer wait, another
+/// server is likely to be faster.
+const MAX_QUEUE_WAIT_RATIO: f64 = 0.3;
+/// Latency objective assumed if there are no job classes, in milliseconds.
 const DEFAULT_OBJECTIVE_MS: f64 = 1000.0;
 
-/// Lengths of time that follow from the latency objectives.
+/// Durations derived from the latency objectives.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Timescales {
-    /// The shortest latency objective of a class in use.
+    /// Shortest latency objective of a class in use.
     pub shortest_objective: Span,
-    /// Time constant of what is learned.
+    /// Time constant of decaying statistics.
     pub learning_window: Span,
-    /// How long jobs may wait on average, unread and queued, before callers are asked to send less.
+    /// Mean waiting time of jobs, unread and queued, above which callers are asked to send less.
     pub target_wait: Span,
-    /// How long jobs may wait unread before the server counts as lagging.
+    /// Unread time of jobs above which the server counts as lagging.
     pub lag: Span,
-    /// How long jobs may wait unread on average before fewer run.
+    /// Mean unread time of jobs above which fewer jobs run.
     pub unread_wait: Span,
 }
 
@@ -49,7 +51,7 @@
     }
 }
 
-/// How long a job of this class may wait in the run queue before it starts.
-pub(crate) fn queue_patience(class: &JobClass) -> Span {
-    class.latency_objective * QUEUE_PATIENCE_RATIO
+/// Returns the longest time that a job of this class may be expected to wait in the run queue.
+pub(crate) fn max_queue_wait(class: &JobClass) -> Span {
+    class.latency_objective * MAX_QUEUE_WAIT_RATIO
 }
