--- a/crates/hazelgrade/src/controller/admission.rs
+++ b/crates/hazelgrade/src/controller/admission.rs
@@ -65,7 +65,8 @@
         true
     }
 
-    /// Returns whether the job can still be answered in time; always true without a drain.
+    /// Returns whether the job was received within the drain grace and can be answered in time; always true without a
+    /// drain.
     fn is_admissible_in_drain(&mut self, now: Time, id: &JobId) -> bool {
         let (Some(drain), Some(tracked)) = (self.drain, self.jobs.get(id)) else { return true };
         if !drain.in_grace(tracked.job.received_at, &self.limits) {
@@ -86,14 +87,19 @@
             return;
         }
         // The lease of another server may still have calls left, so the caller may try elsewhere.
-        let by_lease = self.call_limiter.is_limited_by_lease(now);
+        let is_limited_by_lease = self.call_limiter.is_limited_by_lease(now);
         let mut lease_retry_after = Span::ZERO;
-        if by_lease {
+        if is_limited_by_lease {
             lease_retry_after = self.call_limiter.record_lease_rejection(now);
             decisions.limited_by_lease(id);
         }
         let retry_after = self.call_limiter.wait_budget(now, time_budget).max(lease_retry_after);
-        self.give_up(now, id, GiveUp::Retry { retry_after, capacity_elsewhere: by_lease }, decisions);
+        self.give_up(
+            now,
+            id,
+            GiveUp::Retry { retry_after, capacity_elsewhere: is_limited_by_lease },
+            decisions,
+        );
     }
 
     /// Returns whether a job that is linked to no idempotency record may duplicate a keyed job that has run.
--- a/crates/hazelgrade/src/controller/reporting.rs
+++ b/crates/hazelgrade/src/controller/reporting.rs
@@ -17,9 +17,9 @@
             return;
         }
         self.publish_health(now, decisions);
-        let waits = self.run_queue_clear_time(now) + self.run_limiter.mean_unread(now);
+        let mean_wait = self.run_queue_clear_time(now) + self.run_limiter.mean_unread(now);
         let wait_ratio =
-            if self.drain.is_some() { f64::INFINITY } else { waits / self.timescales.target_wait };
+            if self.drain.is_some() { f64::INFINITY } else { mean_wait / self.timescales.target_wait };
         let credit = CREDIT_PER_RUNNING_JOB * self.run_limiter.limit() / self.callers.count;
         if let Some(value) = self.load_signal.update(wait_ratio, self.callers.signal, credit) {
             decisions.publish_load_signal(value);
@@ -31,13 +31,13 @@
     fn publish_health(&mut self, now: Time, decisions: &mut dyn Decisions) {
         let unread = self.run_limiter.mean_unread(now);
         let requests_per_signal = self.requests_per_signal(now);
-        let scales = self.timescales;
-        let lags = self.health.is_lagging(now, unread, &scales);
+        let timescales = self.timescales;
+        let is_lagging = self.health.is_lagging(now, unread, &timescales);
         if Health::is_signal_ineffective(requests_per_signal)
-            && lags
+            && is_lagging
             && !self.retry_rate.exceeds(now, health::MAX_RETRY_RATIO)
         {
-            self.health.unlist(now, scales.shortest_objective, self.random.next_f64());
+            self.health.unlist(now, timescales.shortest_objective, self.random.next_f64());
         }
         if let Some(healthy) = self.health.update(now, self.drain.is_some()) {
             decisions.publish_health(healthy, true);
@@ -47,8 +47,8 @@
     /// Returns the mean number of requests that each caller sends during the lifetime of a load signal.
     fn requests_per_signal(&mut self, now: Time) -> f64 {
         let window = self.timescales.learning_window;
-        let counted_for = self.started_at.map_or(window, |started_at| now.since(started_at).min(window));
-        let signals = self.callers.signal_lifetime / counted_for;
+        let observed_time = self.started_at.map_or(window, |started_at| now.since(started_at).min(window));
+        let signals = self.callers.signal_lifetime / observed_time;
         self.retry_rate.requests(now) * signals / self.callers.count
     }
 
--- a/crates/hazelgrade/src/controller/runs.rs
+++ b/crates/hazelgrade/src/controller/runs.rs
@@ -45,13 +45,13 @@
         let slowdown = self.slowdown(now);
         let mut capacity = self.run_capacity(now);
         let mut work_ahead = Span::ZERO;
-        let mut jobs_wait = false;
+        let mut has_waiting_jobs = false;
         for id in queue {
             if self.can_start(now, &id, &capacity) {
                 self.start_run(now, &id, &mut capacity, decisions);
                 continue;
             }
-            jobs_wait = true;
+            has_waiting_jobs = true;
             let starts_in = work_ahead * (1.0 / capacity.limit);
             match self.core_time_if_in_time(now, &id, starts_in, slowdown) {
                 Some(work) => work_ahead += work,
@@ -62,7 +62,7 @@
                 }
             }
         }
-        self.run_limiter.adjust(now, jobs_wait);
+        self.run_limiter.adjust(now, has_waiting_jobs);
     }
 
     /// Returns the queued jobs in order of decreasing priority. Jobs of equal priority are in the order in which they
--- a/crates/hazelgrade/src/deadline.rs
+++ b/crates/hazelgrade/src/deadline.rs
@@ -20,11 +20,11 @@
     /// Derives the deadlines from the caller's deadline, or from the deadline of the class if the caller states none.
     pub fn new(job: &Job, class: &JobClass, limits: &ServiceLimits) -> Deadlines {
         let due = job.caller_deadline.unwrap_or(job.received_at + class.deadline);
-        let for_work = job.expected_work.map_or(Span::ZERO, |work| work * class.objective_per_work);
+        let work_allowance = job.expected_work.map_or(Span::ZERO, |work| work * class.objective_per_work);
         let slack = limits.answer_slack.min(due.since(job.received_at) * MAX_SLACK_RATIO);
         Deadlines {
             latest_answer: due - slack,
-            objective_deadline: (job.received_at + class.latency_objective + for_work).min(due),
+            objective_deadline: (job.received_at + class.latency_objective + work_allowance).min(due),
         }
     }
 }
@@ -59,9 +59,9 @@
 /// Returns the total time that a call of this job may take, which determines the wait budget and the capacity of the
 /// call queue. The time ends when the caller stops waiting or when the job expires, whichever is earlier.
 pub(crate) fn call_time_budget(tracked: &TrackedJob, now: Time, expires_at: Time) -> Span {
-    let caller_waits = tracked
+    let caller_time_left = tracked
         .job
         .caller_deadline
         .map_or(tracked.class.deadline, |caller_deadline| caller_deadline.since(now));
-    caller_waits.min(expires_at.since(now))
+    caller_time_left.min(expires_at.since(now))
 }
--- a/crates/hazelgrade/src/health.rs
+++ b/crates/hazelgrade/src/health.rs
@@ -39,8 +39,8 @@
     pub fn is_lagging(&self, now: Time, mean_unread: Span, timescales: &Timescales) -> bool {
         let min_listed = timescales.shortest_objective * MIN_LISTED_OBJECTIVES;
         let listed_long_enough = self.unlisted_until.is_none_or(|until| now.since(until) > min_listed);
-        let lasts = self.lagging_since.is_some_and(|since| now.since(since) >= timescales.target_wait);
-        listed_long_enough && lasts && mean_unread > timescales.lag
+        let lag_persists = self.lagging_since.is_some_and(|since| now.since(since) >= timescales.target_wait);
+        listed_long_enough && lag_persists && mean_unread > timescales.lag
     }
 
     /// Returns whether callers send requests too rarely to follow the load signal. `requests_per_signal` is the number
--- a/crates/hazelgrade/src/run_limiter.rs
+++ b/crates/hazelgrade/src/run_limiter.rs
@@ -28,13 +28,13 @@
     limit: f64,
     step: f64,
     /// Throughput before the last step, in jobs per millisecond; `None` if the last step undid an earlier one.
-    rate_before: Option<f64>,
+    previous_rate: Option<f64>,
     /// Jobs that completed since the last step while other jobs waited.
     completed: f64,
     /// Time since the last step during which jobs waited.
     busy_time: Span,
-    checked_at: Option<Time>,
-    jobs_wait: bool,
+    adjusted_at: Option<Time>,
+    has_waiting_jobs: bool,
     /// Mean ratio of the cores in use while jobs wait.
     cores_used: DecayingMean,
     /// Mean time that jobs wait unread.
@@ -48,11 +48,11 @@
             cores,
             limit: (cores * INITIAL_JOBS_PER_CORE).floor().max(1.0),
             step: 0.0,
-            rate_before: None,
+            previous_rate: None,
             completed: 0.0,
             busy_time: Span::ZERO,
-            checked_at: None,
-            jobs_wait: false,
+            adjusted_at: None,
+            has_waiting_jobs: false,
             cores_used: DecayingMean::new(learning_window),
             unread: MeanDuration::new(unread_window),
         }
@@ -66,14 +66,14 @@
 
     /// Records that a run completed.
     pub fn record_completion(&mut self) {
-        if self.jobs_wait {
+        if self.has_waiting_jobs {
             self.completed += 1.0;
         }
     }
 
     /// Records the ratio of the cores in use, 0 to 1, as measured by the host.
     pub fn record_core_use(&mut self, now: Time, ratio: f64) {
-        if self.jobs_wait {
+        if self.has_waiting_jobs {
             self.cores_used.record(now, ratio);
         }
     }
@@ -102,15 +102,15 @@
         reduced.max(self.cores * MIN_JOBS_PER_CORE_UNREAD).min(self.limit)
     }
 
-    /// Evaluates the last step and takes the next one, once enough jobs have completed. `jobs_wait` is whether jobs are
-    /// left in the run queue.
-    pub fn adjust(&mut self, now: Time, jobs_wait: bool) {
+    /// Evaluates the last step and takes the next one, once enough jobs have completed. `has_waiting_jobs` is whether
+    /// jobs are left in the run queue.
+    pub fn adjust(&mut self, now: Time, has_waiting_jobs: bool) {
         let cores_used = self.cores_used.mean(now);
-        if self.jobs_wait {
-            self.busy_time += self.checked_at.map_or(Span::ZERO, |checked_at| now.since(checked_at));
+        if self.has_waiting_jobs {
+            self.busy_time += self.adjusted_at.map_or(Span::ZERO, |adjusted_at| now.since(adjusted_at));
         }
-        self.checked_at = Some(now);
-        self.jobs_wait = jobs_wait;
+        self.adjusted_at = Some(now);
+        self.has_waiting_jobs = has_waiting_jobs;
         if self.completed >= JOBS_PER_EVALUATION * self.limit {
             self.take_step(cores_used);
         }
@@ -120,12 +120,12 @@
     fn take_step(&mut self, cores_used: Option<f64>) {
         let rate = self.completed / self.busy_time.as_ms().max(1.0);
         let max_loss = if self.step > 0.0 { MAX_THROUGHPUT_LOSS_UP } else { MAX_THROUGHPUT_LOSS_DOWN };
-        let throughput_fell = self.rate_before.is_some_and(|before| rate < before * (1.0 - max_loss));
+        let throughput_fell = self.previous_rate.is_some_and(|previous| rate < previous * (1.0 - max_loss));
         let idle_cores = cores_used.is_none_or(|used| used < BUSY_CORES_RATIO);
         let direction = if idle_cores { 1.0 } else { -1.0 };
         self.step = if throughput_fell { -self.step } else { direction };
         self.limit += self.step;
-        self.rate_before = (!throughput_fell).then_some(rate);
+        self.previous_rate = (!throughput_fell).then_some(rate);
         self.completed = 0.0;
         self.busy_time = Span::ZERO;
     }
--- a/crates/hazelgrade/tests/failures.rs
+++ b/crates/hazelgrade/tests/failures.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn past_the_permits_calls_wait_and_past_the_queue_capacity_new_jobs_are_rejected() {
+fn calls_beyond_the_permits_wait_and_jobs_beyond_the_queue_capacity_are_rejected() {
     let mut controller = setup().controller();
     let decisions = bring_to_call(&mut controller, 0.0, 0, 16);
     assert_eq!(started_calls(&decisions).len(), 8, "there are eight permits at the start");
@@ -95,7 +95,7 @@
 /// Guards against calls that are started too late: long calls hold the permits, so that the calls queued behind them
 /// exceed their wait budget.
 #[test]
-fn a_call_queued_past_its_budget_or_whose_caller_left_is_never_made() {
+fn a_queued_call_past_its_wait_budget_or_without_its_caller_is_not_started() {
     let mut controller = setup().controller();
     bring_to_call(&mut controller, 0.0, 0, 9);
     let decisions = round(&mut controller, at(2100.0), |sink| sink.timer_fired(1, None));
@@ -313,7 +313,7 @@
 /// Guards against runs that starve reading: while jobs waited unread for seconds, the number of concurrent runs was not
 /// reduced, and the runs kept the cores from reading.
 #[test]
-fn fewer_run_while_jobs_wait_unread() {
+fn fewer_jobs_run_while_jobs_wait_unread() {
     let decisions_with_unread = |unread: f64, known: bool| {
         let mut controller = setup().controller();
         round(&mut controller, at(5000.0), |sink| {
@@ -335,7 +335,7 @@
 /// Guards against a run limit that drifts at random on small machines: too many concurrent runs shared the cores, and
 /// all of them ended late.
 #[test]
-fn runs_go_up_while_cores_idle_and_down_while_they_are_busy() {
+fn the_run_limit_rises_while_cores_are_idle_and_falls_while_cores_are_busy() {
     let run_count_with_core_use = |used: f64| {
         let mut setup = setup();
         setup.job_classes[0].calls_dependency = false;
@@ -501,7 +501,7 @@
 /// Guards against a server without a lease that never requests one: a server that had made no call yet knew no latency
 /// from which to derive its demand. At a site that owned no units, such a server rejected all jobs forever.
 #[test]
-fn a_server_that_never_called_wants_a_lease_while_it_rejects_jobs_for_lack_of_one() {
+fn a_server_that_never_called_requests_a_lease_while_it_rejects_jobs_for_lack_of_one() {
     let mut controller = setup().controller();
     let lease = CallLease {
         calls: 0.0,
--- a/crates/hazelgrade/tests/fleet.rs
+++ b/crates/hazelgrade/tests/fleet.rs
@@ -654,7 +654,7 @@
 }
 
 #[test]
-fn the_few_that_lag_are_unlisted_and_listed_again_now_and_then() {
+fn lagging_servers_are_unlisted_temporarily_and_listed_again() {
     let slow = |fleet: &mut Fleet| fleet.schedule(8000.0, Event::SlowServers(every_nth(fleet, 8), 0.04));
     run_scenario(FLEET_AND_CALLERS, 0.7, slow, |measurements| {
         assert!(measurements.max_unhealthy_ratio() > 0.02, "no server was unlisted");
--- a/crates/hazelgrade/tests/settings_updates.rs
+++ b/crates/hazelgrade/tests/settings_updates.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_class_out_of_use_lets_its_jobs_end_and_indexes_are_never_taken_away() {
+fn jobs_of_a_class_out_of_use_finish_and_indexes_cannot_be_removed() {
     let setup = setup();
     let mut controller = setup.controller();
     round(&mut controller, at(0.0), |sink| sink.job_arrived(job("a", at(0.0))));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn what_was_learned_stays_with_the_index_unless_it_is_reset() {
+fn statistics_stay_with_their_index_unless_the_index_is_reset() {
     // The run time of 400 ms is known from earlier jobs and is then used to reject jobs that would end too late.
     let decisions_after_update = |reset: Vec<usize>| {
         let setup = setup();
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_controller_without_classes_serves_by_a_first_update() {
+fn a_controller_without_classes_starts_jobs_after_the_first_settings_update() {
     let setup = Setup { job_classes: vec![], ..setup() };
     let mut controller = setup.controller();
     assert!(
