--- a/crates/hazelgrade-server/src/routing/budget_share.rs
+++ b/crates/hazelgrade-server/src/routing/budget_share.rs
@@ -1,9 +1,9 @@
-//! This node's share of the budgets that all nodes share: its leases, on this machine's monotonic clock, and the limits
-//! that they set.
+//! This node's share of the budgets that all nodes share: the node's leases, kept on this machine's monotonic clock,
+//! and the limits that the leases set.
 //!
-//! The controller bounds calls by the lease; right before a call is sent the lease is checked once more, as the
-//! process may have been suspended in between. A tenant's jobs a second and retries are bounded by token buckets; the
-//! controller rejects a job for which there is no token.
+//! The controller bounds calls by the call lease. The lease is checked again right before a call is sent, because the
+//! process may have been suspended since the controller's decision. A tenant's jobs per second and the retries are
+//! bounded by token buckets; the controller rejects a job for which no token is available.
 
 use hazelgrade::api::{CallDemand, CallLease, Job};
 use hazelgrade::statistics::DecayingSum;
@@ -17,17 +17,17 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Time constant of the measured demand, in milliseconds; also the retry-after where the bucket can't tell when the
-/// next token comes.
+/// Time constant of the measured demand, in milliseconds. Also the retry-after of a job when the token bucket cannot
+/// tell when its next token becomes available.
 const DEMAND_TIME_CONSTANT_MS: f64 = 1000.0;
-/// The least time that a call may take from the decision to the socket.
-const MIN_SEND_TIME: Duration = Duration::from_millis(25);
+/// Lower bound of the time allowed between the controller's decision and the write of the call to the socket.
+const MIN_SEND_TIMEOUT: Duration = Duration::from_millis(25);
 
 /// A token bucket that is refilled by this node's share of a budget.
 struct RateLimit {
     budget: String,
     bucket: TokenBucket,
-    /// Attempts to take a token, including failed ones.
+    /// Attempts to take a token, including those that found the bucket empty.
     demand: DecayingSum,
     terms: BudgetTerms,
 }
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The limit under new terms. The tokens are those of `previous`, if that was a limit of the same budget.
+    /// Returns the limit under new terms. The tokens of `previous` are kept if `previous` limited the same budget.
     fn with_terms(now: Time, budget: &str, terms: &BudgetTerms, previous: Option<RateLimit>) -> RateLimit {
         match previous {
             Some(limit) if limit.budget == budget => RateLimit { terms: terms.clone(), ..limit },
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Tokens wanted per second.
-    fn wanted(&mut self, now: Time) -> u32 {
+    /// Returns the tokens wanted per second.
+    fn demand_per_second(&mut self, now: Time) -> u32 {
         (self.demand.value(now) * 1000.0 / DEMAND_TIME_CONSTANT_MS).ceil() as u32
     }
 
-    /// Takes a token. The error is the time until one may be available.
+    /// Takes a token. The error is the time until a token may be available.
     fn take(&mut self, now: Time) -> Result<(), Span> {
         self.demand.add(now, 1.0);
         let taken = self.bucket.try_take(now);
@@ -63,37 +63,38 @@
     }
 }
 
-/// The lease of calls expired between the controller's decision and the call, which must not be sent.
+/// The call lease expired between the controller's decision and the sending of the call: the call must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseExpired;
 
-/// This node's shares, with a clock of their own.
+/// This node's shares of all budgets, on a monotonic clock of their own.
 pub struct BudgetShare {
-    /// When the clock showed 0.
+    /// The instant at which the clock of the shares showed 0.
     started: Instant,
-    /// How fast the clock runs; 1 except in tests.
+    /// Speed of the clock relative to the system's monotonic clock; 1 except in tests.
     clock_rate: f64,
     holder: RefCell<LeaseHolder>,
-    /// The name of the budget of calls in flight, if there is one.
+    /// Name of the budget that limits calls in flight, if there is one.
     call_budget: RefCell<Option<String>>,
-    /// The limits on jobs per second, by tenant.
+    /// Limits on jobs per second, by tenant.
     tenant_limits: RefCell<BTreeMap<String, RateLimit>>,
     retry_limit: RefCell<Option<RateLimit>>,
-    /// Calls in flight or lingering at the dependency after the last round.
+    /// Calls that were in flight or lingered at the dependency after the last round.
     calls_in_flight: Cell<u32>,
-    /// How long a call may take from the decision to the socket.
-    max_send_time: Duration,
-    /// Notified when a request may be due earlier than before.
+    /// Longest time allowed between the controller's decision and the write of the call to the socket.
+    send_timeout: Duration,
+    /// Notified when the next lease request may be due earlier than before.
     changed: Notify,
-    /// Calls that were not made because their lease had expired.
+    /// Calls that were not sent because the call lease had expired.
     pub calls_expired: Cell<u64>,
-    /// Jobs rejected because this node's share was used up.
+    /// Jobs that were rejected because this node's share of a budget was used up.
     pub jobs_rejected: Cell<u64>,
 }
 
 impl BudgetShare {
-    /// A share without budgets. `holder` must use the clock of this share, which starts at 0. `call_budget` names the
-    /// budget of calls until budgets are set. A call may stay at the dependency for `linger`.
+    /// Creates a share without budgets. `holder` must use the clock of this share, which starts at 0. `call_budget`
+    /// names the budget of calls in flight until [`BudgetShare::set_budgets`] is called. A call may stay at the
+    /// dependency for `linger`.
     pub fn new(
         holder: LeaseHolder,
         call_budget: Option<String>,
@@ -108,25 +109,25 @@
             tenant_limits: RefCell::default(),
             retry_limit: RefCell::default(),
             calls_in_flight: Cell::new(0),
-            max_send_time: Duration::from_secs_f64(linger.as_ms() / 1000.0).max(MIN_SEND_TIME),
+            send_timeout: Duration::from_secs_f64(linger.as_ms() / 1000.0).max(MIN_SEND_TIMEOUT),
             changed: Notify::default(),
             calls_expired: Cell::new(0),
             jobs_rejected: Cell::new(0),
         }
     }
 
-    /// The time on the share's monotonic clock.
+    /// Returns the time on the share's monotonic clock.
     fn now(&self) -> Time {
         Time::from_ms(self.started.elapsed().as_secs_f64() * 1000.0 * self.clock_rate)
     }
 
-    /// Converts a time on the share's clock.
-    fn instant(&self, at: Time) -> Instant {
+    /// Converts a time on the share's clock to an instant of the system's monotonic clock.
+    fn to_instant(&self, at: Time) -> Instant {
         let ms = at.since(Time::from_ms(0.0)).as_ms() / self.clock_rate;
         self.started + Duration::from_secs_f64(ms / 1000.0)
     }
 
-    /// Replaces the budgets that limit this node.
+    /// Replaces the budgets that limit this node. A token bucket whose budget remains keeps its tokens.
     pub fn set_budgets(&self, budgets: &BTreeMap<String, BudgetTerms>) {
         let now = self.now();
         let mut tenant_limits = self.tenant_limits.borrow_mut();
@@ -155,7 +156,7 @@
         self.changed.notify();
     }
 
-    /// The lease of calls, on the controller's clock; `None` if there is no budget of calls.
+    /// Returns the call lease, on the controller's clock; `None` if no budget limits calls in flight.
     pub fn call_lease(&self, controller_now: Time) -> Option<CallLease> {
         let now = self.now();
         let call_budget = self.call_budget.borrow();
@@ -170,7 +171,7 @@
         })
     }
 
-    /// Records the calls that the controller has in flight after a round, and those that it wants.
+    /// Records the calls that the controller has in flight after a round, and the calls that it wants.
     pub fn record_call_demand(&self, demand: CallDemand) {
         let in_use = demand.in_flight as u32;
         let wanted = demand.wanted.round() as u32;
@@ -185,12 +186,12 @@
         }
     }
 
-    /// Checks the lease right before a call is sent: the process may have been suspended since the controller's
-    /// decision. Returns the time by which the call must be handed to the system.
+    /// Checks the call lease right before a call is sent, because the process may have been suspended since the
+    /// controller's decision. Returns the time by which the call must be handed to the operating system.
     pub fn call_expiry(&self) -> Result<Instant, LeaseExpired> {
         let now = self.now();
         let call_budget = self.call_budget.borrow();
-        let expires_at = Instant::now() + self.max_send_time;
+        let expires_at = Instant::now() + self.send_timeout;
         let Some(budget) = &*call_budget else { return Ok(expires_at) };
         let entitlement = self.holder.borrow().entitlement(now, budget);
         let in_use = self.calls_in_flight.get();
@@ -198,7 +199,7 @@
             return Ok(expires_at);
         }
         match entitlement.expires_at {
-            Some(until) if in_use <= entitlement.units => Ok(expires_at.min(self.instant(until))),
+            Some(until) if in_use <= entitlement.units => Ok(expires_at.min(self.to_instant(until))),
             _ => {
                 self.calls_expired.set(self.calls_expired.get() + 1);
                 Err(LeaseExpired)
@@ -206,9 +207,9 @@
         }
     }
 
-    /// Takes the tokens of a job that arrived: one of its tenant's limit, and one of the retry limit if it is a retry.
-    /// If either has none left, takes none and returns the time until there may be one. A first attempt deposits into
-    /// the retry limit.
+    /// Takes the tokens of an arriving job: one from the limit of the job's tenant and, if the job is a retry, one from
+    /// the retry limit. If either limit has no token left, takes none and returns the time until one may be available.
+    /// A job that is not a retry makes a deposit into the retry limit.
     pub fn take_tokens(&self, job: &Job, tenant: Option<&str>) -> Option<Span> {
         let now = self.now();
         let mut tenant_limits = self.tenant_limits.borrow_mut();
@@ -233,13 +234,13 @@
         Some(retry_after)
     }
 
-    /// Adjusts the rate of a bucket to this node's current share.
+    /// Adjusts the rate of a token bucket to this node's current share of the budget.
     fn resize_bucket(&self, now: Time, limit: &mut RateLimit) {
         let units = self.holder.borrow().entitlement(now, &limit.budget).units;
         limit.bucket.resize(now, limit.terms.measure, limit.terms.total, units);
     }
 
-    /// Takes the request for leases, if one is due.
+    /// Takes the next request to the lessor, if a request is due.
     pub fn due_request(&self) -> Option<LeaseRequest> {
         let now = self.now();
         let mut holder = self.holder.borrow_mut();
@@ -248,51 +249,51 @@
         }
         let mut demands = Vec::new();
         for limit in self.tenant_limits.borrow_mut().values_mut() {
-            demands.push((limit.budget.clone(), limit.wanted(now)));
+            demands.push((limit.budget.clone(), limit.demand_per_second(now)));
         }
         if let Some(limit) = &mut *self.retry_limit.borrow_mut() {
-            demands.push((limit.budget.clone(), limit.wanted(now)));
+            demands.push((limit.budget.clone(), limit.demand_per_second(now)));
         }
-        // Units of a rate are never in use: a share that is withdrawn stops counting at once.
+        // Units of a rate are never in use, because a rate that is withdrawn from this node takes effect at once.
         demands
             .into_iter()
             .for_each(|(budget, wanted)| holder.record_usage(now, &budget, Usage { in_use: 0, wanted }));
         holder.take_request(now)
     }
 
-    /// When the next request is due, on the controller's clock.
+    /// Returns when the next request to the lessor is due, on the controller's clock.
     pub fn next_request_at(&self, controller_now: Time) -> Time {
         let next = self.holder.borrow().next_request_at();
         controller_now + next.since(self.now()) * (1.0 / self.clock_rate)
     }
 
-    /// Applies a grant of the lessor; returns `false` if it changes nothing.
+    /// Applies a grant of the lessor; returns `false` if the grant changes nothing.
     pub fn apply_grant(&self, grant: &LeaseGrant) -> bool {
         self.holder.borrow_mut().on_grant(self.now(), grant)
     }
 
-    /// Makes a request due now: the lessor has asked for one.
+    /// Makes a request due now, because the lessor has asked the node to send one.
     pub fn request_leases_now(&self) {
         self.holder.borrow_mut().on_nudge(self.now());
     }
 
-    /// Handles a new connection to the lessor.
+    /// Updates the leases after a connection to the lessor was established.
     pub fn on_connected(&self) {
         self.holder.borrow_mut().on_connected(self.now());
     }
 
-    /// From now on the node returns the units that it does not use, as it drains.
+    /// Starts the drain: from now on the node returns the units that it does not use to the lessor.
     pub fn start_drain(&self) {
         self.holder.borrow_mut().start_drain(self.now());
         self.changed.notify();
     }
 
-    /// Waits until a request may be due earlier than before.
+    /// Waits until the next request to the lessor may be due earlier than before.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// Grants that were not applied, since the start.
+    /// Returns the number of grants since the start that were not applied.
     pub fn ignored_grants(&self) -> u64 {
         self.holder.borrow().ignored_grants()
     }
--- a/crates/hazelgrade-server/src/routing/callers.rs
+++ b/crates/hazelgrade-server/src/routing/callers.rs
@@ -1,4 +1,4 @@
-//! Authenticates callers, and decides whether they may make a request.
+//! Authenticates callers and decides whether a caller may make a request.
 
 use crate::protocol::jsonrpc::JobRequest;
 use hazelgrade::time::Time;
@@ -11,34 +11,36 @@
 
 /// The caller at the other end of a connection.
 pub struct Caller {
-    /// The address that the connection comes from.
+    /// The remote address of the connection.
     pub address: IpAddr,
-    /// The credentials that identify the caller.
+    /// The token and the client certificate that identify the caller.
     pub credentials: RefCell<Credentials>,
 }
 
-/// Authenticates and authorizes callers. Until it is enabled, every request is allowed.
+/// Authenticates and authorizes callers. Every request is allowed until authentication is enabled.
 #[derive(Default)]
 pub struct Callers {
     enabled: Cell<bool>,
     authenticator: RefCell<Option<Authenticator>>,
-    /// Serial numbers of the certificates on the operators' list of revoked ones.
+    /// Serial numbers of the client certificates that operators have revoked.
     revoked_certificates: RefCell<BTreeSet<String>>,
 }
 
 impl Callers {
-    /// From now on every job needs a caller with the right to request it. Until there is a key set, all are denied.
+    /// Enables authentication: from now on a job needs a caller with the right to request it. All jobs are denied
+    /// until a key set is available.
     pub fn enable(&self) {
         self.enabled.set(true);
     }
 
-    /// Whether callers are authenticated.
+    /// Returns whether callers are authenticated.
     pub fn is_enabled(&self) -> bool {
         self.enabled.get()
     }
 
-    /// Replaces keys, callers and rights from the next job on. With `is_rollback`, `policy` replaces a later one that
-    /// failed, and what that one revoked stays revoked. If no key is valid now, returns an error and changes nothing.
+    /// Replaces keys, callers and rights from the next job on. With `is_rollback`, `policy` replaces a later policy
+    /// that failed, and everything that the later policy revoked stays revoked. If no key of `policy` is valid now,
+    /// returns an error and changes nothing.
     pub fn replace(
         &self,
         mut policy: AccessPolicy,
@@ -59,17 +61,17 @@
         }
     }
 
-    /// Removes the key set: all requests are denied.
+    /// Removes the key set, so that all requests are denied.
     pub fn clear(&self) {
         self.authenticator.replace(None);
     }
 
-    /// Replaces the serial numbers of revoked certificates, for established connections too.
+    /// Replaces the serial numbers of revoked certificates. The change also affects established connections.
     pub fn set_revoked_certificates(&self, serials: BTreeSet<String>) {
         self.revoked_certificates.replace(serials);
     }
 
-    /// Applies changed job classes and tenants.
+    /// Resolves the names in the policy against changed job classes and tenants.
     pub fn settings_changed(&self, settings: &HostSettings) {
         if let Some(authenticator) = &mut *self.authenticator.borrow_mut() {
             let indexes = NameIndexes::new(settings);
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Authenticates the caller of a connection by a token, and returns its name.
+    /// Authenticates the caller of a connection by a token, and returns the caller's name.
     pub fn authenticate(&self, now: Time, caller: &Caller, token: &str) -> Result<String, DenyReason> {
         let mut authenticator = self.authenticator.borrow_mut();
         let authenticator = authenticator.as_mut().ok_or(DenyReason::UnknownKey)?;
@@ -94,8 +96,9 @@
         }
     }
 
-    /// Decides whether a caller may request a job. Sets the tenant where the request doesn't name one, and whether the
-    /// caller is over its rate limit. A token in the request takes precedence over the connection's credentials.
+    /// Decides whether a caller may request a job. Sets the job's tenant if the request does not name one, and records
+    /// in the job whether the caller is over its rate limit. A token in the request takes precedence over the
+    /// connection's credentials.
     pub fn authorize(&self, now: Time, caller: &Caller, request: &mut JobRequest) -> Result<(), DenyReason> {
         if !self.enabled.get() {
             return Ok(());
@@ -130,12 +133,13 @@
         }
     }
 
+    /// Returns whether the credentials contain a certificate that operators have revoked.
     fn has_revoked_certificate(&self, credentials: &Credentials) -> bool {
         let revoked = self.revoked_certificates.borrow();
         credentials.certificate.as_ref().is_some_and(|certificate| revoked.contains(&certificate.serial))
     }
 
-    /// Logs the denials that are due, summed up by caller and reason.
+    /// Logs the audit records that are due. Each record counts the denials of one caller for one reason.
     pub fn audit(&self, now: Time) {
         let records = self
             .authenticator
@@ -150,7 +154,7 @@
     }
 }
 
-/// The indexes of job classes and tenants by their names.
+/// Maps the names of job classes and tenants to their indexes in the settings.
 struct NameIndexes<'a> {
     job_classes: BTreeMap<&'a str, usize>,
     tenants: BTreeMap<&'a str, usize>,
--- a/crates/hazelgrade-server/src/routing/clock.rs
+++ b/crates/hazelgrade-server/src/routing/clock.rs
@@ -1,4 +1,4 @@
-//! The controller's clock: follows the Unix clock, but never goes backwards.
+//! The controller's clock. The clock follows the Unix clock but never goes backwards.
 
 use hazelgrade::time::{Span, Time};
 use std::cell::Cell;
@@ -7,16 +7,16 @@
 /// A monotonic clock that follows the Unix clock.
 pub struct Clock {
     last: Cell<Time>,
-    /// By how much the Unix clock was set back since the start.
+    /// Sum of all steps by which the Unix clock was set back since the start.
     offset: Cell<Span>,
     unix: fn() -> Time,
-    /// Set by fault injection in tests only.
-    skew: Cell<Option<Skew>>,
+    /// An injected clock fault; set only in tests.
+    fault: Cell<Option<ClockFault>>,
 }
 
-/// A Unix clock that is wrong.
+/// An injected fault of the Unix clock: an offset and a wrong rate.
 #[derive(Clone, Copy)]
-struct Skew {
+struct ClockFault {
     since: Time,
     offset_ms: f64,
     rate: f64,
@@ -34,26 +34,27 @@
 }
 
 impl Clock {
-    /// A clock that follows `unix`.
+    /// Creates a clock that follows `unix`.
     pub fn new(unix: fn() -> Time) -> Clock {
-        Clock { last: Cell::new(unix()), offset: Cell::default(), unix, skew: Cell::default() }
+        Clock { last: Cell::new(unix()), offset: Cell::default(), unix, fault: Cell::default() }
     }
 
-    /// For tests: from now on the Unix clock is off by `offset_ms` milliseconds and runs `rate` times as fast.
+    /// Injects a clock fault in tests: from now on the Unix clock appears to be off by `offset_ms` milliseconds and to
+    /// run `rate` times as fast.
     pub fn skew(&self, offset_ms: f64, rate: f64) {
-        self.skew.set(Some(Skew { since: (self.unix)(), offset_ms, rate }));
+        self.fault.set(Some(ClockFault { since: (self.unix)(), offset_ms, rate }));
     }
 
-    /// The Unix clock, with the skew applied.
+    /// Returns the time of the Unix clock, with the injected fault applied.
     fn read(&self) -> Time {
         let unix = (self.unix)();
-        self.skew.get().map_or(unix, |Skew { since, offset_ms, rate }| {
+        self.fault.get().map_or(unix, |ClockFault { since, offset_ms, rate }| {
             Time::from_ms(since.as_ms() + (unix.as_ms() - since.as_ms()) * rate + offset_ms)
         })
     }
 
-    /// The time now. When the Unix clock is set back, this clock continues from its last time. Otherwise jobs in flight
-    /// would appear younger than they are.
+    /// Returns the current time. When the Unix clock is set back, this clock continues from the last time that it
+    /// returned: otherwise jobs in flight would appear younger than they are.
     pub fn now(&self) -> Time {
         let now = self.read() + self.offset.get();
         self.offset.set(self.offset.get() + self.last.get().since(now));
@@ -61,7 +62,7 @@
         self.last.get()
     }
 
-    /// Converts a time of the Unix clock at which something has happened; never later than now.
+    /// Converts the Unix time of a past event to this clock. The result is never later than the current time.
     pub fn to_monotonic(&self, unix: Time) -> Time {
         (unix + self.offset.get()).min(self.now())
     }
--- a/crates/hazelgrade-server/src/routing/context.rs
+++ b/crates/hazelgrade-server/src/routing/context.rs
@@ -1,4 +1,5 @@
-//! The state that request handling shares: the controller's driver, the in-flight table, the peers and the counters.
+//! The state that all request handling shares: the controller driver, the in-flight table, the links to peers and the
+//! counters.
 
 use super::callers::Callers;
 use super::controller_driver::{ControllerDriver, ControllerEvent};
@@ -14,28 +15,28 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Shared by all jobs and connections of an instance.
+/// State that is shared by all jobs and connections of an instance.
 pub struct RequestContext {
-    /// Runs the controller and passes on its decisions.
+    /// Runs the controller and dispatches its decisions to the tasks of jobs.
     pub driver: Rc<ControllerDriver>,
-    /// The jobs that were admitted and have not ended.
+    /// The jobs that the front end has admitted and that have not ended.
     pub in_flight: Rc<InFlightTable>,
-    /// Results of keyed jobs, for their retries.
+    /// Results of keyed jobs, with which their retries are answered.
     pub result_cache: Rc<ResultCache>,
-    /// Calls to the database.
+    /// The calls to the database.
     pub dependency_calls: Rc<DependencyCalls>,
     /// The link to the executor.
     pub executor: Rc<ExecutorLink>,
-    /// The settings for decoding requests. A change does not affect jobs that have arrived.
+    /// The settings by which requests are decoded. A change does not affect jobs that have already arrived.
     pub settings: RefCell<Rc<HostSettings>>,
-    /// Counts how jobs ended.
+    /// Counts of jobs by how they ended.
     pub counters: RefCell<Counters>,
-    /// Decides who may request what.
+    /// Authenticates callers and decides which jobs they may request.
     pub callers: Callers,
 }
 
 impl RequestContext {
-    /// Sends the final answer to a job, unless it was sent before or its caller has disconnected.
+    /// Sends the final answer to a job, unless the job was answered before or its caller has disconnected.
     pub fn answer(&self, id: &JobId, answer: &Answer) {
         let mut counters = self.counters.borrow_mut();
         let Some(responder) = self.in_flight.take_responder(id) else {
@@ -57,8 +58,8 @@
         responder.connection.close_call(responder.call_id);
     }
 
-    /// Records that the caller of a job no longer waits. Notifies the controller before the job's task: otherwise
-    /// the controller could still start the run of a job whose task has ended.
+    /// Records that the caller of a job no longer waits for the answer. The controller is notified before the job's
+    /// task: otherwise the controller could still start the run of a job whose task has ended.
     pub fn caller_disconnected(&self, id: &JobId) {
         if let Some(responder) = self.in_flight.take_responder(id) {
             self.counters.borrow_mut().callers_disconnected += 1;
@@ -68,26 +69,29 @@
         }
     }
 
-    /// Marks the connection of a job's caller as trusted, as the executor has run the job.
+    /// Marks the connection of a job's caller as trusted, because the executor has run the job.
     pub fn trust_caller(&self, id: &JobId) {
         if let Some(connection) = self.in_flight.caller(id) {
             connection.mark_trusted();
         }
     }
 
-    /// Counts a job that the executor does not know, as a violation of its caller too.
+    /// Counts a job that is unknown to the executor. The job also counts as a protocol violation of its caller.
     pub fn count_unknown_to_executor(&self, id: &JobId) {
         let mut counters = self.counters.borrow_mut();
         counters.unknown_to_executor += 1;
         if counters.unknown_to_executor.is_power_of_two() {
-            tracing::warn!(count = counters.unknown_to_executor, "executor did not start a run: unknown job");
+            tracing::warn!(
+                count = counters.unknown_to_executor,
+                "executor refused to start a run: unknown job"
+            );
         }
         if let Some(connection) = self.in_flight.caller(id) {
             connection.count_violation();
         }
     }
 
-    /// Sends a command to the executor. While there is no link the command is dropped.
+    /// Sends a command to the executor. The command is dropped while there is no link to the executor.
     pub fn send_command(&self, command: &Command) {
         self.executor.send(&encode(command));
     }
--- a/crates/hazelgrade-server/src/routing/controller_driver.rs
+++ b/crates/hazelgrade-server/src/routing/controller_driver.rs
@@ -1,5 +1,5 @@
-//! Drives the controller: collects events, runs a round when there are any but at most once a tick, and passes each
-//! decision to the task of its job. A timer that is due counts as an event.
+//! Drives the controller: collects events, runs a round while events are pending but at most once per tick, and passes
+//! each decision to the task of its job. A timer that is due counts as an event.
 
 use super::budget_share::BudgetShare;
 use super::clock::Clock;
@@ -25,68 +25,68 @@
 pub enum ControllerEvent {
     /// A job was admitted.
     JobArrived {
-        /// The job as it was decoded.
+        /// The job as it was decoded from the request.
         job: Job,
     },
     /// A run has ended.
     RunEnded {
-        /// The job that ran.
+        /// The id of the job that ran.
         id: JobId,
-        /// How it ended.
+        /// The outcome of the run.
         outcome: Outcome,
-        /// How long it took.
+        /// The duration of the run.
         elapsed: Span,
     },
-    /// A run waits for a call.
+    /// A run waits for a call to the dependency.
     CallRequested {
-        /// The job that runs.
+        /// The id of the running job.
         id: JobId,
     },
     /// A call has ended.
     CallEnded {
-        /// The job that made it.
+        /// The id of the job whose run requested the call.
         id: JobId,
-        /// How it ended.
+        /// The outcome of the call.
         outcome: Outcome,
-        /// How long it took.
+        /// The duration of the call.
         elapsed: Span,
     },
-    /// The caller of a job no longer waits.
+    /// The caller of a job no longer waits for the answer.
     CallerDisconnected {
-        /// The job.
+        /// The id of the job.
         id: JobId,
     },
-    /// The instance drains, and stops at this time.
+    /// The instance drains and stops at the given time.
     DrainStarted(Time),
     /// A timer is due.
     TimerFired {
-        /// The token that the controller set the timer with.
+        /// The token with which the controller set the timer.
         token: u64,
-        /// The fraction of the cores in use, if the executor reported it in time.
+        /// Fraction of the executor's cores in use; `None` if the executor did not report its gauges in time.
         core_use: Option<f64>,
     },
-    /// This node's lease of calls has changed.
+    /// This node's call lease has changed.
     LeaseUpdated(CallLease),
 }
 
-/// The controller, its clock, timers and pending events.
+/// Runs the controller, and holds its clock, timers and pending events.
 pub struct ControllerDriver {
     controller: RefCell<Controller>,
     /// The controller's clock.
     pub clock: Clock,
-    /// The shortest time between two rounds.
+    /// Shortest time between the starts of two rounds.
     tick: Duration,
     events: RefCell<Vec<ControllerEvent>>,
     event_added: Notify,
-    /// Whether rounds may run: the executor is up, or the instance drains.
-    started: Cell<bool>,
+    /// Whether rounds may run; set once the executor is up or the instance drains.
+    rounds_allowed: Cell<bool>,
     timers: Timers,
     liveness: Liveness,
-    /// The executor has received every command sent before this time.
+    /// The executor has received every command that was sent before this instant.
     commands_confirmed_until: Cell<Instant>,
     load_signal: Cell<Option<f64>>,
     controller_healthy: Cell<bool>,
-    /// Whether there are settings to serve with.
+    /// Whether the instance has settings to serve jobs with.
     ready: Cell<bool>,
     health_changed: Notify,
     /// This node's share of the budgets, if budgets are enabled.
@@ -94,14 +94,14 @@
     in_flight: Rc<InFlightTable>,
     result_cache: Rc<ResultCache>,
     executor: Rc<ExecutorLink>,
-    /// Rounds since the start.
+    /// Number of rounds since the start.
     pub round_count: Cell<u64>,
-    /// The longest round since this was last taken.
+    /// Duration of the longest round since this value was last reset.
     pub longest_round: Cell<Duration>,
 }
 
 impl ControllerDriver {
-    /// Drives `controller` with at most one round every `tick`.
+    /// Creates a driver that runs at most one round of `controller` per `tick`.
     pub fn new(
         controller: Controller,
         tick: Span,
@@ -117,7 +117,7 @@
             tick: Duration::from_secs_f64(tick.as_ms() / 1000.0),
             events: RefCell::default(),
             event_added: Notify::default(),
-            started: Cell::new(false),
+            rounds_allowed: Cell::new(false),
             timers: Timers::default(),
             commands_confirmed_until: Cell::new(Instant::now()),
             load_signal: Cell::new(None),
@@ -139,36 +139,37 @@
         self.event_added.notify();
     }
 
-    /// Allows rounds from now on, once the executor is up or the instance drains. The controller's time starts with the
-    /// first round, so none may run earlier.
+    /// Allows rounds from now on; called once the executor is up or the instance drains. The controller's time starts
+    /// with the first round, so no round may run earlier.
     pub fn start_rounds(&self) {
-        self.started.set(true);
+        self.rounds_allowed.set(true);
         self.event_added.notify();
     }
 
-    /// The load signal that callers are sent with each answer.
+    /// Returns the load signal that is sent to callers with each answer.
     pub fn load_signal(&self) -> Option<f64> {
         self.load_signal.get()
     }
 
-    /// Whether the instance is healthy: the controller reports it healthy, and there are settings to serve with.
+    /// Returns whether the instance is healthy: the controller reports it as healthy, and there are settings to serve
+    /// jobs with.
     pub fn is_healthy(&self) -> bool {
         self.controller_healthy.get() && self.ready.get()
     }
 
-    /// Sets whether there are settings to serve with.
+    /// Records whether there are settings to serve jobs with.
     pub fn set_ready(&self, ready: bool) {
         if self.ready.replace(ready) != ready {
             self.health_changed.notify();
         }
     }
 
-    /// Replaces the controller's settings from the next round on; returns `false` if it does not accept them.
+    /// Replaces the controller's settings from the next round on; returns `false` if the controller rejects them.
     pub fn update_settings(&self, update: SettingsUpdate) -> bool {
         self.controller.borrow_mut().update_settings(self.clock.now(), update)
     }
 
-    /// Limits calls to this node's share of the budget from now on.
+    /// Limits calls to this node's share of the budget of calls from now on.
     pub fn set_budget_share(&self, share: Rc<BudgetShare>) {
         if let Some(lease) = share.call_lease(self.clock.now()) {
             self.notify(ControllerEvent::LeaseUpdated(lease));
@@ -176,34 +177,34 @@
         self.budget_share.replace(Some(share));
     }
 
-    /// This node's share of the budgets, if budgets are enabled.
+    /// Returns this node's share of the budgets, if budgets are enabled.
     pub fn budget_share(&self) -> Option<Rc<BudgetShare>> {
         self.budget_share.borrow().clone()
     }
 
-    /// Waits until health has changed or a heartbeat was requested.
+    /// Waits until the instance's health changes or a heartbeat is requested.
     pub async fn health_changed(&self) {
         self.health_changed.notified().await;
     }
 
-    /// Requests a heartbeat at once.
+    /// Requests an immediate heartbeat.
     pub fn request_heartbeat(&self) {
         self.health_changed.notify();
     }
 
-    /// Records that the process is running. Returns when it was last seen running, or shortly after
-    /// a pause, when the pause began.
+    /// Records that the process is running now. Returns when the process was last seen running; shortly after a pause
+    /// of the process, returns when that pause began.
     pub fn record_liveness(&self) -> Time {
         self.liveness.record(self.clock.now())
     }
 
-    /// Whether this time is within the last pause of the process, or so shortly after it that messages that came
-    /// meanwhile were still being read.
+    /// Returns whether `at` lies within the last pause of the process, or so shortly after the pause that messages
+    /// received during the pause were still being read.
     pub fn was_paused_at(&self, at: Time) -> bool {
         self.liveness.was_paused_at(self.clock.now(), at)
     }
 
-    /// The time before which every command sent has been received by the executor.
+    /// Returns the instant before which every command sent has been received by the executor.
     pub fn commands_confirmed_until(&self) -> Instant {
         self.commands_confirmed_until.get()
     }
@@ -213,7 +214,7 @@
         self.commands_confirmed_until.set(self.commands_confirmed_until.get().max(sent));
     }
 
-    /// Fires the timer that waits for these gauges.
+    /// Fires the timer that waits for the gauges with this ticket.
     pub fn on_gauges(&self, ticket: &str, core_use: Option<f64>) {
         let Ok(token) = ticket.parse() else { return };
         if let Some(requested) = self.timers.take_with_gauges(token) {
@@ -222,9 +223,9 @@
         }
     }
 
-    /// Runs rounds until the future is dropped.
+    /// Runs the controller's rounds until the future is dropped.
     pub async fn run(&self) {
-        while !self.started.get() {
+        while !self.rounds_allowed.get() {
             self.event_added.notified().await;
         }
         loop {
@@ -237,8 +238,8 @@
         }
     }
 
-    /// Waits until an event is added, or the next step of a timer is due: requests the gauges for one that is due, or
-    /// fires one whose gauges have timed out.
+    /// Waits until an event is added or the next step of a timer is due. Requests the gauges for a timer that is due,
+    /// and fires a timer whose gauges have timed out.
     async fn wait_for_event_or_timer(&self) {
         let now = self.clock.now();
         if let Some(token) = self.timers.take_due(now) {
@@ -262,8 +263,9 @@
         }
     }
 
+    /// Runs one round of the controller over the pending events, and dispatches its decisions.
     fn round(&self) {
-        let started = Instant::now();
+        let started_at = Instant::now();
         let now = self.clock.now();
         let events = self.events.take();
         let feed = |sink: &mut EventSink| events.into_iter().for_each(|event| feed_event(sink, event));
@@ -273,7 +275,7 @@
         }
         self.record_liveness();
         self.round_count.set(self.round_count.get() + 1);
-        self.longest_round.set(self.longest_round.get().max(started.elapsed()));
+        self.longest_round.set(self.longest_round.get().max(started_at.elapsed()));
     }
 }
 
@@ -290,45 +292,45 @@
     }
 }
 
-/// Passes on the decisions of one round.
+/// Passes the decisions of one round to the tasks of jobs, the result cache and the driver.
 struct DecisionDispatcher<'a> {
     driver: &'a ControllerDriver,
     now: Time,
 }
 
 impl DecisionDispatcher<'_> {
-    fn send(&self, id: &JobId, event: JobEvent) {
+    fn send_to_job(&self, id: &JobId, event: JobEvent) {
         self.driver.in_flight.send(id, event);
     }
 }
 
 impl Decisions for DecisionDispatcher<'_> {
     fn start_run(&mut self, id: &JobId) {
-        self.send(id, JobEvent::StartRun);
+        self.send_to_job(id, JobEvent::StartRun);
     }
 
     fn reject(&mut self, id: &JobId, not_elsewhere: bool, retry_after: Span) {
-        self.send(id, JobEvent::Answer(Answer::Rejected { not_elsewhere, retry_after }));
+        self.send_to_job(id, JobEvent::Answer(Answer::Rejected { not_elsewhere, retry_after }));
     }
 
     fn fail(&mut self, id: &JobId) {
-        self.send(id, JobEvent::Answer(Answer::Failed));
+        self.send_to_job(id, JobEvent::Answer(Answer::Failed));
     }
 
     fn start_call(&mut self, id: &JobId, timeout: Span) {
-        self.send(id, JobEvent::StartCall { timeout });
+        self.send_to_job(id, JobEvent::StartCall { timeout });
     }
 
     fn skip_call(&mut self, id: &JobId) {
-        self.send(id, JobEvent::SkipCall);
+        self.send_to_job(id, JobEvent::SkipCall);
     }
 
     fn cancel_run(&mut self, id: &JobId) {
-        self.send(id, JobEvent::CancelRun);
+        self.send_to_job(id, JobEvent::CancelRun);
     }
 
     fn await_original(&mut self, id: &JobId) {
-        self.send(id, JobEvent::AwaitOriginal);
+        self.send_to_job(id, JobEvent::AwaitOriginal);
     }
 
     fn store_record(&mut self, id: &JobId, lifetime: Span) {
@@ -354,13 +356,13 @@
     }
 
     fn limited_by_lease(&mut self, id: &JobId) {
-        tracing::debug!(job = &**id, "job rejected by the lease of calls, not by a full queue");
+        tracing::debug!(job = &**id, "job rejected because of the call lease; its queue was not full");
         if let Some(share) = &*self.driver.budget_share.borrow() {
             share.jobs_rejected.set(share.jobs_rejected.get() + 1);
         }
     }
 
     fn log(&mut self, text: &str) {
-        tracing::debug!(text, "controller log");
+        tracing::debug!(text, "message from the controller");
     }
 }
--- a/crates/hazelgrade-server/src/routing/dependency_calls.rs
+++ b/crates/hazelgrade-server/src/routing/dependency_calls.rs
@@ -1,4 +1,5 @@
-//! Calls to the database, by job. Records the connection of each call, so that a reply reaches only its own call.
+//! Calls to the database, by job. The connection of each call is recorded, so that a reply can end only the call that
+//! was sent on the same connection.
 
 use super::in_flight::{InFlightTable, JobEvent};
 use super::outcome::CallEnd;
@@ -14,32 +15,32 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The calls of one job in flight.
+/// The calls of one job that is in flight.
 #[derive(Default)]
 struct JobCalls {
-    /// The connection of the call in flight.
+    /// Connection of the call in flight, if there is one.
     current: Option<u64>,
-    /// The connections of all its calls; no two calls use the same one. A reply names only the job: on a shared
-    /// connection a late or duplicate reply could be taken for the reply to the next call.
+    /// Connections of all calls of the job so far. No two calls of a job use the same connection: a reply names only
+    /// the job, so a late or duplicate reply could be taken for the reply to the job's next call.
     used_connections: Vec<u64>,
 }
 
-/// The calls of all jobs in flight.
+/// The calls of all jobs that are in flight.
 pub struct DependencyCalls {
     database: Option<Rc<Database>>,
     jobs: RefCell<BTreeMap<JobId, JobCalls>>,
     in_flight: Rc<InFlightTable>,
     tasks: Rc<LocalExecutor<'static>>,
-    /// Replies that match no call in flight on their connection, since the start.
+    /// Replies since the start that match no call in flight on their connection.
     pub unknown_replies: Cell<u64>,
-    /// Lines that could not be decoded, since the start.
+    /// Lines from the database since the start that could not be decoded.
     pub malformed_lines: Cell<u64>,
-    /// Calls that were lost with their connection, since the start.
+    /// Calls since the start whose connection ended before the reply.
     pub lost: Cell<u64>,
 }
 
 impl DependencyCalls {
-    /// No calls yet. Without a database every call ends as unreachable.
+    /// Creates a table without calls. If `database` is `None`, every call ends as unreachable.
     pub fn new(
         database: Option<Database>,
         in_flight: Rc<InFlightTable>,
@@ -56,8 +57,8 @@
         }
     }
 
-    /// Starts a call; its end is sent to the job as [`JobEvent::CallEnded`]. A call that can't be handed to the
-    /// system before `expires_at` is not sent. The database has `timeout` to reply.
+    /// Starts a call; the end of the call is sent to the job as [`JobEvent::CallEnded`]. A call that cannot be handed
+    /// to the operating system before `expires_at` is not sent. `timeout` is the time that the database has to reply.
     pub fn start(self: &Rc<Self>, id: &JobId, timeout: Span, body: &[u8], expires_at: Option<Instant>) {
         let Some(database) = &self.database else {
             return self.in_flight.send(id, JobEvent::CallEnded(CallEnd::NO_DATABASE));
@@ -70,14 +71,14 @@
         calls.used_connections.push(connection);
     }
 
-    /// Cancels the call of a job, if one is in flight.
+    /// Cancels the call of a job, if a call is in flight.
     pub fn cancel(&self, id: &JobId) {
         if let Some((connection, database)) = self.send_cancel(id) {
             database.call_ended(connection);
         }
     }
 
-    /// Cancels the call of a job that timed out. Its connection takes no further calls.
+    /// Cancels a job's call that has timed out. The connection of the call takes no further calls.
     pub fn cancel_timed_out(&self, id: &JobId) {
         if let Some((connection, database)) = self.send_cancel(id) {
             database.retire(connection);
@@ -85,6 +86,7 @@
         }
     }
 
+    /// Sends the cancellation of a job's call in flight. Returns the connection of the call and the database.
     fn send_cancel(&self, id: &JobId) -> Option<(u64, &Rc<Database>)> {
         let connection = self.jobs.borrow_mut().get_mut(id).and_then(|calls| calls.current.take())?;
         let database = self.database.as_ref()?;
@@ -92,20 +94,20 @@
         Some((connection, database))
     }
 
-    /// Removes a job that has ended; cancels its call, if one is in flight.
+    /// Removes a job that has ended. Cancels the job's call, if a call is in flight.
     pub fn remove_job(&self, id: &JobId) {
         self.cancel(id);
         self.jobs.borrow_mut().remove(id);
     }
 
-    /// Sends calls to this address from now on.
+    /// Sends calls to `address` from now on.
     pub fn set_address(&self, address: SocketAddr) {
         if let Some(database) = &self.database {
             database.set_address(address);
         }
     }
 
-    /// The number of connections to the database.
+    /// Returns the number of connections to the database.
     pub fn connections(&self) -> usize {
         self.database.as_ref().map_or(0, |database| database.count())
     }
@@ -119,7 +121,7 @@
             let count = self.malformed_lines.get() + 1;
             self.malformed_lines.set(count);
             if count.is_power_of_two() {
-                tracing::warn!(%error, count, "malformed line from the database");
+                tracing::warn!(%error, count, "closing a database connection after a malformed line");
             }
             ConnectionEnd::Malformed
         })
--- a/crates/hazelgrade-server/src/routing/executor_events.rs
+++ b/crates/hazelgrade-server/src/routing/executor_events.rs
@@ -1,8 +1,8 @@
-//! Handles the executor's events: each is handled once and passed to its job.
+//! Handles each event of the executor once, and passes it to the task of its job.
 //!
-//! The executor numbers its events. The cursor is the number of the last event that was handled: it is sent on each new
-//! link, and the executor repeats all events after it. Commands have no numbers. As the executor handles commands in
-//! order, its answer to a request for gauges confirms every command that was sent before the request.
+//! The executor numbers its events. The cursor is the number of the last event that was handled. The cursor is sent on
+//! each new link, and the executor then repeats all events after the cursor. Commands have no numbers. As the executor
+//! handles commands in order, its answer to a request for gauges confirms every command sent before that request.
 
 use super::controller_driver::ControllerDriver;
 use super::in_flight::{InFlightTable, JobEvent};
@@ -15,21 +15,21 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Ticket of the gauges that are requested on a new link: their answer comes after all repeated events.
+/// Ticket of the gauges requested on a new link. The executor answers this request after all repeated events.
 const CAUGHT_UP_TICKET: &str = "all-heard";
-/// Ticket of the last request for gauges on a link that is replaced because the address has changed.
+/// Ticket of the last gauges request on a link that is replaced because the executor's address has changed.
 const LAST_REQUEST_TICKET: &str = "parting";
-/// How much the executor's uptime and this process's clock may differ.
-const MAX_CLOCK_DIFFERENCE: Duration = Duration::from_millis(100);
+/// Tolerated difference between the executor's uptime and the time elapsed on this process's clock.
+const MAX_UPTIME_ERROR: Duration = Duration::from_millis(100);
 
-/// The executor's uptime, as it last reported it.
+/// The uptime that the executor last reported.
 #[derive(Clone, Copy)]
-struct Uptime {
+struct ReportedUptime {
     reported_at: Instant,
     uptime: Span,
 }
 
-/// Handles the events of the executor.
+/// Handles the events that the executor sends over its link.
 pub struct ExecutorEvents {
     driver: Rc<ControllerDriver>,
     in_flight: Rc<InFlightTable>,
@@ -40,18 +40,18 @@
     cursor: Cell<u64>,
     /// When the current link was opened.
     link_opened_at: Cell<Instant>,
-    /// When the last request on a replaced link was sent.
+    /// When the last gauges request on a replaced link was sent.
     last_request_at: Cell<Instant>,
-    uptime: Cell<Option<Uptime>>,
-    /// Commands sent from this time on may have been lost; set when a link ends.
+    uptime: Cell<Option<ReportedUptime>>,
+    /// Set when a link ends: commands sent from this instant on may have been lost.
     lost_from: Cell<Option<Instant>>,
     malformed_lines: Cell<u64>,
-    /// The cursor at the last request to repeat events.
+    /// The cursor at the time of the last request to repeat events.
     repeat_requested_at: Cell<Option<u64>>,
 }
 
 impl ExecutorEvents {
-    /// Handles the events of `link`; `gauges` are the names of the executor's gauges, in order.
+    /// Creates the handler of the events on `link`. `gauges` lists the names of the executor's gauges, in order.
     pub fn new(
         driver: Rc<ControllerDriver>,
         in_flight: Rc<InFlightTable>,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Keeps the link open until the future is dropped.
+    /// Keeps the link to the executor open until the future is dropped.
     pub async fn run(&self, tasks: &LocalExecutor<'static>) {
         self.link.run(tasks, executor::MAX_LINE_BYTES, self).await;
     }
@@ -100,19 +100,20 @@
             }
             Event::Log { cursor, text } => {
                 if self.advance_cursor(cursor)? {
-                    tracing::debug!(text, "executor log");
+                    tracing::debug!(text, "message from the executor");
                 }
             }
             Event::Unknown { name, cursor } => {
                 cursor.map(|cursor| self.advance_cursor(cursor)).transpose()?;
-                tracing::debug!(event = name, "unknown executor event");
+                tracing::debug!(event = name, "ignored an executor event of unknown type");
             }
         }
         Ok(())
     }
 
     /// Advances the cursor to an event; returns `false` if the event was handled before. A gap before the event ends
-    /// the link, so that the new link repeats the missing events. If they are still missing then, they are skipped.
+    /// the link, so that the executor repeats the missing events on a new link. Events that are still missing on the
+    /// new link are skipped.
     fn advance_cursor(&self, cursor: u64) -> Result<bool, ConnectionEnd> {
         if cursor > self.cursor.get() + 1 {
             self.request_repeat()?;
@@ -122,8 +123,8 @@
         Ok(is_new)
     }
 
-    /// Ends the link with an error, so that the executor repeats the events after the cursor. Does nothing the second
-    /// time for the same cursor.
+    /// Returns the error that ends the link, so that the executor repeats the events after the cursor on a new link.
+    /// Returns `Ok` if a repeat from the same cursor was requested just before.
     fn request_repeat(&self) -> Result<(), ConnectionEnd> {
         let cursor = Some(self.cursor.get());
         if self.repeat_requested_at.replace(cursor) == cursor {
@@ -133,37 +134,38 @@
         }
     }
 
+    /// Handles a line that could not be decoded, and requests the events after the cursor again.
     fn handle_malformed_line(&self, error: executor::DecodeError) -> Result<(), ConnectionEnd> {
         let count = self.malformed_lines.get() + 1;
         self.malformed_lines.set(count);
         if count.is_power_of_two() {
-            tracing::warn!(%error, count, "malformed executor event");
+            tracing::warn!(%error, count, "malformed event from the executor");
         }
         self.request_repeat()
     }
 
     fn handle_welcome(&self, is_new: bool, uptime: Span) {
-        let current = Uptime { reported_at: Instant::now(), uptime };
+        let current = ReportedUptime { reported_at: Instant::now(), uptime };
         let previous = self.uptime.replace(Some(current));
         tracing::info!(is_new, uptime_ms = uptime.as_ms(), "executor connected");
         self.driver.start_rounds();
         if is_new && previous.is_some_and(|previous| self.has_restarted(previous, uptime)) {
-            tracing::warn!("executor restarted: its runs have ended");
+            tracing::warn!("executor restarted: all earlier runs have ended");
             self.in_flight.broadcast(|| JobEvent::ExecutorRestarted);
             self.lost_from.set(None);
         }
-        // The previous link may have lost commands, even if the executor was not up yet.
+        // Commands may have been lost with the previous link, even if the executor was not up when that link ended.
         if self.lost_from.get().is_some() {
             self.link.send(&executor::encode(&Command::Gauges { ticket: CAUGHT_UP_TICKET }));
         }
     }
 
-    /// Whether the executor has restarted since it last reported its uptime: it has been up for less than that uptime
-    /// plus the time since.
-    fn has_restarted(&self, previous: Uptime, uptime: Span) -> bool {
-        let since = self.link_opened_at.get().saturating_duration_since(previous.reported_at);
-        let since = since.saturating_sub(MAX_CLOCK_DIFFERENCE);
-        uptime < previous.uptime + Span::from_ms(since.as_secs_f64() * 1000.0)
+    /// Returns whether the executor has restarted since its last report: `uptime` is then shorter than the previously
+    /// reported uptime plus the time elapsed since that report.
+    fn has_restarted(&self, previous: ReportedUptime, uptime: Span) -> bool {
+        let elapsed = self.link_opened_at.get().saturating_duration_since(previous.reported_at);
+        let elapsed = elapsed.saturating_sub(MAX_UPTIME_ERROR);
+        uptime < previous.uptime + Span::from_ms(elapsed.as_secs_f64() * 1000.0)
     }
 
     fn handle_gauges(&self, ticket: &str, values: &[f64]) {
