--- a/crates/hazelgrade-server/src/lib.rs
+++ b/crates/hazelgrade-server/src/lib.rs
@@ -1,4 +1,4 @@
-//! The service instance: carries out the controller's decisions on real sockets. See `docs/architecture.md`.
+//! The service instance, which carries out the controller's decisions on real sockets. See `docs/architecture.md`.
 
 #![warn(missing_docs)]
 
--- a/crates/hazelgrade-server/src/main.rs
+++ b/crates/hazelgrade-server/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `hazelgrade`. See [`hazelgrade_server::program::command`].
+//! The `hazelgrade` program. See [`hazelgrade_server::program::command`].
 
 fn main() -> std::process::ExitCode {
     hazelgrade_server::program::command::main()
--- a/crates/hazelgrade-server/src/routing/front_end.rs
+++ b/crates/hazelgrade-server/src/routing/front_end.rs
@@ -1,5 +1,5 @@
-//! The front end: decodes and admits what clients send. It starts the tasks of jobs, detects callers that disconnect,
-//! and answers health checks and invalid messages itself.
+//! The front end: decodes the messages of clients, admits jobs and starts their tasks, and detects callers that
+//! disconnect. The front end answers health checks and invalid messages itself.
 
 use super::callers::Caller;
 use super::context::RequestContext;
@@ -20,41 +20,41 @@
 use std::net::{IpAddr, Ipv4Addr, TcpStream};
 use std::rc::Rc;
 
-/// How far in the future a job's time of receipt may lie by this process's clock, in milliseconds.
+/// How far a job's time of receipt may lie in the future by this process's clock, in milliseconds.
 const MAX_CLOCK_SKEW_MS: f64 = 1000.0;
 
-/// A rejection at the front end: the job did not run, and other servers may run it at once.
+/// The answer to a job that the front end rejects: the job did not run, and other servers may run it at once.
 const REJECTED: Answer = Answer::Rejected { not_elsewhere: false, retry_after: Span::ZERO };
 
-/// The connections of clients and the handling of their messages.
+/// Accepts the connections of clients and handles their messages.
 pub struct FrontEnd {
-    /// The state shared with the tasks of jobs.
+    /// The state that the front end shares with the tasks of jobs.
     pub context: Rc<RequestContext>,
-    /// All connections of clients.
+    /// All connections from clients.
     pub connections: ClientConnections<JobId>,
-    /// Runs the tasks of connections and jobs.
+    /// The executor of the tasks of connections and jobs.
     pub tasks: Rc<LocalExecutor<'static>>,
-    /// Messages that broke the protocol, since the start.
+    /// Number of messages since the start that violated the protocol.
     pub invalid_messages: Cell<u64>,
     /// Encrypts connections, if TLS is configured.
     pub tls: Rc<Tls>,
 }
 
 impl FrontEnd {
-    /// Starts to serve an accepted connection.
+    /// Starts the task that serves an accepted connection.
     pub fn start(self: &Rc<Self>, stream: Async<TcpStream>) {
         let accepting = self.connections.accepted();
         self.tasks.spawn(self.clone().serve(accepting, stream)).detach();
     }
 
-    /// Serves one connection until it ends, then records the callers of its open calls as disconnected.
+    /// Serves a connection until it ends, and then records that the callers of its open calls have disconnected.
     async fn serve(self: Rc<Self>, accepting: Accepting, stream: Async<TcpStream>) {
-        let unknown_address = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
-        let address = stream.get_ref().peer_addr().map_or(unknown_address, |peer| peer.ip());
+        let unspecified_address = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
+        let address = stream.get_ref().peer_addr().map_or(unspecified_address, |peer| peer.ip());
         let accepted = match self.tls.accept(stream, self.context.driver.clock.now()).await {
             Ok(accepted) => accepted,
             Err(end) => {
-                return tracing::debug!(?end, "handshake failed");
+                return tracing::debug!(?end, "TLS handshake with a client failed");
             }
         };
         let credentials = Credentials { token: None, certificate: accepted.certificate };
@@ -67,11 +67,12 @@
             .serve(&self.tasks, accepting, accepted.stream, jsonrpc::MAX_LINE_BYTES, on_line, closing_line)
             .await;
         if !open_calls.is_empty() {
-            tracing::debug!(?end, jobs = open_calls.len(), "connection ended with open calls");
+            tracing::debug!(?end, jobs = open_calls.len(), "client connection ended with open calls");
         }
         open_calls.iter().for_each(|id| self.context.caller_disconnected(id));
     }
 
+    /// Decodes and handles one line from a client.
     async fn handle_line(&self, connection: &Rc<ClientConnection<JobId>>, caller: &Caller, line: &[u8]) {
         let settings = self.context.settings.borrow().clone();
         match jsonrpc::decode(line, &settings) {
@@ -85,6 +86,7 @@
         }
     }
 
+    /// Authorizes the caller of a job, and admits or denies the job.
     async fn handle_job(
         &self,
         connection: &Rc<ClientConnection<JobId>>,
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Disconnects the caller of a job. A connection can abort only its own calls.
+    /// Aborts a job: records that its caller no longer waits. A connection can abort only its own calls.
     fn handle_abort(
         &self,
         connection: &ClientConnection<JobId>,
@@ -112,6 +114,7 @@
         }
     }
 
+    /// Authenticates the caller of a connection, and answers with the caller's name or the reason of the denial.
     fn handle_hello(&self, connection: &ClientConnection<JobId>, caller: &Caller, call_id: u64, token: &str) {
         let now = self.context.driver.clock.now();
         let authenticated = self.context.callers.authenticate(now, caller, token);
@@ -122,12 +125,14 @@
         connection.send(&jsonrpc::encode_hello(call_id, name));
     }
 
+    /// Answers a health check.
     fn handle_health_check(&self, connection: &ClientConnection<JobId>, call_id: u64) {
         connection.count_health_check();
         let driver = &self.context.driver;
         connection.send(&jsonrpc::encode_check(call_id, driver.is_healthy(), driver.load_signal()));
     }
 
+    /// Rejects a job whose job class is not served; any other invalid message counts as a violation.
     fn handle_invalid_message(&self, connection: &ClientConnection<JobId>, error: &RequestError) {
         match error.call_id.filter(|_| error.not_served) {
             Some(call_id) => {
@@ -139,29 +144,29 @@
         }
     }
 
-    /// Answers a call without admitting it.
+    /// Sends an answer to a call that was not admitted.
     fn answer(&self, connection: &ClientConnection<JobId>, call_id: u64, answer: &Answer) {
         connection.send(&jsonrpc::encode(call_id, answer, self.context.driver.load_signal()));
     }
 
-    /// Answers a call that its caller has no right to make. The job did not run, and no other server would run it.
+    /// Denies a call that its caller has no right to make. The job did not run, and no other server would run it.
     fn deny(&self, connection: &ClientConnection<JobId>, call_id: u64, reason: DenyReason) {
         let mut counters = self.context.counters.borrow_mut();
         counters.denied += 1;
         counters.unverified += u64::from(reason.suggests_wrong_policy());
         self.answer(connection, call_id, &Answer::Denied(reason.message()));
-        // The connection is read more slowly, like one whose jobs are rejected and never run.
+        // Denials count as rejections: a connection with many rejections, none of whose jobs has run, is read slowly.
         connection.count_rejection();
     }
 
-    /// Answers a message that breaks the protocol, and counts it as a violation.
+    /// Answers a message that violates the protocol, and counts the violation.
     fn answer_violation(&self, connection: &ClientConnection<JobId>, error: &RequestError) {
         self.invalid_messages.set(self.invalid_messages.get() + 1);
         connection.send(&jsonrpc::encode_error(error));
         connection.count_violation();
     }
 
-    /// Checks a job whose caller was authorized, and starts its task.
+    /// Checks a job whose caller was authorized, and starts the task of the job.
     fn admit(&self, connection: &Rc<ClientConnection<JobId>>, mut request: JobRequest) {
         let context = &self.context;
         let id = request.job.id.clone();
@@ -200,7 +205,7 @@
         self.tasks.spawn(job::run(request, events, context.clone())).detach();
     }
 
-    /// Answers a job whose id is in flight, and counts it as a violation; returns whether it did.
+    /// Answers a job whose id is already in flight, and counts a violation. Returns `false` if the id is not in flight.
     fn answer_if_in_flight(
         &self,
         connection: &ClientConnection<JobId>,
@@ -210,15 +215,17 @@
         let Some(is_same) = self.context.in_flight.has_fingerprint(&request.job.id, fingerprint) else {
             return false;
         };
-        // A different job under an id in flight does not run. The outcome of the same job is not known yet.
+        // The outcome of the job in flight is not known yet, so a duplicate of that job fails. A different job under
+        // the same id does not run and is rejected.
         let answer = if is_same { Answer::Failed } else { REJECTED };
         self.answer(connection, request.call_id, &answer);
         connection.count_violation();
         true
     }
 
-    /// Answers a job whose id is that of a stored finished job, and counts it as a violation; returns whether it did.
-    /// While the finished job is stored, no job runs under its id: neither the same one again nor another.
+    /// Answers a job whose id belongs to a stored finished job, and counts a violation. Returns `false` if no finished
+    /// job is stored under the id. While a finished job is stored, neither a duplicate of that job nor a different job
+    /// runs under its id.
     fn answer_if_finished(
         &self,
         connection: &ClientConnection<JobId>,
@@ -234,7 +241,8 @@
         true
     }
 
-    /// Answers a job whose deadline has passed or whose time of receipt lies in the future; returns `false` for these.
+    /// Answers a job whose deadline has passed or whose time of receipt lies in the future, and returns `false` for it.
+    /// Returns `true` for any other job.
     fn check_age(
         &self,
         connection: &ClientConnection<JobId>,
@@ -247,8 +255,8 @@
         let expired = expires_at < now;
         let expired_in_pause = expired && self.context.driver.was_paused_at(expires_at);
         if expired_in_pause || (expired && connection.is_trusted()) {
-            // It stayed unread because this process was suspended, which is not the caller's fault: certainly if it
-            // expired in a pause, and most likely if the caller is trusted. It did not run.
+            // The job stayed unread because this process was suspended, which is not the caller's fault: certainly if
+            // the job expired in a pause, and most likely if the connection is trusted. The job did not run.
             self.context.counters.borrow_mut().rejected += 1;
             self.answer(connection, request.call_id, &REJECTED);
             return false;
@@ -260,7 +268,8 @@
         true
     }
 
-    /// Takes a job's tokens from the budgets that all nodes share, if budgets are enabled.
+    /// Takes a job's tokens from this node's share of the budgets, if budgets are enabled. Records the retry-after in
+    /// the job if a token is missing.
     fn take_tokens(&self, request: &mut JobRequest) {
         if let Some(share) = self.context.driver.budget_share() {
             let settings = self.context.settings.borrow();
@@ -270,7 +279,7 @@
     }
 }
 
-/// The line that a peer is sent before its connection is closed for this reason.
+/// Returns the line that is sent to a client before its connection is closed with this end.
 fn closing_line(end: ConnectionEnd) -> Option<String> {
     match end {
         ConnectionEnd::TooLong => Some(jsonrpc::encode_error(&jsonrpc::line_too_long())),
--- a/crates/hazelgrade-server/src/routing/in_flight.rs
+++ b/crates/hazelgrade-server/src/routing/in_flight.rs
@@ -1,4 +1,5 @@
-//! The jobs in flight, by id: routes events to their tasks, and tracks which of them still have to be answered.
+//! The in-flight table: routes events to the tasks of the jobs in flight, by job id, and tracks which of these jobs
+//! still have to be answered.
 
 use super::outcome::CallEnd;
 use crate::protocol::Body;
@@ -13,78 +14,79 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Events that may be queued for a job's task, which handles them in order and waits for nothing else.
-const EVENT_QUEUE_LENGTH: usize = 16;
+/// Capacity of the event queue of a job's task. The task handles events in order and waits for nothing else, so few
+/// events are queued at any time.
+const EVENT_QUEUE_CAPACITY: usize = 16;
 
-/// An event for a job that has arrived.
+/// An event for the task of a job.
 #[derive(Debug)]
 pub enum JobEvent {
     // Decided by the controller:
     /// Start the run.
     StartRun,
-    /// Send this final answer.
+    /// Send this final answer to the caller.
     Answer(Answer),
-    /// Make the call that the run waits for.
+    /// Start the call that the run waits for.
     StartCall {
-        /// The time that the database has to reply.
+        /// Time that the database has to reply.
         timeout: Span,
     },
     /// Let the run continue without the call that it waits for.
     SkipCall,
     /// Cancel the run.
     CancelRun,
-    /// Wait for the result of the job that this one repeats.
+    /// Wait for the result of the original job, of which this job is a retry.
     AwaitOriginal,
     // Reported by the executor:
     /// The run waits for a call.
     CallRequested {
-        /// Number of the executor's event, by which the call can be skipped.
+        /// Number of the executor's event; identifies the call when it is skipped.
         cursor: u64,
-        /// The request for the database.
+        /// Body of the call to the database.
         body: Body,
     },
     /// The run has ended.
     RunEnded {
-        /// How it ended.
+        /// How the run ended.
         end: RunEnd,
-        /// How long it took, by the executor's clock.
+        /// Duration of the run by the executor's clock.
         elapsed: Span,
-        /// Its result; empty where it has none.
+        /// Result of the run; empty if there is none.
         body: Body,
     },
-    /// The executor did not start the run, as it does not know the job.
+    /// The executor refused to start the run, because the job is unknown to it.
     StartRefused,
-    /// The link is up again; commands sent in this interval may have been lost with the old one.
+    /// The link to the executor is up again. Commands sent between `lost_from` and `lost_until` may have been lost.
     LinkRestored {
-        /// The first moment at which a command may have been lost.
+        /// Earliest instant at which a lost command may have been sent.
         lost_from: Instant,
-        /// From this moment on commands went over the new link.
+        /// Instant from which on commands were sent over the new link.
         lost_until: Instant,
     },
-    /// The executor was restarted: no earlier run is running.
+    /// The executor has restarted: all earlier runs have ended.
     ExecutorRestarted,
-    // Reported by others:
+    // Reported by the database, other jobs and the client:
     /// The call has ended.
     CallEnded(CallEnd),
-    /// The job that this one repeats has ended.
+    /// The original job, of which this job is a retry, has ended.
     OriginalEnded {
-        /// Its result, if it succeeded.
+        /// Result of the original job, if the job succeeded.
         result: Option<Body>,
     },
-    /// The caller disconnected or aborted the job.
+    /// The caller has disconnected or has aborted the job.
     CallerDisconnected,
 }
 
-/// Where the answer to a job goes.
+/// The destination of the answer to a job.
 #[derive(Clone)]
 pub struct Responder {
-    /// The connection that the job came from.
+    /// The connection over which the job arrived.
     pub connection: Rc<ClientConnection<JobId>>,
     /// The id of the call on that connection.
     pub call_id: u64,
 }
 
-/// Distinguishes two jobs with the same id.
+/// Tells whether two requests with the same job id request the same job.
 #[derive(PartialEq)]
 pub struct JobFingerprint {
     job_class: usize,
@@ -96,7 +98,7 @@
 }
 
 impl JobFingerprint {
-    /// The fingerprint of a request as it was decoded.
+    /// Returns the fingerprint of a request as it was decoded.
     pub fn new(request: &JobRequest) -> JobFingerprint {
         let job = &request.job;
         JobFingerprint {
@@ -110,7 +112,8 @@
     }
 }
 
-struct Entry {
+/// A job in flight.
+struct InFlightJob {
     events: Sender<JobEvent>,
     /// `None` once the job has been answered.
     responder: Option<Responder>,
@@ -120,16 +123,16 @@
 /// All jobs in flight.
 #[derive(Default)]
 pub struct InFlightTable {
-    jobs: RefCell<BTreeMap<JobId, Entry>>,
-    /// Events for jobs that have ended or never arrived, since the start.
+    jobs: RefCell<BTreeMap<JobId, InFlightJob>>,
+    /// Events since the start for jobs that had ended or had never arrived.
     pub unknown_jobs: Cell<u64>,
 }
 
 impl InFlightTable {
-    /// Inserts a job and returns the receiver of its events.
+    /// Inserts a job, and returns the receiver of the job's events.
     pub fn insert(&self, id: JobId, fingerprint: JobFingerprint, responder: Responder) -> Receiver<JobEvent> {
-        let (sender, events) = bounded(EVENT_QUEUE_LENGTH);
-        let entry = Entry { events: sender, responder: Some(responder), fingerprint };
+        let (sender, events) = bounded(EVENT_QUEUE_CAPACITY);
+        let entry = InFlightJob { events: sender, responder: Some(responder), fingerprint };
         self.jobs.borrow_mut().insert(id, entry);
         events
     }
@@ -139,28 +142,28 @@
         self.jobs.borrow_mut().remove(id);
     }
 
-    /// Whether any job in flight matches a predicate on job class and tenant.
+    /// Returns whether any job in flight matches a predicate on the indexes of its job class and tenant.
     pub fn any(&self, matches: impl Fn(usize, usize) -> bool) -> bool {
         let jobs = self.jobs.borrow();
         jobs.values().any(|entry| matches(entry.fingerprint.job_class, entry.fingerprint.tenant))
     }
 
-    /// The number of jobs in flight.
+    /// Returns the number of jobs in flight.
     pub fn count(&self) -> usize {
         self.jobs.borrow().len()
     }
 
-    /// The number of jobs in flight that have not been answered.
+    /// Returns the number of jobs in flight that have not been answered.
     pub fn unanswered(&self) -> usize {
         self.jobs.borrow().values().filter(|entry| entry.responder.is_some()).count()
     }
 
-    /// Whether a job is in flight and has not been answered.
+    /// Returns whether a job is in flight and has not been answered.
     pub fn is_unanswered(&self, id: &JobId) -> bool {
         self.jobs.borrow().get(id).is_some_and(|entry| entry.responder.is_some())
     }
 
-    /// The connection of a job's caller, until the job has been answered.
+    /// Returns the connection of a job's caller; `None` once the job has been answered.
     pub fn caller(&self, id: &JobId) -> Option<Rc<ClientConnection<JobId>>> {
         self.jobs.borrow().get(id)?.responder.as_ref().map(|responder| responder.connection.clone())
     }
@@ -170,17 +173,18 @@
         self.jobs.borrow_mut().get_mut(id)?.responder.take()
     }
 
-    /// Whether the job in flight under this id has this fingerprint; `None` if there is none. The answer still goes to
-    /// the first caller: otherwise anyone who has seen the id could receive it.
+    /// Returns whether the job in flight under this id has the given fingerprint; `None` if no job is in flight under
+    /// the id. Even if the fingerprints match, the job's answer goes to its first caller only: otherwise anyone who has
+    /// seen the id could receive the answer.
     pub fn has_fingerprint(&self, id: &JobId, fingerprint: &JobFingerprint) -> Option<bool> {
         self.jobs.borrow().get(id).map(|entry| entry.fingerprint == *fingerprint)
     }
 
-    /// Sends an event to the task of a job. Events for jobs that are not in flight are counted.
+    /// Sends an event to the task of a job. An event for a job that is not in flight is dropped and counted.
     pub fn send(&self, id: &JobId, event: JobEvent) {
         match self.jobs.borrow().get(id) {
             Some(entry) if entry.events.try_send(event).is_ok() => {}
-            Some(_) => tracing::error!(%id, "event queue of a job is full"),
+            Some(_) => tracing::error!(%id, "event dropped: event queue of the job is full"),
             None => self.unknown_jobs.set(self.unknown_jobs.get() + 1),
         }
     }
--- a/crates/hazelgrade-server/src/routing/job.rs
+++ b/crates/hazelgrade-server/src/routing/job.rs
@@ -1,7 +1,7 @@
 //! The task of one job, from its arrival to the end of its run.
 //!
-//! A job is queued, then running, then finished. If its run is cancelled before the answer, it is queued again.
-//! There is one method for each phase, which handles an event and returns the next phase.
+//! A job is first queued, then running, then finished. A job whose run is cancelled before the job was answered is
+//! queued again. One method per phase handles an event and returns the next phase.
 
 use super::budget_share::LeaseExpired;
 use super::context::RequestContext;
@@ -19,25 +19,26 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long after the database's timeout a call times out here: the database reports its own timeouts, and that reply
+/// Time that a call is allowed beyond the database's timeout: the database reports its own timeouts, and that reply
 /// takes a few milliseconds.
 const REPLY_GRACE: Duration = Duration::from_millis(25);
 
-/// Further delay before a call times out: after a pause of the process, replies in the sockets are read first.
+/// Further delay before a call times out, so that after a pause of the process the replies that are waiting in the
+/// sockets are read first.
 const UNREAD_GRACE: Duration = Duration::from_millis(5);
 
 /// The phase of a job.
 enum Phase {
-    /// The job waits for the controller's decision, or for the result of the job that it repeats.
+    /// The job waits for a decision of the controller, or for the result of the original job of which it is a retry.
     Queued,
-    /// The executor runs it.
+    /// The executor runs the job.
     Running(Run),
-    /// The job has ended, with its result if it succeeded.
+    /// The job has ended; `result` is set if the job succeeded.
     Finished { result: Option<Body> },
 }
 
 impl Phase {
-    /// When the call in flight times out, if there is one.
+    /// Returns when the call in flight times out, if a call is in flight.
     fn call_deadline(&self) -> Option<Instant> {
         match self {
             Phase::Running(run) => Some(run.call.as_ref()?.sent.as_ref()?.deadline),
@@ -51,14 +52,15 @@
     started_at: Time,
     /// The last command that the executor may not have received.
     unconfirmed: Option<UnconfirmedCommand>,
-    /// When it was sent.
+    /// When the unconfirmed command was sent.
     unconfirmed_sent_at: Instant,
+    /// Whether the controller has cancelled the run.
     cancelled: bool,
-    /// The call that the run waits for.
+    /// The call that the run waits for, if there is one.
     call: Option<RequestedCall>,
 }
 
-/// A command that is sent again if it may have been lost with the link.
+/// A command that is sent again if it may have been lost with the link to the executor.
 enum UnconfirmedCommand {
     StartRun,
     CallReply(Body),
@@ -66,6 +68,7 @@
 }
 
 impl Run {
+    /// Records a command that is being sent to the executor.
     fn set_unconfirmed(&mut self, command: UnconfirmedCommand) {
         self.unconfirmed = Some(command);
         self.unconfirmed_sent_at = Instant::now();
@@ -74,7 +77,7 @@
 
 /// A call that a run waits for.
 struct RequestedCall {
-    /// Number of the executor's event, by which the call can be skipped.
+    /// Number of the executor's event; identifies the call when it is skipped.
     cursor: u64,
     body: Body,
     /// Set while the call is in flight.
@@ -89,17 +92,17 @@
     deadline: Instant,
 }
 
-/// A job that was admitted.
+/// The task of an admitted job.
 struct JobTask {
     id: JobId,
     job_class: String,
     body: Body,
-    /// The earlier job of which this one is a retry.
+    /// The original job, of which this job is a retry.
     retry_of: Option<JobId>,
     context: Rc<RequestContext>,
 }
 
-/// Passes a job to the controller and handles its events until it has ended.
+/// Passes a job to the controller, and handles the events of the job until the job has ended.
 pub async fn run(request: JobRequest, events: Receiver<JobEvent>, context: Rc<RequestContext>) {
     let JobRequest { job, body, .. } = request;
     let job_class = context.settings.borrow().job_classes[job.job_class].name.clone();
@@ -120,7 +123,8 @@
     task.finish(result);
 }
 
-/// Waits for the next event of a job; after the deadline of its call, that is the timeout of the call.
+/// Waits for the next event of a job. If no event comes by the deadline of the job's call, the event is the call's
+/// timeout.
 async fn next_event(events: &Receiver<JobEvent>, call_deadline: Option<Instant>) -> Option<JobEvent> {
     let Some(deadline) = call_deadline else { return events.recv().await.ok() };
     let timeout = async {
@@ -132,8 +136,8 @@
 }
 
 impl JobTask {
-    /// Notifies the controller of the arrival. With `--log trace` a job can be followed by its id through every
-    /// instance that handled it.
+    /// Notifies the controller that the job has arrived. With `--log trace`, a job can be traced by its id through
+    /// every instance that handled the job.
     fn arrived(&self, job: Job) {
         let unread_ms = self.context.driver.clock.now().since(job.received_at).as_ms();
         tracing::trace!(
@@ -172,7 +176,8 @@
         }
     }
 
-    /// Handles an event while the job runs. If the job is answered before its run ends, the run's result is dropped.
+    /// Handles an event while the job is running. If the job is answered before its run ends, the run's result is not
+    /// sent to the caller.
     fn handle_while_running(&self, mut run: Run, event: JobEvent) -> Phase {
         match event {
             JobEvent::CallRequested { cursor, body } => self.call_requested(&mut run, cursor, body),
@@ -205,7 +210,8 @@
         Phase::Running(run)
     }
 
-    /// Waits for the result of the job that this one repeats. If it is known already, an event is sent at once.
+    /// Registers the job for the result of the original job. If that result is already known, the job is sent the event
+    /// at once.
     fn await_original(&self) {
         let original = self.retry_of.as_ref().unwrap_or(&self.id);
         if let Some(result) = self.context.result_cache.await_result(&self.id, original) {
@@ -213,6 +219,7 @@
         }
     }
 
+    /// Answers the job with the result of the original job.
     fn answer_from_original(&self, result: Option<Body>) -> Phase {
         let (answer, outcome) = match result.clone() {
             Some(body) => (Answer::Succeeded(body), Outcome::Completed),
@@ -224,6 +231,7 @@
         Phase::Finished { result }
     }
 
+    /// Starts the job's run on the executor.
     fn start_run(&self) -> Run {
         tracing::trace!(job = &*self.id, "run started");
         self.send_start_run();
@@ -236,7 +244,7 @@
         }
     }
 
-    /// Handles the request for a call. It confirms every command that was sent before.
+    /// Handles the run's request for a call. The request confirms every command that was sent to the run before.
     fn call_requested(&self, run: &mut Run, cursor: u64, body: Body) {
         self.context.trust_caller(&self.id);
         tracing::trace!(job = &*self.id, cursor, "call requested");
@@ -245,6 +253,7 @@
         self.context.driver.notify(ControllerEvent::CallRequested { id: self.id.clone() });
     }
 
+    /// Starts the call that the run waits for, unless its lease has expired or its body is invalid.
     fn start_call(&self, run: &mut Run, timeout: Span) {
         let Some(call) = &mut run.call else { return };
         tracing::trace!(job = &*self.id, timeout_ms = timeout.as_ms(), "call started");
@@ -262,7 +271,7 @@
         }
     }
 
-    /// The time by which a call must be handed to the system; `Ok(None)` if budgets are not enabled.
+    /// Returns the time by which a call must be handed to the operating system; `Ok(None)` if budgets are not enabled.
     fn call_expiry(&self) -> Result<Option<Instant>, LeaseExpired> {
         match self.context.driver.budget_share() {
             Some(share) => share.call_expiry().map(Some),
@@ -270,10 +279,12 @@
         }
     }
 
+    /// Ends a call that was not sent.
     fn end_call_unsent(&self, end: CallEnd) {
         self.context.in_flight.send(&self.id, JobEvent::CallEnded(end));
     }
 
+    /// Handles the end of the call: passes a completed reply to the run, and the outcome to the controller.
     fn call_ended(&self, run: &mut Run, end: CallEnd) {
         let Some(sent) = run.call.as_mut().and_then(|call| call.sent.take()) else { return };
         if let CallEnd::TimedOut = end {
@@ -293,6 +304,7 @@
         self.context.driver.notify(ControllerEvent::CallEnded { id: self.id.clone(), outcome, elapsed });
     }
 
+    /// Lets the run continue without the call that it waits for.
     fn skip_call(&self, run: &mut Run) {
         let Some(RequestedCall { cursor, .. }) = run.call.take() else { return };
         tracing::trace!(job = &*self.id, "call skipped");
@@ -300,14 +312,15 @@
         run.set_unconfirmed(UnconfirmedCommand::SkipCall { cursor });
     }
 
+    /// Cancels the run. The run ends when the executor reports its end.
     fn cancel_run(&self, run: &mut Run) {
         run.cancelled = true;
         tracing::trace!(job = &*self.id, "run cancelled");
         self.send_cancel_run();
     }
 
-    /// Sends the unconfirmed command again, but only if it may have been lost: if it has arrived, the run may already
-    /// wait for its next call.
+    /// Sends the unconfirmed command again, but only if the command may have been lost with the link: if the executor
+    /// has received the command, the run may already wait for its next call.
     fn resend_lost_commands(&self, run: &Run, lost_from: Instant, lost_until: Instant) {
         let may_be_lost = lost_from <= run.unconfirmed_sent_at && run.unconfirmed_sent_at < lost_until;
         match run.unconfirmed.as_ref().filter(|_| may_be_lost) {
@@ -321,8 +334,8 @@
         }
     }
 
-    /// Handles the end of the run, and cancels its call. If the run was cancelled before the answer, the job is queued
-    /// again.
+    /// Handles the end of the run, and cancels the run's call. If the run was cancelled before the job was answered,
+    /// the job is queued again.
     fn run_ended(&self, end: RunEnd, elapsed: Span, body: Body) -> Phase {
         self.context.dependency_calls.cancel(&self.id);
         let outcome = outcome::of_run(end);
@@ -341,7 +354,7 @@
         }
     }
 
-    /// Removes the job from the tables, and passes its result to the retries that wait for it.
+    /// Removes the ended job from the tables, and passes its result to the retries that wait for the result.
     fn finish(self, result: Option<Body>) {
         self.context.in_flight.remove(&self.id);
         self.context.dependency_calls.remove_job(&self.id);
--- a/crates/hazelgrade-server/src/routing/mod.rs
+++ b/crates/hazelgrade-server/src/routing/mod.rs
@@ -1,7 +1,8 @@
-//! Request handling: from the client's connection through the controller to the executor and the database, and back.
+//! Request handling: the way of a job from the client's connection through the controller to the executor and the
+//! database, and back.
 //!
-//! `front_end` admits what clients send; each admitted job has its own task (`job`), driven by events that
-//! `controller_driver`, `executor_events` and `dependency_calls` send it through the `in_flight` table.
+//! `front_end` admits the jobs that clients send. Each admitted job has its own task (`job`), which handles the events
+//! that `controller_driver`, `executor_events` and `dependency_calls` send to the job through the `in_flight` table.
 
 pub mod budget_share;
 pub mod callers;
--- a/crates/hazelgrade-server/src/routing/outcome.rs
+++ b/crates/hazelgrade-server/src/routing/outcome.rs
@@ -1,4 +1,4 @@
-//! Maps how runs, calls and connections ended to outcomes for the controller. This is the only place that does.
+//! The mapping of the ends of runs, calls and connections to outcomes for the controller. No other module maps them.
 
 use crate::protocol::database::Reply;
 use crate::protocol::executor::RunEnd;
@@ -10,27 +10,27 @@
 pub enum CallEnd {
     /// The database replied.
     Replied {
-        /// The kind of the reply.
+        /// Kind of the reply.
         reply: Reply,
-        /// The body of the reply; empty if there is none.
+        /// Body of the reply; empty if there is none.
         body: Vec<u8>,
     },
-    /// No reply came in time.
+    /// No reply was received in time.
     TimedOut,
-    /// The connection ended before the reply.
+    /// The connection ended before the reply was received, or could not be opened.
     ConnectionLost(ConnectionEnd),
 }
 
 impl CallEnd {
-    /// The body of the call is not valid base64, so nothing was sent.
+    /// The call was not sent, because its body is not valid base64.
     pub const INVALID_BODY: CallEnd = CallEnd::ConnectionLost(ConnectionEnd::Unreachable);
-    /// The call expired before it was handed to the system.
+    /// The call was not sent, because it expired before it could be handed to the operating system.
     pub const EXPIRED_UNSENT: CallEnd = CallEnd::ConnectionLost(ConnectionEnd::Unsent);
-    /// There is no database to call.
+    /// The call was not sent, because no database is configured.
     pub const NO_DATABASE: CallEnd = CallEnd::ConnectionLost(ConnectionEnd::Unreachable);
 }
 
-/// The outcome of a run.
+/// Returns the outcome of a run.
 pub fn of_run(end: RunEnd) -> Outcome {
     match end {
         RunEnd::Completed => Outcome::Completed,
@@ -40,7 +40,7 @@
     }
 }
 
-/// The outcome of a call.
+/// Returns the outcome of a call.
 pub fn of_call(end: &CallEnd) -> Outcome {
     match end {
         CallEnd::Replied { reply, .. } => of_reply(*reply),
@@ -49,6 +49,7 @@
     }
 }
 
+/// Returns the outcome of a call to which the database replied.
 fn of_reply(reply: Reply) -> Outcome {
     match reply {
         Reply::Rows => Outcome::Completed,
@@ -59,7 +60,8 @@
     }
 }
 
-/// A call counts as never made only if it is certain that nothing was sent.
+/// Returns the outcome of a call whose connection ended. The outcome is `Unreachable`, which means that the call was
+/// never made, only if it is certain that nothing was sent.
 fn of_lost_connection(end: ConnectionEnd) -> Outcome {
     match end {
         ConnectionEnd::Unreachable | ConnectionEnd::Unsent => Outcome::Unreachable,
--- a/crates/hazelgrade-server/src/routing/result_cache.rs
+++ b/crates/hazelgrade-server/src/routing/result_cache.rs
@@ -1,5 +1,6 @@
-//! Results of keyed jobs, for their retries: finds the job that a retry repeats, and the result that answers it. The
-//! controller decides which records are stored and for how long.
+//! The result cache stores the results of keyed jobs (jobs with an idempotency key) for their retries. It finds the
+//! original job of a retry and the result with which the retry is answered. The controller decides which idempotency
+//! records are stored and for how long.
 
 use crate::protocol::Body;
 use hazelgrade::api::JobId;
@@ -8,52 +9,55 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{BuildHasher, RandomState};
 
-/// Identifies a keyed job across retries: job class, tenant, idempotency key, and body. The idempotency key alone is
-/// not enough: anyone who has seen it could obtain the result with another body, or store another job under it.
+/// Identifies a keyed job across retries by job class, tenant, idempotency key and body. The idempotency key alone is
+/// not enough: anyone who has seen the key could obtain the result with another body, or store another job under it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobKey {
     job_class: usize,
     tenant: usize,
     idempotency_key: String,
-    /// A keyed hash of the body, which may have kilobytes; clients can't construct collisions.
+    /// Keyed hash of the body, stored instead of the body because bodies may have kilobytes. As the hash is keyed,
+    /// clients cannot construct collisions.
     body_digest: u64,
 }
 
-/// A keyed job that has ended and is still stored.
+/// A keyed job that has ended and is still stored in the cache.
 pub struct FinishedJob {
-    /// Identifies what was requested.
+    /// The key of the finished job.
     pub key: JobKey,
-    /// Its result, if it succeeded and the result is still stored.
+    /// Result of the job, if the job succeeded and its result is still stored.
     pub result: Option<Body>,
 }
 
-/// The idempotency record of a key.
+/// The idempotency record of a job key.
 struct Record {
     id: JobId,
-    expires: Time,
+    expires_at: Time,
 }
 
-/// A keyed job, while it is in flight or a retry may still name it.
+/// A keyed job that is in flight or for which a retry may still arrive.
 struct KeyedJob {
     key: JobKey,
-    /// How long a retry may stay unread: one that came before the record expired may be read this much later.
+    /// How long a retry may stay unread: a retry that was received before the record expired may be read this much
+    /// later.
     max_unread_time: Span,
     in_flight: bool,
-    /// It waits for the result of another job, and does not run.
+    /// Whether the job does not run but waits for the result of its original job.
     awaits_original: bool,
-    record_expires: Option<Time>,
-    /// Set once it has ended; `Some(None)` if there is no result, or it was dropped.
+    record_expires_at: Option<Time>,
+    /// Set once the job has ended; `Some(None)` if the job has no result or its result was dropped.
     result: Option<Option<Body>>,
-    /// Retries that wait for its result.
+    /// Retries that wait for the result of this job.
     waiting: Vec<JobId>,
 }
 
 impl KeyedJob {
-    /// When it is removed after its end; `None` if it has no record.
+    /// Returns when the job is removed after its end; `None` if the job has no idempotency record.
     fn removed_at(&self) -> Option<Time> {
-        self.record_expires.map(|expires| expires + self.max_unread_time)
+        self.record_expires_at.map(|expires_at| expires_at + self.max_unread_time)
     }
 
+    /// Returns the size of the stored result; 0 if no result is stored.
     fn result_bytes(&self) -> usize {
         self.result.as_ref().and_then(Option::as_ref).map_or(0, |body| body.len())
     }
@@ -63,17 +67,18 @@
 struct Tables {
     records: BTreeMap<JobKey, Record>,
     jobs: BTreeMap<JobId, KeyedJob>,
-    /// The jobs in flight, in the order of their arrival.
+    /// Keyed jobs in flight, by key; jobs with the same key are in the order of their arrival.
     in_flight: BTreeMap<JobKey, Vec<JobId>>,
-    /// The jobs that have ended, by the time at which they are removed.
+    /// Keyed jobs that have ended, ordered by the time at which they are removed.
     finished: BTreeSet<(Time, JobId)>,
-    /// Those of them with a stored result.
+    /// The entries of `finished` whose result is stored.
     with_result: BTreeSet<(Time, JobId)>,
     result_bytes: usize,
     max_result_bytes: usize,
 }
 
 impl Tables {
+    /// Adds a job that has ended.
     fn add_finished(&mut self, id: &JobId, removed_at: Time) {
         let bytes = self.jobs.get(id).map_or(0, KeyedJob::result_bytes);
         self.finished.insert((removed_at, id.clone()));
@@ -83,6 +88,7 @@
         }
     }
 
+    /// Removes the result of a job from the accounting of stored results.
     fn release_result(&mut self, removed_at: Time, id: &JobId) {
         if self.with_result.remove(&(removed_at, id.clone())) {
             let bytes = self.jobs.get(id).map_or(0, KeyedJob::result_bytes);
@@ -90,7 +96,7 @@
         }
     }
 
-    /// Removes a job that has ended, and its record.
+    /// Removes a job that has ended, and the job's idempotency record.
     fn remove_finished(&mut self, id: &JobId) {
         if let Some(at) = self.jobs.get(id).and_then(KeyedJob::removed_at) {
             self.release_result(at, id);
@@ -101,13 +107,14 @@
         }
     }
 
-    /// Removes the record of a key, if it is that of this job.
+    /// Removes the idempotency record of a key, if the record belongs to this job.
     fn remove_record(&mut self, key: &JobKey, id: &JobId) {
         if self.records.get(key).is_some_and(|record| record.id == *id) {
             self.records.remove(key);
         }
     }
 
+    /// Removes a job from the table of jobs in flight.
     fn remove_in_flight(&mut self, key: &JobKey, id: &JobId) {
         if let Some(ids) = self.in_flight.get_mut(key) {
             ids.retain(|in_flight| in_flight != id);
@@ -117,16 +124,17 @@
         }
     }
 
+    /// Removes the finished jobs whose removal is due.
     fn remove_expired(&mut self, now: Time) {
         while let Some((_, id)) = self.finished.first().filter(|(at, _)| *at <= now).cloned() {
             self.remove_finished(&id);
         }
     }
 
-    /// Drops results, in the order of their removal times, until the rest fits.
+    /// Drops results in the order of their removal times until the stored results are within the size limit.
     fn drop_excess_results(&mut self) {
-        let is_over = |tables: &Tables| tables.result_bytes > tables.max_result_bytes;
-        while let Some((at, id)) = self.with_result.first().filter(|_| is_over(self)).cloned() {
+        let exceeds_limit = |tables: &Tables| tables.result_bytes > tables.max_result_bytes;
+        while let Some((at, id)) = self.with_result.first().filter(|_| exceeds_limit(self)).cloned() {
             self.release_result(at, &id);
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.result = Some(None);
@@ -135,34 +143,35 @@
     }
 }
 
-/// The keyed jobs that are in flight or may still be retried.
+/// The keyed jobs that are in flight or may still be retried, with their results.
 pub struct ResultCache {
     tables: RefCell<Tables>,
-    digests: RandomState,
+    /// Hashes bodies with a random key.
+    body_hasher: RandomState,
 }
 
 impl ResultCache {
-    /// An empty cache for results of at most `max_result_bytes` in all, in base64. Beyond that the results that would
-    /// expire first are dropped.
+    /// Creates an empty cache that stores at most `max_result_bytes` of results in total, in base64. When the limit is
+    /// exceeded, the results that would expire first are dropped.
     pub fn new(max_result_bytes: usize) -> ResultCache {
         let tables = RefCell::new(Tables { max_result_bytes, ..Tables::default() });
-        ResultCache { tables, digests: RandomState::new() }
+        ResultCache { tables, body_hasher: RandomState::new() }
     }
 
-    /// The key of a job. Keys of different caches can't be compared.
+    /// Returns the key of a job. Keys from different caches cannot be compared, as each cache hashes with its own key.
     pub fn job_key(&self, job_class: usize, tenant: usize, idempotency_key: String, body: &Body) -> JobKey {
-        JobKey { job_class, tenant, idempotency_key, body_digest: self.digests.hash_one(body) }
+        JobKey { job_class, tenant, idempotency_key, body_digest: self.body_hasher.hash_one(body) }
     }
 
-    /// The finished job that is stored under this id.
+    /// Returns the finished job that is stored under this id, if there is one.
     pub fn finished(&self, id: &JobId) -> Option<FinishedJob> {
         let tables = self.tables.borrow();
         let job = tables.jobs.get(id).filter(|job| !job.in_flight)?;
         Some(FinishedJob { key: job.key.clone(), result: job.result.clone().flatten() })
     }
 
-    /// Adds a keyed job whose id is not in use, and returns the job that it repeats, if that is known. A retry may stay
-    /// unread for `max_unread_time`.
+    /// Adds a keyed job whose id is not in use, and returns its original job if the job is a retry of a known one. A
+    /// retry may stay unread for `max_unread_time`.
     pub fn arrived(
         &self,
         id: &JobId,
@@ -171,9 +180,9 @@
         max_unread_time: Span,
     ) -> Option<JobId> {
         let mut tables = self.tables.borrow_mut();
-        let record = tables.records.get(&key).filter(|record| record.expires > received_at);
-        let runs = |id: &&JobId| tables.jobs.get(*id).is_some_and(|job| !job.awaits_original);
-        let in_flight = || tables.in_flight.get(&key).and_then(|ids| ids.iter().find(runs));
+        let record = tables.records.get(&key).filter(|record| record.expires_at > received_at);
+        let is_original = |id: &&JobId| tables.jobs.get(*id).is_some_and(|job| !job.awaits_original);
+        let in_flight = || tables.in_flight.get(&key).and_then(|ids| ids.iter().find(is_original));
         let original = record.map(|record| &record.id).or_else(in_flight).cloned();
         tables.in_flight.entry(key.clone()).or_default().push(id.clone());
         let job = KeyedJob {
@@ -181,7 +190,7 @@
             max_unread_time,
             in_flight: true,
             awaits_original: false,
-            record_expires: None,
+            record_expires_at: None,
             result: None,
             waiting: Vec::new(),
         };
@@ -189,22 +198,22 @@
         original
     }
 
-    /// Stores the idempotency record of a job in flight for `lifetime`, in place of an earlier one under its key.
+    /// Stores the idempotency record of a job in flight for `lifetime`. Replaces an earlier record under the job's key.
     pub fn store_record(&self, id: &JobId, now: Time, lifetime: Span) {
         let mut tables = self.tables.borrow_mut();
         let Some(job) = tables.jobs.get_mut(id).filter(|job| job.in_flight) else { return };
-        let expires = now + lifetime;
-        job.record_expires = Some(expires);
+        let expires_at = now + lifetime;
+        job.record_expires_at = Some(expires_at);
         let key = job.key.clone();
-        tables.records.insert(key, Record { id: id.clone(), expires });
+        tables.records.insert(key, Record { id: id.clone(), expires_at });
     }
 
-    /// Removes the idempotency record of a job.
+    /// Removes the idempotency record of a job. A job that has ended is removed too.
     pub fn remove_record(&self, id: &JobId) {
         let mut tables = self.tables.borrow_mut();
         match tables.jobs.get_mut(id) {
             Some(job) if job.in_flight => {
-                job.record_expires = None;
+                job.record_expires_at = None;
                 let key = job.key.clone();
                 tables.remove_record(&key, id);
             }
@@ -212,8 +221,8 @@
         }
     }
 
-    /// The result that a retry is answered with: `None` while the original is in flight, then the retry waits for
-    /// [`ResultCache::finish`]; `Some(None)` if there is no result.
+    /// Returns the result with which the retry `id` is answered; `Some(None)` if there is no result. Returns `None`
+    /// while the original job is in flight: the retry is then among those that [`ResultCache::finish`] returns.
     pub fn await_result(&self, id: &JobId, original: &JobId) -> Option<Option<Body>> {
         let mut tables = self.tables.borrow_mut();
         if let Some(job) = tables.jobs.get_mut(id) {
@@ -227,7 +236,7 @@
         Some(job.result.clone().flatten())
     }
 
-    /// Records that a job has ended, with its result if it succeeded. Returns the retries that wait for it.
+    /// Records that a job has ended, with its result if it succeeded. Returns the retries that wait for the result.
     pub fn finish(&self, id: &JobId, now: Time, result: Option<Body>) -> Vec<JobId> {
         let mut tables = self.tables.borrow_mut();
         let Some(job) = tables.jobs.get_mut(id).filter(|job| job.in_flight) else { return Vec::new() };
