--- a/crates/hazelgrade-server/src/protocol/executor.rs
+++ b/crates/hazelgrade-server/src/protocol/executor.rs
@@ -1,55 +1,55 @@
-//! The executor's commands and events: JSON objects, one a line.
+//! Wire format of the executor link: commands to the executor and events from it, each a JSON object on one line.
 
 use super::Body;
 use hazelgrade::api::JobId;
 use hazelgrade::time::Span;
 use serde_json::{Value, json};
 
-/// The longest line of the executor, in bytes: a result of 4 KiB in base64 fits well.
+/// Maximum length of an event line, in bytes. The limit leaves ample space for a result of 4 KiB in base64.
 pub const MAX_LINE_BYTES: usize = 64 * 1024;
 
-/// The name of the gauge for the fraction of the cores in use.
+/// Name of the gauge that reports the fraction of the executor's cores in use.
 pub const CORE_USE_GAUGE: &str = "core_use";
 
 /// A command to the executor.
 #[derive(Debug)]
 pub enum Command<'a> {
-    /// The first command on a link: requests all events after the cursor.
+    /// Opens a link: requests all events after the cursor.
     Join {
-        /// Number of the last event that was handled.
+        /// Number of the last event that this instance has handled.
         cursor: u64,
     },
     /// Starts the run of a job.
     StartRun {
-        /// The job.
+        /// The id of the job.
         id: &'a str,
-        /// The name of its class.
+        /// The name of the job class.
         job_class: &'a str,
-        /// The input from its caller.
+        /// The input that the caller sent, in base64.
         body: &'a str,
     },
     /// Cancels the run of a job.
     CancelRun {
-        /// The job.
+        /// The id of the job.
         id: &'a str,
     },
-    /// Passes the reply to the call that a run waits for.
+    /// Delivers the database's reply to the call that a run is waiting for.
     CallReply {
-        /// The job.
+        /// The id of the job.
         id: &'a str,
-        /// The reply.
+        /// The body of the reply, in base64.
         body: &'a str,
     },
-    /// Lets a run continue without the call that it waits for.
+    /// Lets a run continue without a reply to the call that the run is waiting for.
     SkipCall {
-        /// The job.
+        /// The id of the job.
         id: &'a str,
-        /// Number of the event that reported the call.
+        /// Number of the event that requested the call.
         cursor: u64,
     },
-    /// Requests the gauges.
+    /// Requests the current values of the gauges.
     Gauges {
-        /// Repeated in the answer.
+        /// Identifies the request; the executor returns the same ticket with the values.
         ticket: &'a str,
     },
 }
@@ -57,92 +57,93 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// It succeeded.
+    /// The run succeeded.
     Completed,
-    /// It failed.
+    /// The run failed.
     Failed,
-    /// It was cancelled or preempted.
+    /// The run was cancelled or preempted.
     Cancelled,
-    /// Nothing was started: the job had ended.
+    /// The run was not started, because the job had already ended.
     Superseded,
 }
 
-/// An event of the executor.
+/// An event sent by the executor.
 #[derive(Debug)]
 pub enum Event {
     /// The first event on a link.
     Welcome {
-        /// Whether the executor has no runs of an earlier link.
+        /// Whether the executor holds no runs from an earlier link.
         is_new: bool,
         /// How long the executor has been up.
         uptime: Span,
     },
-    /// A run has ended.
+    /// Reports that a run has ended.
     RunEnded {
         /// Number of the event.
         cursor: u64,
-        /// The job.
+        /// The id of the job.
         id: JobId,
         /// How the run ended.
         end: RunEnd,
-        /// How long it took.
+        /// How long the run took.
         elapsed: Span,
-        /// Its result; empty if there is none.
+        /// The result of the run, in base64; empty if the run has none.
         body: Body,
     },
-    /// A run waits for a call.
+    /// Reports that a run is waiting for a call to the database.
     CallRequested {
         /// Number of the event.
         cursor: u64,
-        /// The job.
+        /// The id of the job.
         id: JobId,
-        /// The request for the database.
+        /// The request to send to the database, in base64.
         body: Body,
     },
-    /// The gauges that were requested.
+    /// The values of the gauges, in response to [`Command::Gauges`].
     Gauges {
-        /// As in the request.
+        /// The ticket of the request.
         ticket: String,
-        /// The values, in the order of the settings; NaN for one that is no number.
+        /// The values, in the order in which the settings list the gauges; NaN in place of a value that is not a
+        /// number.
         values: Vec<f64>,
     },
-    /// The executor refused a command.
+    /// Reports that the executor refused a command.
     CommandRefused {
-        /// Whether it was to start a run: then the executor does not know the job.
+        /// Whether the refused command was [`Command::StartRun`], which means that the executor does not know the job.
         is_start: bool,
-        /// The command's name on the wire, for the log.
+        /// The wire name of the refused command, for the log.
         command: String,
-        /// The job, if the event names one.
+        /// The id of the job, if the event names one.
         id: Option<JobId>,
     },
-    /// A line for the log.
+    /// A message that the executor writes to the instance's log.
     Log {
         /// Number of the event.
         cursor: u64,
-        /// The line.
+        /// The text of the message.
         text: String,
     },
-    /// An event of another version.
+    /// An event that this version does not know, sent by an executor of another version.
     Unknown {
-        /// Its name on the wire, for the log.
+        /// The wire name of the event, for the log.
         name: String,
-        /// Number of the event, if it has one.
+        /// Number of the event, if the event has one.
         cursor: Option<u64>,
     },
 }
 
-/// Why a line of the executor can't be decoded.
+/// Why a line received from the executor can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// It is not JSON.
-    #[error("not a JSON value")]
+    /// The line is not a JSON value.
+    #[error("the line is not a JSON value")]
     NotJson,
-    /// This field is missing or invalid.
-    #[error("field {0}")]
+    /// The named field is missing or invalid.
+    #[error("field {0} is missing or invalid")]
     InvalidField(&'static str),
 }
 
-/// Encodes a command as a line.
+/// Encodes a command as a line, including the line end.
 pub fn encode(command: &Command) -> String {
     let value = match command {
         Command::Join { cursor } => json!({"event": "JOIN", "cursor": cursor}),
@@ -157,14 +158,14 @@
     format!("{value}\n")
 }
 
-/// Decodes the line of an event.
+/// Decodes a line that contains one event.
 pub fn decode(line: &[u8]) -> Result<Event, DecodeError> {
     let value = serde_json::from_slice(line).map_err(|_| DecodeError::NotJson)?;
     let fields = Fields(value);
     Ok(match fields.text("event").ok_or(DecodeError::InvalidField("event"))? {
         "WELCOME" => Event::Welcome { is_new: fields.text("fate") == Some("new"), uptime: fields.elapsed() },
         "EXIT" => {
-            // The order in which fields are checked decides which one is reported.
+            // The error names the first invalid field, so the order of these checks determines the reported field.
             let end = fields.run_end()?;
             let cursor = fields.cursor()?;
             Event::RunEnded { cursor, id: fields.id()?, end, elapsed: fields.elapsed(), body: fields.body() }
@@ -189,7 +190,7 @@
     })
 }
 
-/// The fields of an event.
+/// The fields of an undecoded event.
 struct Fields(Value);
 
 impl Fields {
@@ -209,7 +210,8 @@
         self.text("arg").unwrap_or_default().into()
     }
 
-    /// In milliseconds on the wire; zero if it is missing or out of range.
+    /// Returns the duration in the field `lasted`, which is in milliseconds; zero if the field is missing or out of
+    /// range.
     fn elapsed(&self) -> Span {
         let ms = self.0.get("lasted").and_then(Value::as_f64).filter(|ms| (0.0..1e15).contains(ms));
         Span::from_ms(ms.unwrap_or_default())
--- a/crates/hazelgrade-server/src/protocol/jsonrpc/error.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc/error.rs
@@ -1,23 +1,23 @@
-//! The errors of a client's message.
+//! Errors in messages from clients, with their JSON-RPC error codes.
 
 use std::borrow::Cow;
 
-/// The line is not valid JSON.
+/// JSON-RPC error code: the line is not valid JSON.
 const PARSE_ERROR: i64 = -32700;
-/// The message is not a request.
+/// JSON-RPC error code: the message is not a valid request.
 const INVALID_REQUEST: i64 = -32600;
-/// The method is unknown.
+/// JSON-RPC error code: the method is unknown.
 const METHOD_NOT_FOUND: i64 = -32601;
-/// The parameters are invalid.
+/// JSON-RPC error code: a parameter is missing or invalid.
 pub(super) const INVALID_PARAMS: i64 = -32602;
 
-/// A field that is missing or invalid.
+/// A field of a message that is missing or invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("field {field}: expected {expected}")]
 pub struct InvalidField {
-    /// Its name on the wire.
+    /// The wire name of the field.
     pub field: &'static str,
-    /// What it must be.
+    /// A description of the valid values.
     pub expected: Cow<'static, str>,
 }
 
@@ -27,37 +27,37 @@
     }
 }
 
-/// Why a message is not accepted. The answer contains its text.
+/// Why a message is not accepted. The answer to the client contains the `Display` text of the reason.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Reason {
-    /// The line can't be parsed.
+    /// The line is not a JSON value in UTF-8.
     #[error("the line is not a JSON value in UTF-8")]
     NotJson,
-    /// It is JSON, but not an object.
+    /// The line is a JSON value but not an object.
     #[error("expected one JSON object; batches are not taken")]
     NotAnObject,
-    /// A field of the request itself.
+    /// A field of the request object itself is missing or invalid.
     #[error(transparent)]
     InvalidRequest(InvalidField),
-    /// No job class has this name.
+    /// The method is not the name of a job class that this instance serves.
     #[error("field method: expected a use case of this site")]
     UnknownMethod,
-    /// A field of the parameters.
+    /// A field of the request's parameters is missing or invalid.
     #[error(transparent)]
     InvalidParam(#[from] InvalidField),
-    /// A call with this id is open on the connection.
+    /// A call with the same id is still open on the connection.
     #[error("field id: a call with this id is still open")]
     CallIdInUse,
-    /// The line exceeds the longest message; the connection is closed.
+    /// The line exceeds the maximum length of a message; the connection is closed.
     #[error("the line is longer than any message")]
     LineTooLong,
-    /// One invalid message too many; the connection is closed.
+    /// The client has sent more invalid messages than are tolerated; the connection is closed.
     #[error("too many wrong messages")]
     TooManyViolations,
 }
 
 impl Reason {
-    /// The error code of JSON-RPC.
+    /// Returns the JSON-RPC error code for the reason.
     pub fn code(&self) -> i64 {
         match self {
             Reason::NotJson => PARSE_ERROR,
@@ -76,11 +76,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub struct RequestError {
-    /// The id of the call, where the message has one that can be answered.
+    /// The id of the call, if the message has one under which the error can be returned.
     pub call_id: Option<u64>,
-    /// Whether it names a job class that this instance does not serve. Others may serve it, so it is no violation.
+    /// Whether the message names a job class that this instance does not serve. Another instance may serve the class,
+    /// so the message does not count as a violation of the protocol.
     pub not_served: bool,
-    /// What is wrong.
+    /// Why the message is not accepted.
     pub reason: Reason,
 }
 
@@ -90,23 +91,25 @@
     }
 }
 
-/// The time at which a job reached the machine lies in the future, or the job is past its deadline.
+/// The error for a job whose `ts` field, the time at which the job reached the machine, lies in the future or so far in
+/// the past that the job has passed its deadline.
 pub fn invalid_time(call_id: u64) -> RequestError {
     let field = InvalidField::new("ts", "a time in the past, and within the cut-off");
     RequestError::new(Some(call_id), Reason::InvalidParam(field))
 }
 
-/// The id of a call is that of an open one. The answer has no id, as it would be taken for the open call's.
+/// The error for a call whose id belongs to a call that is still open. The answer has no id, because the client would
+/// take an answer with the id for the answer to the open call.
 pub fn call_id_in_use() -> RequestError {
     RequestError::new(None, Reason::CallIdInUse)
 }
 
-/// A line exceeds the longest message.
+/// The error for a line that exceeds the maximum length of a message.
 pub fn line_too_long() -> RequestError {
     RequestError::new(None, Reason::LineTooLong)
 }
 
-/// A peer has sent one invalid message too many.
+/// The error for a client that has sent more invalid messages than are tolerated.
 pub fn too_many_violations() -> RequestError {
     RequestError::new(None, Reason::TooManyViolations)
 }
--- a/crates/hazelgrade-server/src/protocol/jsonrpc/mod.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc/mod.rs
@@ -1,4 +1,5 @@
-//! JSON-RPC 2.0, one message a line: the messages of clients, and the answers to them.
+//! Wire format of client connections: JSON-RPC 2.0 with one message per line. Decodes the messages of clients and
+//! encodes the answers.
 
 mod error;
 mod request;
--- a/crates/hazelgrade-server/src/protocol/jsonrpc/request.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc/request.rs
@@ -8,24 +8,24 @@
 use hazelgrade_settings::HostSettings;
 use serde_json::{Map, Value};
 
-/// The longest line of a client, in bytes: a body of 2 KiB in base64, every character of it escaped, and the other
-/// fields.
+/// Maximum length of a line from a client, in bytes. A body of 2 KiB in base64 fits even if every character is escaped,
+/// with space left for the other fields.
 pub const MAX_LINE_BYTES: usize = 24 * 1024;
-/// The longest body of a job, in bytes before base64.
+/// Maximum length of the body of a job, in bytes before base64 encoding.
 const MAX_BODY_BYTES: usize = 2048;
-/// The longest name, id or key, in bytes.
+/// Maximum length of a name, id or key, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 
 /// A message from a client.
 #[derive(Debug)]
 pub enum ClientMessage {
-    /// Requests a job.
+    /// Requests the execution of a job.
     Job(Box<JobRequest>),
-    /// A caller no longer waits, for the call with this id on its connection or for this job.
+    /// Reports that the caller has stopped waiting for a call on the same connection, or for a job.
     Abort {
-        /// The call, if the message names one.
+        /// The id of the call, if the message names one.
         call_id: Option<u64>,
-        /// The job, if the message names one.
+        /// The id of the job, if the message names one.
         job_id: Option<JobId>,
     },
     /// Requests the health of the instance.
@@ -37,29 +37,29 @@
     Hello {
         /// The id of the call.
         call_id: u64,
-        /// What identifies the caller.
+        /// The token that identifies the caller.
         token: String,
     },
 }
 
-/// A job as a client requests it.
+/// A client's request to execute a job.
 #[derive(Debug)]
 pub struct JobRequest {
-    /// The id of the call on its connection.
+    /// The id of the call, which is unique among the open calls of the connection.
     pub call_id: u64,
-    /// The job for the controller.
+    /// The job, as the controller decides on it.
     pub job: Job,
-    /// The input of the run.
+    /// The input of the run, in base64.
     pub body: Body,
-    /// Identifies a keyed job across retries; for an idempotent one, the subject that it reads.
+    /// Identifies a keyed job across retries. For an idempotent job, the subject that the job reads.
     pub idempotency_key: Option<String>,
-    /// Identifies the caller, if it is sent with the job.
+    /// The token that identifies the caller, if the request contains one.
     pub token: Option<String>,
-    /// Whether the request names the tenant. Otherwise the caller's rights determine it.
+    /// Whether the request names the tenant. If not, the caller's rights determine the tenant.
     pub names_tenant: bool,
 }
 
-/// The parameters of a message.
+/// The undecoded parameters of a message.
 struct Params(Map<String, Value>);
 
 impl Params {
@@ -107,7 +107,8 @@
         }
     }
 
-    /// The page of the protocol names no key for keyed jobs; the site's list of names calls it `opkey`.
+    /// Returns the idempotency key of a keyed job, or the subject of an idempotent job. The protocol documentation
+    /// names no field for the key of a keyed job; the field name `opkey` comes from the site's list of names.
     fn idempotency_key(&mut self, idempotency: Idempotency) -> Result<Option<String>, InvalidField> {
         match idempotency {
             Idempotency::Idempotent => self.optional_text("subject", "what a read is about"),
@@ -131,14 +132,14 @@
     }
 }
 
-/// A request before its method is decoded.
+/// A request whose method and parameters are not decoded yet.
 struct Request {
     call_id: Option<u64>,
     method: String,
     params: Params,
 }
 
-/// Decodes a line. `settings` has the job classes and tenants that a job may name.
+/// Decodes a line from a client. `settings` lists the job classes and tenants that a job may name.
 pub fn decode(line: &[u8], settings: &HostSettings) -> Result<ClientMessage, RequestError> {
     let Request { call_id, method, mut params } = decode_request(line)?;
     if method == "abort" {
@@ -188,28 +189,30 @@
     Ok(Request { call_id, method, params })
 }
 
-/// Decodes an abort. The call is named by an id in the parameters, or by the message's own id if no job is named.
+/// Decodes an abort. The id of the call is the `id` parameter or, if the parameters name no job either, the id of the
+/// message itself.
 fn decode_abort(message_id: Option<u64>, params: &mut Params) -> ClientMessage {
     let job_id = params.optional_text("req", "a job's id").unwrap_or_default();
-    let named = params.0.get("id").and_then(Value::as_u64);
-    let call_id = named.or(message_id.filter(|_| job_id.is_none()));
+    let id_param = params.0.get("id").and_then(Value::as_u64);
+    let call_id = id_param.or(message_id.filter(|_| job_id.is_none()));
     ClientMessage::Abort { call_id, job_id: job_id.map(JobId::from) }
 }
 
-/// The index of the job class that a method names. A class that is not in use here, or any class while this instance
-/// serves none, may be served by others.
+/// Returns the index of the job class that a method names. The error marks a class that other instances may serve: a
+/// known class that is not in use on this instance, or any class while this instance serves none.
 fn find_job_class(call_id: u64, method: &str, settings: &HostSettings) -> Result<usize, RequestError> {
     match settings.job_class(method) {
         Some(job_class) if job_class.in_use => Ok(job_class.slot),
-        known => {
-            let not_served = known.is_some() || !settings.serves();
+        unserved => {
+            let not_served = unserved.is_some() || !settings.serves();
             let error = RequestError::new(Some(call_id), Reason::UnknownMethod);
             Err(RequestError { not_served, ..error })
         }
     }
 }
 
-/// The order in which fields are checked decides which one is reported.
+/// Decodes the parameters of a job. The error names the first invalid field, so the order of the checks determines the
+/// reported field.
 fn decode_job(
     call_id: u64,
     job_class: usize,
@@ -247,7 +250,8 @@
     Ok(JobRequest { call_id, job, body, idempotency_key, token, names_tenant })
 }
 
-/// The index of a tenant. No name is needed if no tenant has one, or if the caller's rights determine it.
+/// Returns the index of a tenant. The name may be absent if no configured tenant has a name or if the caller's rights
+/// determine the tenant.
 fn find_tenant(name: Option<&str>, settings: &HostSettings) -> Result<usize, InvalidField> {
     let named =
         name.and_then(|name| settings.tenants.iter().position(|tenant| tenant.as_deref() == Some(name)));
--- a/crates/hazelgrade-server/src/protocol/jsonrpc/response.rs
+++ b/crates/hazelgrade-server/src/protocol/jsonrpc/response.rs
@@ -1,38 +1,39 @@
-//! Encodes messages to clients.
+//! Encodes answers and notifications to clients.
 
 use super::error::{INVALID_PARAMS, RequestError};
 use crate::protocol::Body;
 use hazelgrade::time::Span;
 use serde_json::{Map, Value, json};
 
-/// The job was rejected, or its caller denied: it did not run.
+/// JSON-RPC error code: the job was rejected or its caller was denied, and the job did not run.
 const REJECTED: i64 = -32066;
-/// The job has failed.
+/// JSON-RPC error code: the job has failed.
 const FAILED: i64 = -32000;
 
-/// The notification that the instance drains.
+/// The notification that the instance is draining.
 pub const DRAINING: &str = "{\"jsonrpc\":\"2.0\",\"method\":\"draining\"}\n";
 
 /// The final answer to a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// It succeeded, with this result.
+    /// The job succeeded with this result.
     Succeeded(Body),
-    /// It did not run, and may be sent again.
+    /// The job did not run and may be sent again.
     Rejected {
         /// Whether the job should not be sent to other instances either.
         not_elsewhere: bool,
-        /// When it may be sent again; zero for at once.
+        /// How long the client should wait before it sends the job again; zero for an immediate retry.
         retry_after: Span,
     },
-    /// Its caller has no right to it, for this reason. It did not run, and no other instance would run it.
+    /// The caller is not authorized to request the job, for this reason. The job did not run, and no other instance
+    /// would run it.
     Denied(&'static str),
-    /// It may have had its effect, or a retry would not succeed.
+    /// The job failed: either it may have had its effect, or a retry would not succeed.
     Failed,
 }
 
 impl Answer {
-    /// The name of the answer, for the log.
+    /// Returns the name of the answer for the log.
     pub fn name(&self) -> &'static str {
         match self {
             Answer::Succeeded(_) => "succeeded",
@@ -44,11 +45,11 @@
     }
 }
 
-fn line(value: &Value) -> String {
+fn encode_line(value: &Value) -> String {
     format!("{value}\n")
 }
 
-/// Encodes the answer to a call, with the load signal if there is one.
+/// Encodes the answer to a call, including the load signal if one is given.
 pub fn encode(call_id: u64, answer: &Answer, load_signal: Option<f64>) -> String {
     let mut fields = Map::new();
     if let Some(load_signal) = load_signal {
@@ -57,7 +58,7 @@
     match answer {
         Answer::Succeeded(body) => {
             fields.insert("body".into(), json!(**body));
-            line(&json!({"jsonrpc": "2.0", "id": call_id, "result": fields}))
+            encode_line(&json!({"jsonrpc": "2.0", "id": call_id, "result": fields}))
         }
         Answer::Rejected { not_elsewhere, retry_after } => {
             if *retry_after > Span::ZERO {
@@ -79,16 +80,16 @@
 
 fn encode_failure(call_id: u64, code: i64, message: &str, data: Map<String, Value>) -> String {
     let error = json!({"code": code, "message": message, "data": data});
-    line(&json!({"jsonrpc": "2.0", "id": call_id, "error": error}))
+    encode_line(&json!({"jsonrpc": "2.0", "id": call_id, "error": error}))
 }
 
-/// Encodes the answer to a `hello`: the name of the caller, or why it was not identified.
+/// Encodes the answer to a `hello`: the name of the caller, or the reason why the caller was not identified.
 pub fn encode_hello(call_id: u64, caller: Result<&str, &str>) -> String {
     match caller {
-        Ok(name) => line(&json!({"jsonrpc": "2.0", "id": call_id, "result": {"caller": name}})),
+        Ok(name) => encode_line(&json!({"jsonrpc": "2.0", "id": call_id, "result": {"caller": name}})),
         Err(reason) => {
             let error = json!({"code": INVALID_PARAMS, "message": reason});
-            line(&json!({"jsonrpc": "2.0", "id": call_id, "error": error}))
+            encode_line(&json!({"jsonrpc": "2.0", "id": call_id, "error": error}))
         }
     }
 }
@@ -99,11 +100,11 @@
     if let Some(load_signal) = load_signal {
         result["signal"] = json!(load_signal);
     }
-    line(&json!({"jsonrpc": "2.0", "id": call_id, "result": result}))
+    encode_line(&json!({"jsonrpc": "2.0", "id": call_id, "result": result}))
 }
 
 /// Encodes the answer to a message that is not accepted.
 pub fn encode_error(error: &RequestError) -> String {
     let body = json!({"code": error.reason.code(), "message": error.reason.to_string()});
-    line(&json!({"jsonrpc": "2.0", "id": error.call_id, "error": body}))
+    encode_line(&json!({"jsonrpc": "2.0", "id": error.call_id, "error": body}))
 }
--- a/crates/hazelgrade-server/src/protocol/mod.rs
+++ b/crates/hazelgrade-server/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! The messages of each peer, decoded once into typed values and encoded once. Names on the wire appear here and
-//! nowhere else. No I/O.
+//! Wire formats of all peers: messages are decoded into typed values and encoded from them. Wire names appear in this
+//! module only. The module performs no I/O.
 
 pub mod database;
 pub mod executor;
@@ -9,22 +9,23 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 
-/// A body in base64, as clients and the executor send it; most are only passed on.
+/// A body in base64, as clients and the executor send it. Most bodies are forwarded without being decoded.
 pub type Body = std::rc::Rc<str>;
 
-/// The bytes of a body; `None` if it is not valid base64.
+/// Decodes a body; `None` if the body is not valid base64.
 pub fn to_bytes(body: &str) -> Option<Vec<u8>> {
     STANDARD.decode(body).ok()
 }
 
-/// The body of these bytes.
+/// Encodes bytes as a body in base64.
 pub fn from_bytes(bytes: &[u8]) -> Body {
     STANDARD.encode(bytes).into()
 }
 
-/// Whether `text` is base64 for at most `max_bytes` bytes (up to 4 KiB); allocates nothing.
+/// Returns whether `text` is valid base64 for at most `max_bytes` bytes, where `max_bytes` is at most 4096. Decodes
+/// into a buffer on the stack instead of the heap.
 pub fn is_body(text: &str, max_bytes: usize) -> bool {
     let mut scratch = [0; 4098];
-    let room = scratch.len().min(max_bytes + 2);
-    matches!(STANDARD.decode_slice(text, &mut scratch[..room]), Ok(length) if length <= max_bytes)
+    let capacity = scratch.len().min(max_bytes + 2);
+    matches!(STANDARD.decode_slice(text, &mut scratch[..capacity]), Ok(length) if length <= max_bytes)
 }
