--- a/crates/hazelgrade-server/src/transport/clients/connection.rs
+++ b/crates/hazelgrade-server/src/transport/clients/connection.rs
@@ -1,4 +1,4 @@
-//! The state of one connection: its open calls, how far its peer is trusted, and what it waits for.
+//! State of one client connection: its open calls, whether its peer is trusted, and what the reader is waiting for.
 
 use hazelgrade_net::connection_end::ConnectionEnd;
 use hazelgrade_net::notify::Notify;
@@ -8,47 +8,52 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Calls that a client may have open on one connection.
+/// Maximum number of open calls on one connection.
 pub const MAX_OPEN_CALLS: usize = 32;
-/// The same before a job of it has run. With this limit all connections fit into the smallest memory limit.
+/// Maximum number of open calls on an untrusted connection. With this maximum, the open calls of all connections fit
+/// into the smallest memory limit.
 const MAX_OPEN_CALLS_UNTRUSTED: usize = 16;
-/// Capacity for the answers to all open calls, at 4 KiB in base64 each, and some health checks; in bytes.
+/// Capacity of the write queue of a connection, in bytes. Holds the answers to all open calls, at 4 KiB in base64 each,
+/// and the answers to some health checks.
 const WRITE_QUEUE_BYTES: usize = 256 * 1024;
-/// How long a message may take from its first byte to its last, and the first message from the start of the connection.
+/// Maximum time from the first byte of a message to its last. For the first message, the time counts from the start of
+/// the connection.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a connection may stay without an open call: clients either close idle ones earlier or never.
+/// How long a connection may stay idle. Clients close idle connections either before this time or never, so a
+/// connection that is idle for longer would not be closed by its client.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Violations that are tolerated; at the next one the connection is closed.
+/// Number of protocol violations that are tolerated; the next violation closes the connection.
 const MAX_VIOLATIONS: u32 = 4;
-/// Rejections that an untrusted connection may have before it is read more slowly.
-const MAX_FAST_REJECTIONS: u32 = 8;
+/// Number of rejections that an untrusted connection may have without being throttled.
+const MAX_UNTHROTTLED_REJECTIONS: u32 = 8;
 
-/// A connection of a client. Open calls are identified by their ids; `T` is the value stored for each.
+/// A connection from a client. Open calls are identified by their ids; `T` is the value stored for each open call.
 pub struct ClientConnection<T> {
     pub(super) write_queue: Rc<WriteQueue>,
-    open: RefCell<BTreeMap<u64, T>>,
-    /// Notified when a call is closed, and when what bounds the open calls has changed.
+    open_calls: RefCell<BTreeMap<u64, T>>,
+    /// Notified when a call is closed, and when the maximum number of open calls or the number of violations has
+    /// changed.
     pub(super) calls_changed: Notify,
     last_used: Cell<Instant>,
     trusted: Cell<bool>,
     health_checks: Cell<u32>,
     violations: Cell<u32>,
     rejections: Cell<u32>,
-    /// When the message that is being read began; until the first one, when the connection was opened.
+    /// When the first byte of the message being read arrived; before the first message, when the connection was opened.
     pub(super) message_started: Cell<Option<Instant>>,
-    /// Whether the last check found the message overdue. It takes two checks: after a pause of the process, messages
-    /// that came meanwhile are read first.
-    overdue_before: Cell<bool>,
-    /// Whether its reader waits for bytes: everything that came has been handled.
+    /// Whether the previous check found the message overdue. Two checks in a row are needed for a time-out, so that
+    /// after a pause of the process the messages that arrived meanwhile are read first.
+    was_overdue: Cell<bool>,
+    /// Whether the reader is waiting for bytes, which means that every message received so far has been handled.
     pub(super) reader_waits: Cell<bool>,
-    /// Why it must be closed once it is idle.
+    /// The reason of a pending request to close the connection once it is idle.
     pub(super) close_reason: Cell<Option<ConnectionEnd>>,
     close_requested: Notify,
-    /// Whether the peer was sent the end of the stream. What it still sends is read and dropped.
+    /// Whether the write side has been shut down. Bytes that the peer sends after that are read and dropped.
     pub(super) half_closed: Cell<bool>,
-    /// Ends the wait for the peer's close.
+    /// Notified to end the linger before the peer has closed its side.
     pub(super) linger_aborted: Notify,
-    /// Notified when a write to the peer has blocked for too long.
+    /// Notified when a write to the peer has been blocked for longer than the write timeout.
     pub(super) write_stalled: Notify,
 }
 
@@ -56,7 +61,7 @@
     pub(super) fn new() -> ClientConnection<T> {
         ClientConnection {
             write_queue: Rc::new(WriteQueue::new(WRITE_QUEUE_BYTES)),
-            open: RefCell::default(),
+            open_calls: RefCell::default(),
             calls_changed: Notify::default(),
             last_used: Cell::new(Instant::now()),
             trusted: Cell::new(false),
@@ -64,7 +69,7 @@
             violations: Cell::new(0),
             rejections: Cell::new(0),
             message_started: Cell::new(Some(Instant::now())),
-            overdue_before: Cell::new(false),
+            was_overdue: Cell::new(false),
             reader_waits: Cell::new(false),
             close_reason: Cell::new(None),
             close_requested: Notify::default(),
@@ -74,7 +79,8 @@
         }
     }
 
-    /// Queues a message for the peer. After the half-close it is dropped: no answer is due any more.
+    /// Queues a message for the peer. After the half-close the message is dropped, because no answer is outstanding
+    /// then.
     pub fn send(&self, message: &str) {
         self.last_used.set(Instant::now());
         if !self.half_closed.get() {
@@ -82,58 +88,59 @@
         }
     }
 
-    /// Opens a call; returns `false` if one with its id is open already.
+    /// Opens a call; returns `false` if a call with the same id was open already.
     pub fn add_call(&self, call_id: u64, call: T) -> bool {
         self.last_used.set(Instant::now());
-        self.open.borrow_mut().insert(call_id, call).is_none()
+        self.open_calls.borrow_mut().insert(call_id, call).is_none()
     }
 
-    /// The open call with this id.
+    /// Returns the open call with this id, if there is one.
     pub fn open_call(&self, call_id: u64) -> Option<T> {
-        self.open.borrow().get(&call_id).cloned()
+        self.open_calls.borrow().get(&call_id).cloned()
     }
 
-    /// Whether this call is open.
+    /// Returns whether this call is open.
     pub fn has_open(&self, call: &T) -> bool {
-        self.open.borrow().values().any(|open| open == call)
+        self.open_calls.borrow().values().any(|open| open == call)
     }
 
-    /// Whether any call is open.
+    /// Returns whether any call is open.
     pub(super) fn has_open_calls(&self) -> bool {
-        !self.open.borrow().is_empty()
+        !self.open_calls.borrow().is_empty()
     }
 
-    /// Closes a call.
+    /// Closes the call with this id, if it is open.
     pub fn close_call(&self, call_id: u64) {
-        self.open.borrow_mut().remove(&call_id);
+        self.open_calls.borrow_mut().remove(&call_id);
         self.calls_changed.notify();
     }
 
-    /// Closes all calls and returns those that were open.
+    /// Closes all open calls and returns them.
     pub(super) fn take_open_calls(&self) -> Vec<T> {
-        self.open.take().into_values().collect()
+        self.open_calls.take().into_values().collect()
     }
 
-    /// Waits while it has the maximum number of open calls.
+    /// Waits while the connection has the maximum number of open calls. Returns at once if the connection has too many
+    /// violations, because it is then closed instead.
     pub async fn wait_for_free_call(&self) {
         let max_open = || if self.trusted.get() { MAX_OPEN_CALLS } else { MAX_OPEN_CALLS_UNTRUSTED };
-        while self.open.borrow().len() >= max_open() && !self.has_too_many_violations() {
+        while self.open_calls.borrow().len() >= max_open() && !self.has_too_many_violations() {
             self.calls_changed.notified().await;
         }
     }
 
-    /// Marks it as trusted: a job of it has run.
+    /// Marks the connection as trusted, because a job requested on it has run.
     pub fn mark_trusted(&self) {
         self.trusted.set(true);
         self.calls_changed.notify();
     }
 
-    /// Whether a job of it has run.
+    /// Returns whether the connection is trusted, that is, whether a job requested on it has run.
     pub fn is_trusted(&self) -> bool {
         self.trusted.get()
     }
 
-    /// Counts a health check of the peer.
+    /// Counts a health check requested by the peer.
     pub fn count_health_check(&self) {
         self.health_checks.set(self.health_checks.get().saturating_add(1));
     }
@@ -142,23 +149,24 @@
         self.health_checks.get()
     }
 
-    /// Whether the peer repeats health checks, as a load balancer does. One that made a single check is as idle as one
-    /// that made none.
-    pub(super) fn watches_health(&self) -> bool {
+    /// Returns whether the peer repeats health checks, as a load balancer does. A single health check does not count:
+    /// such a peer may be as idle as a peer that requested none.
+    pub(super) fn is_health_monitor(&self) -> bool {
         !self.trusted.get() && self.health_checks.get() > 1
     }
 
-    /// Counts a job of it that was rejected.
+    /// Counts a rejection of a job requested on the connection.
     pub fn count_rejection(&self) {
         self.rejections.set(self.rejections.get().saturating_add(1));
     }
 
-    /// Whether it is read slowly: it was rejected often, and no job of it has run.
+    /// Returns whether the connection is throttled: it is untrusted, and more than [`MAX_UNTHROTTLED_REJECTIONS`] of
+    /// its jobs were rejected. A throttled connection is read more slowly.
     pub(super) fn is_throttled(&self) -> bool {
-        !self.trusted.get() && self.rejections.get() > MAX_FAST_REJECTIONS
+        !self.trusted.get() && self.rejections.get() > MAX_UNTHROTTLED_REJECTIONS
     }
 
-    /// Counts an invalid message. After too many the connection is not read any more.
+    /// Counts an invalid message. After more than [`MAX_VIOLATIONS`] the connection is not read any more.
     pub fn count_violation(&self) {
         self.violations.set(self.violations.get().saturating_add(1));
         self.calls_changed.notify();
@@ -168,7 +176,7 @@
         self.violations.get() > MAX_VIOLATIONS
     }
 
-    /// How long ago a call was opened or a message was sent.
+    /// Returns the time since the last call was opened or the last message was sent.
     pub(super) fn idle_for(&self) -> Duration {
         self.last_used.get().elapsed()
     }
@@ -177,29 +185,32 @@
         self.last_used.get()
     }
 
-    /// Whether nothing is outstanding: everything that came has been handled, no call is open, and every answer was
-    /// handed to the system.
+    /// Returns whether nothing is outstanding: every message received has been handled, no call is open, and every
+    /// answer has been handed to the operating system.
     pub fn is_idle(&self) -> bool {
         self.reader_waits.get() && !self.has_open_calls() && self.write_queue.pending() == 0
     }
 
-    /// Whether it is idle and not half-closed yet.
+    /// Returns whether the connection is idle and not half-closed yet.
     pub(super) fn can_close(&self) -> bool {
         self.is_idle() && !self.half_closed.get()
     }
 
-    /// Whether it may be evicted: it can be closed, and no message of a trusted peer has begun.
+    /// Returns whether the connection may be evicted: it can be closed, and it is not a trusted connection on which
+    /// part of a message has arrived.
     pub(super) fn can_be_evicted(&self) -> bool {
         self.can_close() && !(self.trusted.get() && self.message_started.get().is_some())
     }
 
-    /// Requests its reader to close it. Messages that came before are read first, and a connection in use stays open.
+    /// Requests the reader to close the connection. Messages that arrived before the request are read first, and a
+    /// connection that is in use stays open.
     pub(super) fn request_close(&self, reason: ConnectionEnd) {
         self.close_reason.set(Some(reason));
         self.close_requested.notify();
     }
 
-    /// Waits until it must be closed. The reader polls this only when there is nothing to read.
+    /// Waits until a close is requested and the connection is idle. The reader polls this future only when there is
+    /// nothing to read.
     pub(super) async fn close_requested(&self) -> Result<(), ConnectionEnd> {
         self.reader_waits.set(true);
         loop {
@@ -212,10 +223,11 @@
         }
     }
 
-    /// For a periodic check: the time limit that has passed, if any. A message times out if two checks find it overdue.
+    /// Returns the time limit that has passed, if any; called periodically. A message times out if two checks in a row
+    /// find it overdue.
     pub(super) fn expired_timeout(&self) -> Option<ConnectionEnd> {
         let overdue = self.message_started.get().is_some_and(|since| since.elapsed() >= MESSAGE_TIMEOUT);
-        if self.is_idle() && self.overdue_before.replace(overdue) && overdue {
+        if self.is_idle() && self.was_overdue.replace(overdue) && overdue {
             return Some(ConnectionEnd::TimedOut);
         }
         let idle = self.is_idle() && self.idle_for() >= IDLE_TIMEOUT;
--- a/crates/hazelgrade-server/src/transport/clients/mod.rs
+++ b/crates/hazelgrade-server/src/transport/clients/mod.rs
@@ -1,6 +1,6 @@
-//! The connections of clients: each has its own reader and writer, so that none delays another. The resources that a
-//! peer may use are bounded for each connection. A connection becomes trusted once a job of it has run: it may have
-//! more calls open, and is the last to be closed when connections run out.
+//! Client connections. Each connection has its own reader and writer, so that no connection delays another, and the
+//! resources that a peer may use are bounded per connection. A connection becomes trusted once a job requested on it
+//! has run. A trusted connection may have more open calls and is evicted last when the limit on connections is reached.
 
 mod connection;
 mod eviction;
--- a/crates/hazelgrade-server/src/transport/clients/reader.rs
+++ b/crates/hazelgrade-server/src/transport/clients/reader.rs
@@ -1,4 +1,4 @@
-//! The reader of one connection: reads its messages, and closes it from this side.
+//! Reader of one client connection: reads the client's messages and closes the connection from the instance's side.
 
 use super::connection::{ClientConnection, MAX_OPEN_CALLS};
 use async_io::{Async, Timer};
@@ -9,22 +9,22 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The read buffer of one connection, in bytes.
+/// Size of the read buffer of one connection, in bytes.
 const READ_BUFFER_BYTES: usize = 4096;
-/// Messages that may be pending to the peer besides the answers to open calls. With more, the connection is not read
-/// until they are written.
+/// Maximum number of messages waiting to be written to the peer, not counting the answers to open calls. With more, the
+/// connection is not read until they have been written.
 const MAX_EXTRA_PENDING_MESSAGES: usize = 64;
-/// The pause between two messages of a throttled connection: a peer that retries at once must not delay others.
+/// Pause between two messages of a throttled connection, so that a peer that retries immediately does not delay others.
 const THROTTLE_PAUSE: Duration = Duration::from_millis(25);
-/// How long a connection is still read after its half-close, so that its peer receives what it was sent: closing a
-/// socket with unread bytes resets it.
+/// How long a connection is still read after its half-close. Closing a socket with unread bytes resets the connection,
+/// and the peer might then lose messages that were sent before the close.
 const LINGER: Duration = Duration::from_millis(300);
-/// How many bytes are read after the half-close; a peer that sends more is reset.
-const LINGER_BYTES: usize = 128 * 1024;
+/// Maximum number of bytes that are read after the half-close; the connection of a peer that sends more is reset.
+const MAX_LINGER_BYTES: usize = 128 * 1024;
 
 impl<T: Clone + PartialEq> ClientConnection<T> {
     /// Reads messages of at most `max_line_bytes` and passes each to `on_line`, until the connection ends or must be
-    /// closed. `closing_line` returns the line that a peer is sent before the close, if any.
+    /// closed. `closing_line` returns the line to send to the peer before the connection is closed, if any.
     pub(super) async fn read(
         &self,
         source: impl AsyncRead + Unpin,
@@ -76,12 +76,12 @@
             if self.has_too_many_violations() {
                 return ConnectionEnd::ProtocolViolation;
             }
-            // Other tasks run between two messages, even if there is always more to read.
+            // Yields after each message, so that a peer that sends continuously does not block other tasks.
             yield_now().await;
         }
     }
 
-    /// Reads one message, and records when its first byte came.
+    /// Reads one message and records when its first byte arrived.
     async fn read_message(
         &self,
         source: &mut BufReader<impl AsyncRead + Unpin>,
@@ -95,21 +95,21 @@
         read_line(source, line, max_line_bytes).await
     }
 
-    /// Waits until every open call is answered and every answer is handed to the system. Does not wait for the calls of
-    /// an untrusted peer that broke the protocol.
+    /// Waits until every open call is answered and every answer has been handed to the operating system. Does not wait
+    /// for the calls of an untrusted peer that violated the protocol.
     async fn finish_calls(&self, end: ConnectionEnd) {
-        let broke_protocol = matches!(end, ConnectionEnd::TooLong | ConnectionEnd::ProtocolViolation);
-        while self.has_open_calls() && (!broke_protocol || self.is_trusted()) {
+        let violated_protocol = matches!(end, ConnectionEnd::TooLong | ConnectionEnd::ProtocolViolation);
+        while self.has_open_calls() && (!violated_protocol || self.is_trusted()) {
             self.calls_changed.notified().await;
         }
         self.write_queue.flushed().await;
     }
 
-    /// After the half-close: reads and drops what the peer still sends, until it closes, sends more than
-    /// [`LINGER_BYTES`], [`LINGER`] has passed, or the connection is evicted.
+    /// Reads and drops what the peer sends after the half-close. Returns when the peer has closed its side or sent more
+    /// than [`MAX_LINGER_BYTES`], when [`LINGER`] has passed, or when the connection is evicted.
     async fn linger(&self, source: &mut BufReader<impl AsyncRead + Unpin>) {
-        let drop_rest = async {
-            let mut bytes_left = LINGER_BYTES;
+        let drain_input = async {
+            let mut bytes_left = MAX_LINGER_BYTES;
             while matches!(source.fill_buf().await, Ok(bytes) if !bytes.is_empty()) && bytes_left > 0 {
                 let count = source.buffer().len();
                 bytes_left = bytes_left.saturating_sub(count);
@@ -119,6 +119,6 @@
         let timeout = async {
             Timer::after(LINGER).await;
         };
-        or(drop_rest, or(timeout, self.linger_aborted.notified())).await;
+        or(drain_input, or(timeout, self.linger_aborted.notified())).await;
     }
 }
--- a/crates/hazelgrade-server/src/transport/clients/table.rs
+++ b/crates/hazelgrade-server/src/transport/clients/table.rs
@@ -1,4 +1,4 @@
-//! All connections of clients.
+//! Table of all client connections.
 
 use super::connection::ClientConnection;
 use super::eviction::evict_idle;
@@ -12,15 +12,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often time limits are checked.
+/// How often the time limits of the connections are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a write to a peer may block; after that its connection is dropped.
+/// How long a write to a peer may block before its connection is dropped.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A connection that was used within this time is not closed: a message of its peer may be in transit.
+/// Minimum idle time before a connection is closed for a drain: on a more recently used connection, a message from the
+/// peer may be in transit.
 const MIN_IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(50);
 
-/// Counts a connection that was accepted and is not in the table yet, until this is dropped.
-#[must_use = "the connection counts until this is dropped"]
+/// Guard that counts a connection as accepted but not in the table yet, until the guard is dropped.
+#[must_use = "the connection is counted only until this guard is dropped"]
 pub struct Accepting(Rc<Cell<usize>>);
 
 impl Accepting {
@@ -36,30 +37,30 @@
     }
 }
 
-/// A connection that has ended.
+/// A client connection that has ended.
 pub struct EndedConnection<T> {
-    /// Why it ended.
+    /// Why the connection ended.
     pub end: ConnectionEnd,
-    /// The calls that were still open.
+    /// The calls that were still open when the connection ended.
     pub open_calls: Vec<T>,
 }
 
-/// All connections of clients; `T` identifies an open call.
+/// Table of all client connections; `T` identifies an open call.
 pub struct ClientConnections<T> {
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection<T>>>>,
     last_number: Cell<u64>,
-    /// Connections that were accepted and are not in the table yet.
+    /// Number of connections that were accepted and are not in the table yet.
     accepting: Rc<Cell<usize>>,
-    /// Connections that may be open at once.
+    /// Maximum number of connections that may be open at once.
     pub max_connections: usize,
-    /// The first message to each new connection.
+    /// The first message to send on each new connection, if any.
     greeting: RefCell<Option<String>>,
-    /// Connections closed because the peer broke the protocol or a time limit, since the start.
+    /// Number of connections closed since the start because the peer violated the protocol or exceeded a time limit.
     pub closed_for_violation: Cell<u64>,
 }
 
 impl<T: Clone + PartialEq> ClientConnections<T> {
-    /// An empty table for at most `max_connections`.
+    /// Creates an empty table for at most `max_connections` connections.
     pub fn new(max_connections: usize) -> ClientConnections<T> {
         ClientConnections {
             connections: RefCell::default(),
@@ -71,30 +72,30 @@
         }
     }
 
-    /// The number of connections, including those just accepted.
+    /// Returns the number of connections, including those that were accepted and are not in the table yet.
     pub fn count(&self) -> usize {
         self.connections.borrow().len() + self.accepting.get()
     }
 
-    /// Counts a connection that was accepted, until it is served or ends before that.
+    /// Counts a connection that was accepted. The returned guard is kept until the connection is served or has ended.
     pub fn accepted(&self) -> Accepting {
         Accepting::new(&self.accepting)
     }
 
-    /// Sends a message to all clients, and to each that connects from now on.
+    /// Sends a message to all clients, and to each client that connects later.
     pub fn broadcast(&self, message: &str) {
         *self.greeting.borrow_mut() = Some(message.into());
         self.connections.borrow().values().for_each(|connection| connection.send(message));
     }
 
-    /// Whether nothing is outstanding on any connection.
+    /// Returns whether nothing is outstanding on any connection and no connection is being accepted.
     pub fn all_idle(&self) -> bool {
         let connections = self.connections.borrow();
         self.accepting.get() == 0 && connections.values().all(|connection| connection.is_idle())
     }
 
-    /// Closes all idle connections when the instance drains. One that was just used stays open: a message may be in
-    /// transit.
+    /// Closes all idle connections when the instance drains. Connections used within [`MIN_IDLE_BEFORE_CLOSE`] stay
+    /// open, because a message may be in transit.
     pub fn close_idle(&self) {
         for connection in self.connections.borrow().values() {
             if connection.idle_for() >= MIN_IDLE_BEFORE_CLOSE && connection.can_close() {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Closes connections that exceed a time limit, until the future is dropped.
+    /// Closes connections that exceed a time limit. Runs until the future is dropped.
     pub async fn enforce_timeouts(&self) {
         loop {
             Timer::after(CHECK_INTERVAL).await;
@@ -117,14 +118,14 @@
         }
     }
 
-    /// Closes some idle connections, so that others can be accepted.
+    /// Closes some idle connections to make room for new ones.
     pub fn evict_idle(&self) {
         let connections: Vec<_> = self.connections.borrow().values().cloned().collect();
         evict_idle(&connections, self.accepting.get());
     }
 
-    /// Serves a connection that was counted as accepted until it ends. `closing_line` returns the line that a peer is
-    /// sent before its connection is closed from this side.
+    /// Serves a connection that was counted as accepted, until the connection ends. `closing_line` returns the line to
+    /// send to the peer before the instance closes the connection, if any.
     pub async fn serve(
         &self,
         tasks: &LocalExecutor<'static>,
@@ -144,7 +145,7 @@
         }
         self.connections.borrow_mut().insert(number, connection.clone());
         drop(accepting);
-        // A peer that reads nothing can't be sent a closing line.
+        // A stalled connection ends without a closing line, because its peer does not read.
         let stalled = async {
             connection.write_stalled.notified().await;
             ConnectionEnd::TimedOut
@@ -153,11 +154,11 @@
         let read = connection.read(reader, &socket, max_line_bytes, on_line, &closing_line);
         let write = connection.write_queue.clone().spawn_writer_to(tasks, writer);
         let end = or(or(stalled, read), write).await;
-        let broke_limits = matches!(
+        let is_violation = matches!(
             end,
             ConnectionEnd::TimedOut | ConnectionEnd::TooLong | ConnectionEnd::ProtocolViolation
         );
-        if broke_limits {
+        if is_violation {
             self.closed_for_violation.set(self.closed_for_violation.get() + 1);
         }
         self.connections.borrow_mut().remove(&number);
--- a/crates/hazelgrade-server/src/transport/database.rs
+++ b/crates/hazelgrade-server/src/transport/database.rs
@@ -1,5 +1,5 @@
-//! A small set of connections to the database, opened as calls need them. Calls are spread over them, so that few
-//! calls, usually one, are lost with a connection. This module does not know which jobs the calls belong to.
+//! Pool of connections to the database, opened on demand. Calls are spread over the connections, so that the loss of a
+//! connection affects few calls, usually one. This module does not know which jobs the calls belong to.
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -18,25 +18,26 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The maximum number of connections. Half of them may take new calls: up to that many calls have one each, and more
-/// share them. The rest is for retired connections with calls in flight; at the maximum the oldest of these is closed.
+/// Maximum number of connections. Half of them may take new calls: up to that many concurrent calls have a connection
+/// each, and further calls share connections. The other half is for retired connections that still have calls in
+/// flight. When a new connection would exceed the maximum, the oldest retired connection is closed.
 pub const MAX_CONNECTIONS: usize = 32;
-/// The capacity of a write queue, in bytes: the calls of all jobs at 4 KiB each.
+/// Capacity of the write queue of a connection, in bytes. Holds the calls of all jobs at 4 KiB each.
 const WRITE_QUEUE_BYTES: usize = 1024 * 1024;
-/// How long a reply may take from its first byte to its last. The database writes each reply at once.
+/// Maximum time from the first byte of a reply to its last. The database writes each reply in one piece.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Decodes and handles replies. Connections are identified by their numbers.
+/// Decodes and handles replies from the database. Connections are identified by their numbers.
 pub trait ReplyHandler {
-    /// The first line of a reply, decoded.
+    /// The decoded first line of a reply.
     type Head;
     /// Decodes the first line of a reply; an error ends the connection.
     fn decode_head(&self, line: &[u8]) -> Result<Self::Head, ConnectionEnd>;
-    /// The length in bytes of the body that follows, if one does.
+    /// Returns the length of the body that follows the first line, in bytes; `None` if no body follows.
     fn body_length(&self, head: &Self::Head) -> Option<usize>;
-    /// Handles a reply; `body` is empty if there is none.
+    /// Handles a reply; `body` is empty if the reply has none.
     fn reply(&self, connection: u64, head: Self::Head, body: Vec<u8>);
-    /// The connection has ended, or could not be opened.
+    /// Called when a connection has ended or could not be opened.
     fn ended(&self, connection: u64, end: ConnectionEnd);
 }
 
@@ -44,10 +45,10 @@
     write_queue: Rc<WriteQueue>,
     calls_in_flight: Cell<usize>,
     last_used: Cell<Instant>,
-    /// Whether it takes no new calls; it is closed when those in flight have ended.
+    /// Whether the connection takes no new calls. A retired connection is closed when its calls in flight have ended.
     retired: Cell<bool>,
-    /// Notified when the connection may have to be closed.
-    check_idle: Notify,
+    /// Notified when the connection may have become unneeded.
+    idle_check_requested: Notify,
 }
 
 impl Connection {
@@ -57,24 +58,25 @@
             calls_in_flight: Cell::new(0),
             last_used: Cell::new(Instant::now()),
             retired: Cell::new(false),
-            check_idle: Notify::default(),
+            idle_check_requested: Notify::default(),
         }
     }
 }
 
-/// All connections to the database.
+/// Pool of connections to the database.
 pub struct Database {
     address: Cell<SocketAddr>,
     max_connections: usize,
-    /// A connection is closed after this long without a call: otherwise the database would close it itself, and a call
-    /// sent at that moment would be lost.
+    /// How long a connection may be without a call before it is closed. The database closes idle connections itself
+    /// after a longer time, and a call sent at that moment would be lost.
     idle_timeout: Duration,
     connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
     last_number: Cell<u64>,
 }
 
 impl Database {
-    /// No connection yet. There are at most `max_connections`, each closed after `idle_timeout` without a call.
+    /// Creates a pool without open connections. The pool opens at most `max_connections` connections and closes each
+    /// after `idle_timeout` without a call.
     pub fn new(address: SocketAddr, max_connections: usize, idle_timeout: Duration) -> Database {
         Database {
             address: Cell::new(address),
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Sends new calls to this address. Calls in flight may finish on their connections.
+    /// Sends new calls to this address. Calls in flight may finish on their existing connections.
     pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             let numbers: Vec<u64> = self.connections.borrow().keys().copied().collect();
@@ -93,8 +95,8 @@
         }
     }
 
-    /// Sends a call on a connection other than those in `excluded`, and returns the connection's number. A call that
-    /// can't be handed to the system before `expires_at` is not sent.
+    /// Sends a call on a connection other than those in `excluded`, and returns the number of the connection. A call
+    /// that can't be handed to the operating system before `expires_at` is not sent.
     pub fn call<T: ReplyHandler + 'static>(
         self: &Rc<Self>,
         tasks: &Rc<LocalExecutor<'static>>,
@@ -103,9 +105,9 @@
         excluded: &[u64],
         expires_at: Option<Instant>,
     ) -> u64 {
-        let (number, connection) = match self.choose(excluded) {
-            Some(chosen) => chosen,
-            None => self.open(tasks, handler),
+        let (number, connection) = match self.select_connection(excluded) {
+            Some(selected) => selected,
+            None => self.open_connection(tasks, handler),
         };
         connection.last_used.set(Instant::now());
         connection.calls_in_flight.set(connection.calls_in_flight.get() + 1);
@@ -113,8 +115,9 @@
         number
     }
 
-    /// The connection with the fewest calls, among these the one used last; `None` if a new one must be opened.
-    fn choose(&self, excluded: &[u64]) -> Option<(u64, Rc<Connection>)> {
+    /// Returns the connection with the fewest calls in flight and, among equals, the one used most recently; `None` if
+    /// a new connection must be opened.
+    fn select_connection(&self, excluded: &[u64]) -> Option<(u64, Rc<Connection>)> {
         let connections = self.connections.borrow();
         let open = || connections.iter().filter(|(_, connection)| !connection.retired.get());
         let usable = open().filter(|(number, connection)| {
@@ -130,7 +133,7 @@
         if is_busy && may_open { None } else { Some((*number, connection.clone())) }
     }
 
-    fn open<T: ReplyHandler + 'static>(
+    fn open_connection<T: ReplyHandler + 'static>(
         self: &Rc<Self>,
         tasks: &Rc<LocalExecutor<'static>>,
         handler: &Rc<T>,
@@ -158,7 +161,7 @@
             && let Some(oldest) = connections.values().find(|connection| connection.retired.get())
         {
             oldest.calls_in_flight.set(0);
-            oldest.check_idle.notify();
+            oldest.idle_check_requested.notify();
         }
     }
 
@@ -168,36 +171,36 @@
             connection.calls_in_flight.set(connection.calls_in_flight.get().saturating_sub(1));
             connection.last_used.set(Instant::now());
             if connection.calls_in_flight.get() == 0 && connection.retired.get() {
-                connection.check_idle.notify();
+                connection.idle_check_requested.notify();
             }
         }
     }
 
-    /// Sends no further calls on this connection: a call on it timed out, or the address has changed.
+    /// Stops sending calls on this connection. Used when a call on the connection timed out or the address has changed.
     pub fn retire(&self, number: u64) {
         if let Some(connection) = self.connections.borrow().get(&number) {
             connection.retired.set(true);
             if connection.calls_in_flight.get() == 0 {
-                connection.check_idle.notify();
+                connection.idle_check_requested.notify();
             }
         }
     }
 
-    /// Sends a message on a connection, if there still is one under this number.
+    /// Sends a message on the connection with this number, if the connection still exists.
     pub fn send(&self, number: u64, message: &[u8]) {
         if let Some(connection) = self.connections.borrow().get(&number) {
             connection.write_queue.push(message);
         }
     }
 
-    /// The number of connections, including those being opened.
+    /// Returns the number of connections, including those being opened.
     pub fn count(&self) -> usize {
         self.connections.borrow().len()
     }
 }
 
 impl Connection {
-    /// Serves the connection until it ends, removes it, and reports the end.
+    /// Serves the connection until it ends, then removes it from the pool and reports the end to the handler.
     async fn run<T: ReplyHandler>(
         self: Rc<Self>,
         database: Rc<Database>,
@@ -233,17 +236,18 @@
             }
         };
         let write = self.write_queue.clone().spawn_writer(tasks, stream.clone());
-        let end = or(or(read, self.idle(idle_timeout)), write).await;
+        let end = or(or(read, self.wait_until_unneeded(idle_timeout)), write).await;
         self.classify_end(end)
     }
 
-    /// Waits until the connection is not needed any more.
-    async fn idle(&self, idle_timeout: Duration) -> ConnectionEnd {
+    /// Waits until the connection is not needed any more: no call is in flight, and the connection is retired or has
+    /// been without a call for `idle_timeout`.
+    async fn wait_until_unneeded(&self, idle_timeout: Duration) -> ConnectionEnd {
         loop {
             let timeout = async {
                 Timer::after(idle_timeout).await;
             };
-            or(self.check_idle.notified(), timeout).await;
+            or(self.idle_check_requested.notified(), timeout).await;
             let is_unneeded = self.retired.get() || self.last_used.get().elapsed() >= idle_timeout;
             if self.calls_in_flight.get() == 0 && is_unneeded {
                 return ConnectionEnd::Idle;
@@ -251,21 +255,22 @@
         }
     }
 
-    /// Distinguishes [`ConnectionEnd::Unsent`]: if no call was handed to the system, none can have had an effect.
+    /// Returns [`ConnectionEnd::Unsent`] if no call in flight was handed to the operating system, because then no call
+    /// can have had an effect. Other ends are returned as they are.
     fn classify_end(&self, end: ConnectionEnd) -> ConnectionEnd {
         let pending = self.write_queue.pending();
         let sent_none = pending > 0 && pending >= self.calls_in_flight.get();
         match end {
             ConnectionEnd::Idle => end,
             _ if sent_none => ConnectionEnd::Unsent,
-            // Some calls expired unsent, but not all that were on it.
+            // Some calls expired unsent, but other calls on the connection had been sent.
             ConnectionEnd::Unsent => ConnectionEnd::Truncated,
             _ => end,
         }
     }
 }
 
-/// Reads one reply. Waits for its first byte without a limit, then at most [`REPLY_TIMEOUT`] for the rest.
+/// Reads one reply. Waits for the first byte without a time limit, then at most [`REPLY_TIMEOUT`] for the rest.
 async fn read_reply<T: ReplyHandler>(
     source: &mut (impl AsyncBufRead + Unpin),
     handler: &T,
@@ -281,7 +286,7 @@
         };
         Ok((head, body))
     });
-    // Usually the whole reply is available, and no timer is needed.
+    // Usually the whole reply is available at once, so the timer is created only if the first poll is not ready.
     if let Some(reply) = poll_once(&mut reply).await {
         return reply;
     }
--- a/crates/hazelgrade-server/src/transport/executor.rs
+++ b/crates/hazelgrade-server/src/transport/executor.rs
@@ -1,4 +1,4 @@
-//! The link to the executor: one connection, opened again whenever it ends.
+//! The link to the executor: a single connection that is reopened whenever it ends.
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -14,41 +14,43 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The capacity of the write queue, in bytes.
+/// Capacity of the write queue of a link, in bytes.
 const WRITE_QUEUE_BYTES: usize = 4 * 1024 * 1024;
-/// The pause before the link is opened again.
+/// Pause before the link is reopened.
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
-/// How long a link to an old address waits for the executor's confirmation of everything sent on it. The executor keeps
-/// the link open for longer.
+/// How long a link to an old address waits for the executor to confirm everything that was sent on the link. The
+/// executor keeps the link open for longer.
 const OLD_LINK_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long a link may be without any answer after something was sent. After that it is replaced, and runs continue.
+/// Maximum time without any line from the executor after a line was sent. After that the link is replaced; runs
+/// continue.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Provides the first and last line on a link, and handles the lines received.
+/// Provides the first and the last line to send on a link, and handles the lines received from the executor.
 pub trait LinkHandler {
-    /// The first line on each new link.
+    /// Returns the first line to send on each new link.
     fn first_line(&self) -> String;
-    /// The last line on a link that is replaced because the address has changed.
+    /// Returns the last line to send on a link that is replaced because the address of the executor has changed.
     fn last_line(&self) -> String;
-    /// Handles a line; an error ends the link.
+    /// Handles a line received from the executor; an error ends the link.
     fn line(&self, line: &[u8]) -> Result<(), ConnectionEnd>;
-    /// The link has ended, or could not be opened.
+    /// Called when the link has ended or could not be opened.
     fn ended(&self, end: ConnectionEnd);
 }
 
 /// The link to the executor.
 pub struct ExecutorLink {
     address: Cell<SocketAddr>,
-    /// Where lines go while there is a link.
+    /// The write queue of the current link; `None` while lines are dropped.
     write_queue: RefCell<Option<Rc<WriteQueue>>>,
     address_changed: Notify,
     old_link_done: Notify,
-    /// When the first line was sent since the last line received.
+    /// When the first line that is not answered yet was sent; `None` if a line was received since the last line was
+    /// sent.
     unanswered_since: Cell<Option<Instant>>,
 }
 
 impl ExecutorLink {
-    /// A link to this address, which [`ExecutorLink::run`] opens.
+    /// Creates a link to this address without opening it; [`ExecutorLink::run`] opens it.
     pub fn new(address: SocketAddr) -> ExecutorLink {
         ExecutorLink {
             address: Cell::new(address),
@@ -59,24 +61,26 @@
         }
     }
 
-    /// Replaces the link by one to another address.
+    /// Replaces the link by a link to this address, if the address differs from the current one.
     pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.address_changed.notify();
         }
     }
 
-    /// Whether the link is established, as far as is known.
+    /// Returns whether lines can be sent, that is, whether a link is open and is not being replaced. A failure of the
+    /// link that has not been detected yet is not taken into account.
     pub fn is_up(&self) -> bool {
         self.write_queue.borrow().is_some()
     }
 
-    /// Ends the wait for the old link: the executor has confirmed everything that was sent on it.
+    /// Closes the link to the old address, because the executor has confirmed everything that was sent on that link.
     pub fn old_link_done(&self) {
         self.old_link_done.notify();
     }
 
-    /// Queues a line. While there is no link it is dropped, and its sender must send it again later.
+    /// Queues a line for the executor. While there is no link the line is dropped, and the caller must send it again
+    /// later.
     pub fn send(&self, line: &str) {
         if let Some(write_queue) = &*self.write_queue.borrow() {
             write_queue.push(line.as_bytes());
@@ -84,7 +88,7 @@
         }
     }
 
-    /// Keeps the link open until the future is dropped. Lines may have at most `max_line_bytes`.
+    /// Keeps the link open until the future is dropped. Received lines may have at most `max_line_bytes` bytes.
     pub async fn run(
         &self,
         tasks: &LocalExecutor<'static>,
@@ -118,10 +122,10 @@
         let write_queue = Rc::new(WriteQueue::new(WRITE_QUEUE_BYTES));
         write_queue.push(handler.first_line().as_bytes());
         *self.write_queue.borrow_mut() = Some(write_queue.clone());
-        let was_up = Cell::new(false);
-        let read = self.read_lines(&stream, max_line_bytes, handler, &was_up);
-        let moved = self.leave_for_new_address(address, &write_queue, handler);
-        let silent = self.detect_silence(&was_up);
+        let has_received = Cell::new(false);
+        let read = self.read_lines(&stream, max_line_bytes, handler, &has_received);
+        let moved = self.finish_on_address_change(address, &write_queue, handler);
+        let silent = self.detect_silence(&has_received);
         let write = write_queue.clone().spawn_writer(tasks, stream.clone());
         or(or(or(read, moved), silent), write).await
     }
@@ -131,7 +135,7 @@
         stream: &Async<TcpStream>,
         max_line_bytes: usize,
         handler: &impl LinkHandler,
-        was_up: &Cell<bool>,
+        has_received: &Cell<bool>,
     ) -> ConnectionEnd {
         let mut source = BufReader::new(stream);
         let mut line = Vec::new();
@@ -139,7 +143,7 @@
             if let Err(end) = read_line(&mut source, &mut line, max_line_bytes).await {
                 return end;
             }
-            was_up.set(true);
+            has_received.set(true);
             self.unanswered_since.set(None);
             if let Err(end) = handler.line(&line) {
                 return end;
@@ -147,8 +151,9 @@
         }
     }
 
-    /// Waits until the executor has another address, and then for the confirmation of everything sent on this link.
-    async fn leave_for_new_address(
+    /// Waits until the address of the executor changes, then until the executor has confirmed everything that was sent
+    /// on this link, for at most [`OLD_LINK_TIMEOUT`].
+    async fn finish_on_address_change(
         &self,
         address: SocketAddr,
         write_queue: &WriteQueue,
@@ -157,7 +162,7 @@
         while self.address.get() == address {
             self.address_changed.notified().await;
         }
-        // From now on lines are dropped, and sent again on the new link: none is sent on both.
+        // From here on lines are dropped and sent again on the new link, so that no line is sent on both links.
         *self.write_queue.borrow_mut() = None;
         write_queue.push(handler.last_line().as_bytes());
         let timeout = async {
@@ -167,12 +172,13 @@
         ConnectionEnd::Moved
     }
 
-    /// Waits until the executor has not answered for [`SILENCE_TIMEOUT`] on a link that has been up.
-    async fn detect_silence(&self, was_up: &Cell<bool>) -> ConnectionEnd {
+    /// Waits until a sent line has been unanswered for [`SILENCE_TIMEOUT`] on a link on which the executor has answered
+    /// before.
+    async fn detect_silence(&self, has_received: &Cell<bool>) -> ConnectionEnd {
         let is_silent = |since: Instant| since.elapsed() >= SILENCE_TIMEOUT;
         loop {
             Timer::after(SILENCE_TIMEOUT / 4).await;
-            if was_up.get() && self.unanswered_since.get().is_some_and(is_silent) {
+            if has_received.get() && self.unanswered_since.get().is_some_and(is_silent) {
                 return ConnectionEnd::TimedOut;
             }
         }
--- a/crates/hazelgrade-server/src/transport/listener.rs
+++ b/crates/hazelgrade-server/src/transport/listener.rs
@@ -1,4 +1,5 @@
-//! Accepts connections. At the limit on connections it evicts idle ones and waits; connections in use stay open.
+//! Accepts client connections. At the limit on connections the listener evicts idle connections and waits for free
+//! places; connections in use stay open.
 
 use super::clients::ClientConnections;
 use async_io::{Async, Timer};
@@ -7,19 +8,20 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Connections that the system may queue before they are accepted here.
+/// Maximum number of connections that the operating system queues until they are accepted.
 const BACKLOG: i32 = 1024;
-/// The pause before the next attempt at the limit on connections, or after an error.
+/// Pause before the next attempt to accept a connection, at the limit on connections or after an error.
 const RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Listens on `address`, even if connections of an earlier process remain there. Fails with the system's error.
+/// Listens on `address`, even if connections of an earlier process remain on that address. Fails with the error of the
+/// operating system.
 pub fn bind(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     let listener = Async::<TcpListener>::bind(address)?;
     rustix::net::listen(&listener, BACKLOG)?;
     Ok(listener)
 }
 
-/// Accepts connections and passes each to `on_stream`, until the future is dropped.
+/// Accepts connections and passes each to `on_stream`. Runs until the future is dropped.
 pub async fn accept<T: Clone + PartialEq>(
     listener: &Async<TcpListener>,
     connections: &ClientConnections<T>,
@@ -33,11 +35,11 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 on_stream(stream);
-                // Other tasks run between two accepts.
+                // Yields after each accepted connection, so that a burst of connections does not block other tasks.
                 yield_now().await;
             }
             Err(error) => {
-                tracing::debug!(%error, "accept failed");
+                tracing::debug!(%error, "accepting a client connection failed; trying again");
                 connections.evict_idle();
                 Timer::after(RETRY_DELAY).await;
             }
@@ -56,7 +58,9 @@
         match listener.get_ref().accept() {
             Ok((stream, _)) => match Async::new(stream) {
                 Ok(stream) => on_stream(stream),
-                Err(error) => tracing::warn!(%error, "accepted connection is unusable"),
+                Err(error) => {
+                    tracing::warn!(%error, "client connection dropped: registering the socket failed")
+                }
             },
             Err(error) => return error.kind() == io::ErrorKind::WouldBlock,
         }
--- a/crates/hazelgrade-server/src/transport/mod.rs
+++ b/crates/hazelgrade-server/src/transport/mod.rs
@@ -1,4 +1,5 @@
-//! Sockets: bytes, lines of bounded length, time limits, reconnects. This module does not interpret the bytes.
+//! Sockets: reading and writing bytes and lines of bounded length, time limits, and reconnects. This module does not
+//! interpret the contents of messages.
 
 pub mod clients;
 pub mod database;
--- a/crates/hazelgrade-server/src/transport/registry.rs
+++ b/crates/hazelgrade-server/src/transport/registry.rs
@@ -1,25 +1,28 @@
-//! Datagrams to the registry. Nothing here depends on whether it is up.
+//! Datagrams to the registry. Sending succeeds from the instance's point of view whether or not the registry is
+//! reachable.
 
 use async_io::Async;
 use std::cell::Cell;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 
-/// Sends datagrams to the registry. The socket is not connected, so that an unreachable registry neither prevents the
-/// start nor, after an error for one datagram, the next one.
+/// Sends datagrams to the registry. The socket is not connected: an unreachable registry then neither prevents the
+/// start of the instance nor makes the datagram after a failed one fail.
 pub struct Registry {
     socket: Async<UdpSocket>,
     address: Cell<SocketAddr>,
 }
 
 impl Registry {
-    /// Opens a socket of the family of `address`; fails with the system's error.
+    /// Opens a socket of the same address family as `address`. Fails with the error of the operating system.
     pub fn new(address: SocketAddr) -> io::Result<Registry> {
-        let any: SocketAddr = if address.is_ipv4() { ([0; 4], 0).into() } else { ([0u16; 8], 0).into() };
-        Ok(Registry { socket: Async::<UdpSocket>::bind(any)?, address: Cell::new(address) })
+        let unspecified: SocketAddr =
+            if address.is_ipv4() { ([0; 4], 0).into() } else { ([0u16; 8], 0).into() };
+        Ok(Registry { socket: Async::<UdpSocket>::bind(unspecified)?, address: Cell::new(address) })
     }
 
-    /// Sends to another address from now on. Returns `false` and changes nothing if its family is not the socket's.
+    /// Sends later datagrams to this address. Returns `false` and changes nothing if the family of the address differs
+    /// from the family of the socket.
     pub fn set_address(&self, address: SocketAddr) -> bool {
         let same_family = self.address.get().is_ipv4() == address.is_ipv4();
         if same_family {
@@ -28,10 +31,10 @@
         same_family
     }
 
-    /// Sends a datagram without waiting; it is dropped on any error.
+    /// Sends a datagram without waiting. The datagram is dropped on any error.
     pub fn send(&self, text: &str) {
         if let Err(error) = self.socket.get_ref().send_to(text.as_bytes(), self.address.get()) {
-            tracing::debug!(%error, "heartbeat not sent");
+            tracing::debug!(%error, "heartbeat to the registry dropped: sending the datagram failed");
         }
     }
 }
--- a/crates/hazelgrade-server/src/transport/tls.rs
+++ b/crates/hazelgrade-server/src/transport/tls.rs
@@ -1,5 +1,5 @@
-//! TLS on the connections of clients: handshakes bounded in number, time and bytes, and a configuration that is
-//! replaced while connections are open. Without a configuration, connections are plain.
+//! TLS on client connections. Handshakes are bounded in number, time and bytes, and the configuration can be replaced
+//! while connections are open. Without a configuration, connections are not encrypted.
 
 use async_channel::{Receiver, Sender, bounded};
 use async_io::{Async, Timer};
@@ -22,14 +22,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a handshake may take: as long as a message of a client. An ordinary one takes two round trips.
+/// Maximum duration of a handshake, the same as for a message from a client. An ordinary handshake takes two round
+/// trips.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An accepted connection.
+/// An accepted client connection.
 pub struct Accepted {
     /// The connection, encrypted if TLS is configured.
     pub stream: SplitStream,
-    /// The client's certificate, if it has sent one.
+    /// The client's certificate, if the client has sent one.
     pub certificate: Option<Rc<ClientCertificate>>,
 }
 
@@ -37,8 +38,8 @@
 pub struct Tls {
     config: RefCell<Option<Arc<ServerConfig>>>,
     handshakes: RefCell<HandshakeLimiter>,
-    /// Aborts the handshakes in progress.
-    aborts: RefCell<BTreeMap<HandshakeId, Sender<()>>>,
+    /// For each handshake in progress, the sender that aborts it.
+    abort_senders: RefCell<BTreeMap<HandshakeId, Sender<()>>>,
 }
 
 impl Default for Tls {
@@ -47,27 +48,28 @@
         Tls {
             config: RefCell::default(),
             handshakes: RefCell::new(HandshakeLimiter::new(MAX_HANDSHAKES, timeout)),
-            aborts: RefCell::default(),
+            abort_senders: RefCell::default(),
         }
     }
 }
 
 impl Tls {
-    /// Replaces the configuration for connections from now on. Open ones keep theirs, and earlier sessions can't be
-    /// resumed.
+    /// Replaces the configuration for new connections. Open connections keep theirs, and sessions of earlier
+    /// connections can't be resumed.
     pub fn replace(&self, config: Arc<ServerConfig>) {
         self.config.replace(Some(config));
     }
 
-    /// Handshakes that failed or were aborted, since the start.
+    /// Returns the number of handshakes that failed or were aborted since the start.
     pub fn failed_handshakes(&self) -> u64 {
         self.handshakes.borrow().ended_early()
     }
 
     /// Performs the handshake, if TLS is configured.
     ///
-    /// Ends with [`ConnectionEnd::TimedOut`] past the time limit or when the handshake was aborted for another, with
-    /// [`ConnectionEnd::Malformed`] for a certificate that can't be parsed, and as the connection ends otherwise.
+    /// Fails with [`ConnectionEnd::TimedOut`] if the handshake exceeded the time limit or was aborted in favour of
+    /// another, with [`ConnectionEnd::Malformed`] if the client's certificate can't be parsed, and otherwise with the
+    /// reason why the connection ended.
     pub async fn accept(&self, stream: Async<TcpStream>, now: Time) -> Result<Accepted, ConnectionEnd> {
         let Some(config) = self.config.borrow().clone() else {
             return Ok(Accepted { stream: SplitStream::plain(stream), certificate: None });
@@ -84,21 +86,22 @@
         Ok(Accepted { stream, certificate })
     }
 
-    /// Adds a handshake. With too many in progress the slowest is aborted. The receiver is notified when this one is
-    /// aborted.
+    /// Registers a new handshake. If too many handshakes are in progress, the oldest is aborted. The returned receiver
+    /// is notified when the new handshake is aborted.
     fn begin_handshake(&self, now: Time) -> (HandshakeGuard<'_>, Receiver<()>) {
         let StartedHandshake { id, evicted, .. } = self.handshakes.borrow_mut().begin(now);
         let (abort, aborted) = bounded(1);
-        self.aborts.borrow_mut().insert(id, abort);
-        if let Some(slowest) = evicted.and_then(|slowest| self.aborts.borrow_mut().remove(&slowest)) {
-            // Full or closed means that it has ended already.
-            let _ = slowest.try_send(());
+        self.abort_senders.borrow_mut().insert(id, abort);
+        if let Some(oldest) = evicted.and_then(|oldest| self.abort_senders.borrow_mut().remove(&oldest)) {
+            // The send fails only if the channel is full or closed, that is, if the handshake is already aborted or
+            // ended.
+            let _ = oldest.try_send(());
         }
         (HandshakeGuard { tls: self, id, succeeded: false }, aborted)
     }
 }
 
-/// A handshake in progress; it ends when this is dropped.
+/// Guard of a handshake in progress. Dropping the guard records the end of the handshake.
 struct HandshakeGuard<'a> {
     tls: &'a Tls,
     id: HandshakeId,
@@ -108,7 +111,7 @@
 impl Drop for HandshakeGuard<'_> {
     fn drop(&mut self) {
         self.tls.handshakes.borrow_mut().finish(self.id, self.succeeded);
-        self.tls.aborts.borrow_mut().remove(&self.id);
+        self.tls.abort_senders.borrow_mut().remove(&self.id);
     }
 }
 
@@ -140,7 +143,7 @@
     match certificate::read_certificate(der) {
         Ok(certificate) => Ok(Some(Rc::new(certificate))),
         Err(error) => {
-            tracing::warn!(%error, "malformed client certificate");
+            tracing::warn!(%error, "connection closed: the client certificate can't be parsed");
             Err(ConnectionEnd::Malformed)
         }
     }
