--- a/crates/hazelgrade-server/tests/instance/common.rs
+++ b/crates/hazelgrade-server/tests/instance/common.rs
@@ -1,4 +1,5 @@
-//! The service instance as a process, with fakes on loopback for all that it talks to.
+//! Runs the service instance as a process, with fakes on loopback addresses for the executor, the registry, the
+//! database and the clients.
 
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -26,7 +27,7 @@
     })
 }
 
-/// A process and its configuration. The fakes listen before it starts.
+/// An instance process, its configuration and its fakes. The fakes listen before the process starts.
 pub struct Instance {
     child: Child,
     file: PathBuf,
@@ -37,8 +38,9 @@
     configuration: Value,
 }
 
-/// An address that nothing else of these tests uses: each has a loopback host of its own. It isn't bound to check that:
-/// a process that is being started in another thread would hold it for a moment longer.
+/// Returns an address that no other test uses, with a loopback host of its own. The address isn't bound here to check
+/// that it is free: a process that another thread is starting would inherit the socket and keep it open for a moment
+/// longer.
 pub fn free_address() -> SocketAddr {
     static HOSTS: AtomicU32 = AtomicU32::new(2);
     let host = HOSTS.fetch_add(1, Ordering::Relaxed).to_be_bytes();
@@ -46,23 +48,23 @@
     SocketAddr::from(([127, process[2], process[3], host[3]], 9090))
 }
 
-/// Writes a configuration and gives the path to it.
+/// Writes a configuration file and returns its path.
 pub fn write(text: &str) -> PathBuf {
     static FILES: AtomicU32 = AtomicU32::new(0);
     let name = format!("hazelgrade-{}-{}.json", std::process::id(), FILES.fetch_add(1, Ordering::Relaxed));
     let path = std::env::temp_dir().join(name);
-    std::fs::write(&path, text).expect("a file");
+    std::fs::write(&path, text).expect("write the configuration file");
     path
 }
 
-pub fn command(words: &[&str]) -> Command {
+pub fn command(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hazelgrade"));
-    command.args(words).env_remove("PROXY_CONFIG").stdin(Stdio::null());
+    command.args(args).env_remove("PROXY_CONFIG").stdin(Stdio::null());
     command
 }
 
-pub fn run(words: &[&str]) -> Output {
-    command(words).output().expect("it starts")
+pub fn run(args: &[&str]) -> Output {
+    command(args).output().expect("start the hazelgrade process")
 }
 
 impl Instance {
@@ -71,16 +73,16 @@
     }
 
     pub fn start_with(change: impl FnOnce(&mut Value)) -> Instance {
-        let bind = || TcpListener::bind("127.0.0.1:0").expect("a port");
+        let bind = || TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
         let (executor, database) = (bind(), bind());
-        let registry = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        registry.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+        let registry = UdpSocket::bind("127.0.0.1:0").expect("bind to a free port");
+        registry.set_read_timeout(Some(TIMEOUT)).expect("set the read timeout");
         let listen = free_address();
         let mut configuration = json!({
             "name": "n1", "listen": listen.to_string(), "seed": "00000000000000ff", "stop_ms": 1500,
-            "executor": executor.local_addr().expect("bound").to_string(),
-            "registry": registry.local_addr().expect("bound").to_string(),
-            "db": database.local_addr().expect("bound").to_string(),
+            "executor": executor.local_addr().expect("read the local address").to_string(),
+            "registry": registry.local_addr().expect("read the local address").to_string(),
+            "db": database.local_addr().expect("read the local address").to_string(),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings()
         });
         change(&mut configuration);
@@ -90,7 +92,10 @@
     }
 
     fn spawn(file: &PathBuf) -> Child {
-        command(&["serve", "--log", "warn"]).env("PROXY_CONFIG", file).spawn().expect("it starts")
+        command(&["serve", "--log", "warn"])
+            .env("PROXY_CONFIG", file)
+            .spawn()
+            .expect("start the hazelgrade process")
     }
 
     pub fn process(&self) -> u32 {
@@ -101,7 +106,7 @@
         self.configuration.to_string()
     }
 
-    /// Kills it, and starts it again under its name and address.
+    /// Kills the process and starts another one with the same name and address.
     pub fn start_again(&mut self) {
         self.kill();
         self.child = Instance::spawn(&self.file);
@@ -112,7 +117,7 @@
         let _ = self.child.wait();
     }
 
-    /// Changes the configuration file and has it read again.
+    /// Changes the configuration file and makes the process read the file again.
     pub fn reload(&mut self, change: impl FnOnce(&mut Value)) {
         change(&mut self.configuration);
         self.reload_text(&self.configuration.to_string());
@@ -120,21 +125,22 @@
 
     pub fn reload_text(&self, text: &str) {
         let next = self.file.with_extension("next");
-        std::fs::write(&next, text).expect("a file");
-        std::fs::rename(&next, &self.file).expect("a file");
+        std::fs::write(&next, text).expect("write the new configuration file");
+        std::fs::rename(&next, &self.file).expect("replace the configuration file");
         self.signal("HUP");
     }
 
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([&format!("-{name}"), &id]).status().expect("kill runs").success());
+        assert!(Command::new("kill").args([&format!("-{name}"), &id]).status().expect("run kill").success());
     }
 
-    /// The exit code, once it has ended by itself.
+    /// Waits for the process to exit by itself and returns its exit code; `None` if the process is still running after
+    /// [`TIMEOUT`].
     pub fn exit_code(&mut self) -> Option<i32> {
-        let by = Instant::now() + TIMEOUT;
-        while Instant::now() < by {
-            if let Some(status) = self.child.try_wait().expect("a child") {
+        let deadline = Instant::now() + TIMEOUT;
+        while Instant::now() < deadline {
+            if let Some(status) = self.child.try_wait().expect("query the child process") {
                 return status.code();
             }
             std::thread::sleep(Duration::from_millis(5));
@@ -143,25 +149,25 @@
     }
 
     pub fn client(&self) -> Peer {
-        let by = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             match TcpStream::connect(self.listen) {
                 Ok(stream) => return Peer::of(stream),
-                Err(error) if Instant::now() >= by => panic!("{error}"),
+                Err(error) if Instant::now() >= deadline => panic!("{error}"),
                 Err(_) => std::thread::sleep(Duration::from_millis(5)),
             }
         }
     }
 
-    /// Accepts the link: gives it, and the cursor that the process sent.
+    /// Accepts the link to the executor. Returns the link and the cursor that the process sent.
     pub fn link(&self) -> (Peer, u64) {
         let mut link = Peer::accept(&self.executor);
         let join = link.receive();
         assert_eq!(join["event"], "JOIN");
-        (link, join["cursor"].as_u64().expect("a number"))
+        (link, join["cursor"].as_u64().expect("the cursor is a number"))
     }
 
-    /// Started, its executor up: the link and a client.
+    /// Accepts the link, reports the executor as up, and connects a client. Returns the link and the client.
     pub fn ready(&self) -> (Peer, Peer) {
         let (mut link, cursor) = self.link();
         assert_eq!(cursor, 0);
@@ -170,7 +176,8 @@
     }
 }
 
-/// The run of a job makes its first call, the reply to it is confirmed, and the link ends.
+/// Lets the run of a job make its first call and receive the reply, waits until the instance has processed the
+/// confirmation of the reply, and ends the link.
 pub fn replied_before_the_link_ends<'a>(
     instance: &'a Instance,
     mut link: Peer,
@@ -178,10 +185,10 @@
 ) -> DatabaseConnections<'a> {
     link.send(&json!({"event": "CALLOUT", "cursor": 1, "handle": id, "arg": "cXVlcnk="}));
     let mut database_connections = DatabaseConnections::of(&instance.database);
-    let place = database_connections.call(id);
-    database_connections.reply(place, &format!("{id} ROWS 0\r\n\r\n"));
+    let index = database_connections.call(id);
+    database_connections.reply(index, &format!("{id} ROWS 0\r\n\r\n"));
     assert_eq!(link.command()["event"], "RETURN");
-    // Two requests for gauges, answered after it, confirm that it arrived.
+    // The answers to two later requests for gauges confirm to the instance that the reply arrived.
     link.answer_gauges(2);
     std::thread::sleep(Duration::from_millis(20));
     database_connections
@@ -194,7 +201,7 @@
     }
 }
 
-/// The connections to the database, at its end.
+/// The database's ends of the connections from the instance.
 pub struct DatabaseConnections<'a> {
     listener: &'a TcpListener,
     pub peers: Vec<Peer>,
@@ -205,59 +212,64 @@
         DatabaseConnections { listener, peers: Vec::new() }
     }
 
-    /// Receives the call of this job on any connection: gives the index of that.
+    /// Receives the call of this job on any connection. Returns the index of the connection.
     pub fn call(&mut self, id: &str) -> usize {
-        self.listener.set_nonblocking(true).expect("a socket");
-        let by = Instant::now() + TIMEOUT;
+        self.listener.set_nonblocking(true).expect("set the blocking mode of the socket");
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             while let Ok((stream, _)) = self.listener.accept() {
                 self.peers.push(Peer::of(stream));
             }
-            for (place, peer) in self.peers.iter_mut().enumerate() {
-                peer.stream().set_nonblocking(true).expect("a socket");
-                let some = matches!(peer.reader.fill_buf(), Ok(bytes) if !bytes.is_empty());
-                peer.stream().set_nonblocking(false).expect("a socket");
-                if some {
+            for (index, peer) in self.peers.iter_mut().enumerate() {
+                peer.stream().set_nonblocking(true).expect("set the blocking mode of the socket");
+                let has_data = matches!(peer.reader.fill_buf(), Ok(bytes) if !bytes.is_empty());
+                peer.stream().set_nonblocking(false).expect("set the blocking mode of the socket");
+                if has_data {
                     let line = peer.receive_line();
                     let words: Vec<&str> = line.trim_end().split(' ').collect();
                     if words[0] == "Q" {
                         assert_eq!((words[1], words[3]), (id, "5"), "{line}");
                         assert_eq!(peer.bytes(7), b"query\r\n");
-                        return place;
+                        return index;
                     }
                 }
             }
-            assert!(Instant::now() < by, "no call in time");
+            assert!(
+                Instant::now() < deadline,
+                "the database received no call of job {id} within {TIMEOUT:?}"
+            );
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 
-    pub fn reply(&mut self, place: usize, text: &str) {
-        self.peers[place].write(text);
+    pub fn reply(&mut self, index: usize, text: &str) {
+        self.peers[index].write(text);
     }
 }
 
-/// One end of a connection, line by line.
+/// The test's end of a connection, which sends and receives lines.
 pub struct Peer {
     reader: BufReader<TcpStream>,
 }
 
 impl Peer {
     pub fn of(stream: TcpStream) -> Peer {
-        stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("set the read timeout");
         Peer { reader: BufReader::new(stream) }
     }
 
     pub fn accept(listener: &TcpListener) -> Peer {
-        listener.set_nonblocking(true).expect("a socket");
-        let by = Instant::now() + TIMEOUT;
+        listener.set_nonblocking(true).expect("set the blocking mode of the socket");
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             match listener.accept() {
                 Ok((stream, _)) => {
-                    stream.set_nonblocking(false).expect("a socket");
+                    stream.set_nonblocking(false).expect("set the blocking mode of the socket");
                     return Peer::of(stream);
                 }
-                Err(error) if Instant::now() >= by => panic!("no connection in time: {error}"),
+                Err(error) if Instant::now() >= deadline => {
+                    panic!("no connection within {TIMEOUT:?}: {error}")
+                }
                 Err(_) => std::thread::sleep(Duration::from_millis(2)),
             }
         }
@@ -272,7 +284,7 @@
     }
 
     pub fn write(&mut self, text: &str) {
-        self.stream().write_all(text.as_bytes()).expect("it takes bytes");
+        self.stream().write_all(text.as_bytes()).expect("write to the connection");
     }
 
     pub fn send(&mut self, message: &Value) {
@@ -281,7 +293,7 @@
 
     pub fn receive_line(&mut self) -> String {
         let mut line = String::new();
-        self.reader.read_line(&mut line).expect("a line in time");
+        self.reader.read_line(&mut line).expect("receive a line within the timeout");
         line
     }
 
@@ -290,49 +302,51 @@
         serde_json::from_str(&line).unwrap_or_else(|_| panic!("not JSON: {line:?}"))
     }
 
-    /// Receives the command to cancel a run, well before the deadline of its job.
+    /// Returns whether the next command cancels the run of this job and arrives within 1 s, well before the deadline of
+    /// the job.
     pub fn receives_cancel(&mut self, id: &str) -> bool {
-        let began = Instant::now();
-        self.command() == json!({"event": "KILL", "handle": id}) && began.elapsed() < Duration::from_secs(1)
+        let started_at = Instant::now();
+        self.command() == json!({"event": "KILL", "handle": id})
+            && started_at.elapsed() < Duration::from_secs(1)
     }
 
-    /// The next command that is no request for gauges; these are answered.
+    /// Returns the next command that is not a request for gauges. Requests for gauges are answered.
     pub fn command(&mut self) -> Value {
-        let by = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + TIMEOUT;
         loop {
             let received = self.receive();
             if received["event"] != "METER" {
                 return received;
             }
-            assert!(Instant::now() < by, "nothing but requests for gauges");
-            self.gauges(&received);
+            assert!(Instant::now() < deadline, "received only requests for gauges within {TIMEOUT:?}");
+            self.answer_gauge_request(&received);
         }
     }
 
-    fn gauges(&mut self, asked: &Value) {
-        self.send(&json!({"event": "METERS", "ticket": asked["ticket"], "figures": [3, 0.5]}));
+    fn answer_gauge_request(&mut self, request: &Value) {
+        self.send(&json!({"event": "METERS", "ticket": request["ticket"], "figures": [3, 0.5]}));
     }
 
-    /// Answers so many requests for gauges; nothing else may come before.
+    /// Answers `count` requests for gauges. Panics if another command arrives before the last of them.
     pub fn answer_gauges(&mut self, count: usize) {
         for _ in 0..count {
             let received = self.receive();
             assert_eq!(received["event"], "METER", "{received}");
-            self.gauges(&received);
+            self.answer_gauge_request(&received);
         }
     }
 
     pub fn bytes(&mut self, count: usize) -> Vec<u8> {
         let mut bytes = vec![0; count];
-        self.reader.read_exact(&mut bytes).expect("bytes in time");
+        self.reader.read_exact(&mut bytes).expect("receive all bytes within the timeout");
         bytes
     }
 
-    /// Nothing comes for a while.
+    /// Returns whether no byte arrives within 150 ms.
     pub fn is_silent(&mut self) -> bool {
-        self.stream().set_read_timeout(Some(Duration::from_millis(150))).expect("a time-out");
+        self.stream().set_read_timeout(Some(Duration::from_millis(150))).expect("set the read timeout");
         let silent = self.reader.fill_buf().is_err();
-        self.stream().set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+        self.stream().set_read_timeout(Some(TIMEOUT)).expect("set the read timeout");
         silent
     }
 
@@ -340,7 +354,7 @@
         matches!(self.reader.fill_buf(), Ok([]))
     }
 
-    /// Sends a health check and gives its answer.
+    /// Sends a health check and returns the answer.
     pub fn check(&mut self, call: u64) -> Value {
         self.send(&json!({"jsonrpc": "2.0", "id": call, "method": "ping"}));
         self.receive()
@@ -348,7 +362,7 @@
 }
 
 pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("the system time is after 1970").as_millis() as u64
 }
 
 pub fn job(call: u64, job_class: &str, id: &str) -> Value {
--- a/crates/hazelgrade-server/tests/instance/crossings.rs
+++ b/crates/hazelgrade-server/tests/instance/crossings.rs
@@ -1,4 +1,5 @@
-//! Events that happen at the same moment: each test forces a crossing that `docs/design/crossings.md` names.
+//! Events that happen at the same moment. Each test forces one of the crossings that `docs/design/crossings.md`
+//! describes.
 
 use crate::common::*;
 use async_executor::LocalExecutor;
@@ -18,7 +19,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-fn ended(cursor: u64, id: &str, fate: &str) -> Value {
+fn run_ended(cursor: u64, id: &str, fate: &str) -> Value {
     json!({"event": "EXIT", "cursor": cursor, "handle": id, "fate": fate, "lasted": 9, "arg": "b25l"})
 }
 
@@ -26,24 +27,24 @@
     json!({"event": "WELCOME", "fate": "old", "lasted": 5})
 }
 
-/// Runs a job of this client and answers it.
+/// Sends a job from this client, ends its run with success, and receives the answer.
 fn serve_job(link: &mut Peer, client: &mut Peer, cursor: u64, id: &str) {
     client.send(&job(800 + cursor, "read", id));
     assert_eq!(link.command()["handle"], id);
-    link.send(&ended(cursor, id, "good"));
+    link.send(&run_ended(cursor, id, "good"));
     assert_eq!(client.receive()["result"]["body"], "b25l");
 }
 
-/// Longer than a message may be on its way.
+/// Longer than the idle time after which a connection may be evicted.
 const IDLE: Duration = Duration::from_millis(300);
 
-/// The table of connections without a process: the near ends, and the lines they received.
+/// The table of client connections without an instance process, and the lines received on the connections.
 struct ConnectionHarness {
     tasks: Rc<LocalExecutor<'static>>,
     clients: Rc<ClientConnections<u64>>,
-    lines: Rc<RefCell<Vec<String>>>,
-    /// The near end of the connection that sent something last.
-    last: Rc<RefCell<Option<Rc<ClientConnection<u64>>>>>,
+    received_lines: Rc<RefCell<Vec<String>>>,
+    /// The connection on which the last line was received.
+    last_connection: Rc<RefCell<Option<Rc<ClientConnection<u64>>>>>,
 }
 
 impl ConnectionHarness {
@@ -51,22 +52,24 @@
         ConnectionHarness {
             tasks: Rc::new(LocalExecutor::new()),
             clients: Rc::new(ClientConnections::new(4)),
-            lines: Rc::default(),
-            last: Rc::default(),
+            received_lines: Rc::default(),
+            last_connection: Rc::default(),
         }
     }
 
     fn connect(&self) -> TcpStream {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let far = TcpStream::connect(listener.local_addr().expect("bound")).expect("accepted");
-        let near = Async::new(listener.accept().expect("connected").0).expect("a socket");
-        let (tasks, clients, lines) = (self.tasks.clone(), self.clients.clone(), self.lines.clone());
-        let last = self.last.clone();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+        let peer = TcpStream::connect(listener.local_addr().expect("read the local address"))
+            .expect("connect to the listener");
+        let stream =
+            Async::new(listener.accept().expect("accept the connection").0).expect("set up the socket");
+        let (tasks, clients) = (self.tasks.clone(), self.clients.clone());
+        let (lines, last_connection) = (self.received_lines.clone(), self.last_connection.clone());
         let accepting = clients.accepted();
         let serve = async move {
             let on_line = async |client: &Rc<ClientConnection<u64>>, line: &[u8]| {
                 lines.borrow_mut().push(String::from_utf8_lossy(line).trim_end().to_owned());
-                last.replace(Some(client.clone()));
+                last_connection.replace(Some(client.clone()));
                 match line {
                     b"wait\n" => std::future::pending().await,
                     b"check\n" => client.count_health_check(),
@@ -75,74 +78,76 @@
                 }
                 client.send("answer\n");
             };
-            clients.serve(&tasks, accepting, SplitStream::plain(near), 1000, on_line, |_| None).await;
+            clients.serve(&tasks, accepting, SplitStream::plain(stream), 1000, on_line, |_| None).await;
         };
         self.tasks.spawn(serve).detach();
-        far.set_nonblocking(true).expect("a socket");
-        far
+        peer.set_nonblocking(true).expect("set up the socket");
+        peer
     }
 
     fn lines(&self) -> Vec<String> {
-        self.lines.borrow().clone()
+        self.received_lines.borrow().clone()
     }
 
-    /// Sends a line and receives its answer, so many times.
-    async fn ask(&self, mut far: &TcpStream, line: &str, times: usize) {
+    /// Sends a line and receives the answer, `times` times.
+    async fn request(&self, mut peer: &TcpStream, line: &str, times: usize) {
         for _ in 0..times {
-            far.write_all(line.as_bytes()).expect("it is open");
-            wait_until(|| read(far).is_ok_and(|bytes| bytes == b"answer\n")).await;
+            peer.write_all(line.as_bytes()).expect("the connection is open");
+            wait_until(|| read(peer).is_ok_and(|bytes| bytes == b"answer\n")).await;
         }
     }
 
-    /// Makes room once, and gives the indexes of those that were closed for it.
-    async fn ended(&self, of: &[&TcpStream]) -> Vec<usize> {
+    /// Evicts idle connections once and returns the indexes of the peers whose connections were closed.
+    async fn evict_and_list_closed(&self, peers: &[&TcpStream]) -> Vec<usize> {
         self.clients.evict_idle();
-        // No time passes here but what the tasks take to run.
+        // Yields instead of sleeping, so that no time limit passes while the tasks run.
         for _ in 0..200 {
             yield_now().await;
         }
-        (0..of.len()).filter(|at| read(of[*at]) == Ok(Vec::new())).collect()
+        (0..peers.len()).filter(|index| read(peers[*index]) == Ok(Vec::new())).collect()
     }
 }
 
 /// Lets other tasks run until a condition holds.
-async fn wait_until(mut so: impl FnMut() -> bool) {
-    let by = Instant::now() + TIMEOUT;
-    while !so() {
-        assert!(Instant::now() < by, "not in time");
+async fn wait_until(mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "the condition did not hold within {TIMEOUT:?}");
         Timer::after(Duration::from_millis(1)).await;
     }
 }
 
-fn read(mut far: &TcpStream) -> Result<Vec<u8>, ErrorKind> {
+/// Reads the bytes that are available; an empty result is the end of the stream.
+fn read(mut peer: &TcpStream) -> Result<Vec<u8>, ErrorKind> {
     let mut bytes = [0; 100];
-    far.read(&mut bytes).map(|count| bytes[..count].to_vec()).map_err(|error| error.kind())
+    peer.read(&mut bytes).map(|count| bytes[..count].to_vec()).map_err(|error| error.kind())
 }
 
 #[test]
 fn a_request_sent_before_an_idle_close_is_served_and_one_sent_after_it_never_is() {
     let harness = ConnectionHarness::new();
     block_on(harness.tasks.run(async {
-        let mut far = harness.connect();
+        let mut peer = harness.connect();
         Timer::after(IDLE).await;
-        // The message is with the system as the close is asked for; the reader has not been woken yet.
-        far.write_all(b"early\n").expect("it is open");
+        // When the close is requested, the message is in the system's receive buffer and the reader has not been woken
+        // yet.
+        peer.write_all(b"early\n").expect("the connection is open");
         harness.clients.evict_idle();
-        wait_until(|| read(&far).is_ok_and(|bytes| bytes == b"answer\n")).await;
+        wait_until(|| read(&peer).is_ok_and(|bytes| bytes == b"answer\n")).await;
         assert_eq!(harness.lines(), ["early"]);
         Timer::after(IDLE).await;
         harness.clients.evict_idle();
-        wait_until(|| read(&far) == Ok(Vec::new())).await;
-        // Half-closed: what crosses is read and dropped, and resets nothing.
+        wait_until(|| read(&peer) == Ok(Vec::new())).await;
+        // After the half-close, late messages are read and dropped, and the connection is not reset.
         for line in [b"late\n", b"last\n"] {
-            far.write_all(line).expect("it is still read");
+            peer.write_all(line).expect("the connection is still read");
             for _ in 0..100 {
                 yield_now().await;
             }
         }
-        assert_eq!((read(&far), harness.lines()), (Ok(Vec::new()), vec!["early".to_owned()]));
+        assert_eq!((read(&peer), harness.lines()), (Ok(Vec::new()), vec!["early".to_owned()]));
         assert_eq!(harness.clients.count(), 1);
-        drop(far);
+        drop(peer);
         wait_until(|| harness.clients.count() == 0).await;
     }));
 }
@@ -154,8 +159,8 @@
         let idle = [harness.connect(), harness.connect()];
         Timer::after(IDLE).await;
         harness.clients.evict_idle();
-        wait_until(|| idle.iter().all(|far| read(far) == Ok(Vec::new()))).await;
-        // No time passes here but what the tasks take to run.
+        wait_until(|| idle.iter().all(|peer| read(peer) == Ok(Vec::new()))).await;
+        // Yields instead of sleeping, so that no time limit passes while the tasks run.
         harness.clients.evict_idle();
         for _ in 0..100 {
             yield_now().await;
@@ -168,35 +173,37 @@
     }));
 }
 
-/// Found by the sockets' rude day: with a table full of connections that had asked for one health check and stayed,
-/// eviction waited as long as any other connection was young, so that four were accepted a second and the system's
-/// queue was lost.
+/// Guards against stalled eviction when the table is full of connections that requested one health check and stayed
+/// open. Eviction used to wait as long as any other connection had been used recently; then only four connections per
+/// second were accepted, and the connections in the system's queue were lost.
 #[test]
 fn connections_with_one_health_check_are_evicted_at_once_and_those_with_repeated_checks_after_them() {
     let harness = ConnectionHarness::new();
     block_on(harness.tasks.run(async {
-        let (health, proved) = (harness.connect(), harness.connect());
-        let stay = [harness.connect(), harness.connect()];
-        harness.ask(&health, "check\n", 2).await;
-        harness.ask(&proved, "job\n", 1).await;
-        for far in &stay {
-            harness.ask(far, "check\n", 1).await;
+        let (monitor, trusted) = (harness.connect(), harness.connect());
+        let checked_once = [harness.connect(), harness.connect()];
+        harness.request(&monitor, "check\n", 2).await;
+        harness.request(&trusted, "job\n", 1).await;
+        for peer in &checked_once {
+            harness.request(peer, "check\n", 1).await;
         }
         Timer::after(IDLE).await;
-        let young = harness.connect();
-        harness.ask(&young, "hello\n", 1).await;
-        let ended = harness.ended(&[&stay[0], &stay[1], &health, &proved, &young]).await;
-        assert_eq!(ended, [0, 1]);
-        // The rest is evicted one by one, trusted ones last, and only once none is too young.
-        drop(stay);
+        let recent = harness.connect();
+        harness.request(&recent, "hello\n", 1).await;
+        let closed = harness
+            .evict_and_list_closed(&[&checked_once[0], &checked_once[1], &monitor, &trusted, &recent])
+            .await;
+        assert_eq!(closed, [0, 1]);
+        // The other connections are evicted one by one, trusted ones last, and only once none was used recently.
+        drop(checked_once);
         wait_until(|| harness.clients.count() == 3).await;
-        assert_eq!(harness.ended(&[&health, &proved, &young]).await, [0; 0]);
-        drop(young);
+        assert_eq!(harness.evict_and_list_closed(&[&monitor, &trusted, &recent]).await, [0; 0]);
+        drop(recent);
         wait_until(|| harness.clients.count() == 2).await;
-        assert_eq!(harness.ended(&[&health, &proved]).await, [0]);
-        drop(health);
+        assert_eq!(harness.evict_and_list_closed(&[&monitor, &trusted]).await, [0]);
+        drop(monitor);
         wait_until(|| harness.clients.count() == 1).await;
-        assert_eq!(harness.ended(&[&proved]).await, [0]);
+        assert_eq!(harness.evict_and_list_closed(&[&trusted]).await, [0]);
     }));
 }
 
@@ -204,15 +211,15 @@
 fn a_flood_of_repeated_health_checks_is_evicted_without_waiting_for_younger_connections() {
     let harness = ConnectionHarness::new();
     block_on(harness.tasks.run(async {
-        let crowd: Vec<_> = (0..17).map(|_| harness.connect()).collect();
-        for (at, far) in crowd.iter().enumerate() {
-            harness.ask(far, "check\n", if at == 0 { 4 } else { 2 }).await;
+        let monitors: Vec<_> = (0..17).map(|_| harness.connect()).collect();
+        for (index, peer) in monitors.iter().enumerate() {
+            harness.request(peer, "check\n", if index == 0 { 4 } else { 2 }).await;
         }
         Timer::after(IDLE).await;
-        let _young = harness.connect();
-        let all: Vec<_> = crowd.iter().collect();
-        // The one with the most health checks goes last.
-        assert_eq!(harness.ended(&all).await, (1..17).collect::<Vec<_>>());
+        let _recent = harness.connect();
+        let all: Vec<_> = monitors.iter().collect();
+        // The connection with the most health checks is evicted last.
+        assert_eq!(harness.evict_and_list_closed(&all).await, (1..17).collect::<Vec<_>>());
     }));
 }
 
@@ -220,12 +227,12 @@
 fn a_trusted_connection_is_not_evicted_while_a_message_of_it_is_incomplete() {
     let harness = ConnectionHarness::new();
     block_on(harness.tasks.run(async {
-        let far = harness.connect();
-        // In one write, so that the beginning of the second is read with the first.
-        harness.ask(&far, "job\njo", 1).await;
+        let peer = harness.connect();
+        // One write contains a whole message and the beginning of the next, so that both are read together.
+        harness.request(&peer, "job\njo", 1).await;
         Timer::after(IDLE).await;
-        assert_eq!(harness.ended(&[&far]).await, [0; 0]);
-        harness.ask(&far, "b\n", 1).await;
+        assert_eq!(harness.evict_and_list_closed(&[&peer]).await, [0; 0]);
+        harness.request(&peer, "b\n", 1).await;
         assert_eq!(harness.lines(), ["job", "job"]);
     }));
 }
@@ -234,11 +241,11 @@
 fn a_message_that_was_read_and_is_not_handled_yet_keeps_its_connection_open() {
     let harness = ConnectionHarness::new();
     block_on(harness.tasks.run(async {
-        let mut far = harness.connect();
+        let mut peer = harness.connect();
         Timer::after(IDLE).await;
-        // Two in one write: the second is in the buffer while the first is handled.
-        far.write_all(b"one\ntwo\n").expect("it is open");
-        let lines = harness.lines.clone();
+        // One write contains both messages, so that the second is in the read buffer while the first is handled.
+        peer.write_all(b"one\ntwo\n").expect("the connection is open");
+        let lines = harness.received_lines.clone();
         wait_until(|| {
             harness.clients.evict_idle();
             harness.clients.close_idle();
@@ -253,16 +260,16 @@
 fn a_message_being_handled_and_a_connection_being_accepted_are_not_idle() {
     let harness = ConnectionHarness::new();
     block_on(harness.tasks.run(async {
-        let mut far = harness.connect();
-        assert!(!harness.clients.all_idle(), "it is being accepted");
+        let mut peer = harness.connect();
+        assert!(!harness.clients.all_idle(), "a connection is being accepted");
         wait_until(|| harness.clients.all_idle()).await;
-        // Just opened: its message may be on its way.
+        // A connection that was just opened stays open, because its first message may be in transit.
         harness.clients.close_idle();
-        assert_eq!(harness.ended(&[]).await, [0; 0]);
-        assert_eq!(read(&far), Err(ErrorKind::WouldBlock));
-        far.write_all(b"wait\n").expect("it is open");
+        assert_eq!(harness.evict_and_list_closed(&[]).await, [0; 0]);
+        assert_eq!(read(&peer), Err(ErrorKind::WouldBlock));
+        peer.write_all(b"wait\n").expect("the connection is open");
         wait_until(|| harness.lines() == ["wait"]).await;
-        assert!(!harness.clients.all_idle(), "it is not handled yet");
+        assert!(!harness.clients.all_idle(), "a message is being handled");
     }));
 }
 
@@ -271,14 +278,14 @@
     let harness = ConnectionHarness::new();
     block_on(harness.tasks.run(async {
         let (one, other) = (harness.connect(), harness.connect());
-        for far in [&one, &other] {
-            harness.ask(far, "job\n", 1).await;
+        for peer in [&one, &other] {
+            harness.request(peer, "job\n", 1).await;
         }
         Timer::after(IDLE).await;
         let accepting = harness.clients.accepted();
-        assert_eq!(harness.ended(&[&one, &other]).await, [0; 0]);
+        assert_eq!(harness.evict_and_list_closed(&[&one, &other]).await, [0; 0]);
         drop(accepting);
-        assert_eq!(harness.ended(&[&one, &other]).await, [0]);
+        assert_eq!(harness.evict_and_list_closed(&[&one, &other]).await, [0]);
     }));
 }
 
@@ -286,21 +293,21 @@
 fn a_message_sent_after_the_half_close_does_not_reset_the_connection() {
     let harness = ConnectionHarness::new();
     block_on(harness.tasks.run(async {
-        let far = harness.connect();
-        harness.ask(&far, "hello\n", 1).await;
+        let peer = harness.connect();
+        harness.request(&peer, "hello\n", 1).await;
         Timer::after(IDLE).await;
-        assert_eq!(harness.ended(&[&far]).await, [0]);
-        harness.last.borrow().as_ref().expect("it sent something").send("draining\n");
+        assert_eq!(harness.evict_and_list_closed(&[&peer]).await, [0]);
+        harness.last_connection.borrow().as_ref().expect("a line was received").send("draining\n");
         for _ in 0..200 {
             yield_now().await;
         }
-        // It is still read, and not dropped with what its peer may still send.
-        assert_eq!((harness.clients.count(), read(&far)), (1, Ok(Vec::new())));
+        // The connection is still read, and is not dropped while the peer may still send.
+        assert_eq!((harness.clients.count(), read(&peer)), (1, Ok(Vec::new())));
     }));
 }
 
-/// Two idle clients see the end of a drain, the second with half a message written, and go on writing: `true` if
-/// neither was reset.
+/// Two idle clients, the second with half a message written, see their connections half-closed by a drain and continue
+/// to write. Returns `true` if neither connection was reset.
 fn end_of_a_drain_resets_nothing() -> bool {
     let mut instance = Instance::start();
     let (mut link, mut idle) = instance.ready();
@@ -314,23 +321,25 @@
         assert_eq!(client.receive()["method"], "draining");
         assert!(client.is_closed());
     }
-    // Both hold their side open and write in the moment in which they see the end. A reset shows at the write after it.
-    let taken = |client: &Peer, text: &str| client.stream().write_all(text.as_bytes()).is_ok();
+    // Both clients keep their side open and write as soon as they see the end of the stream. A reset becomes visible at
+    // the following write.
+    let is_accepted = |client: &Peer, text: &str| client.stream().write_all(text.as_bytes()).is_ok();
     let whole = job(1, "read", "late").to_string() + "\n";
-    let crossed = taken(&idle, &whole) && taken(&half_sent, &format!("{}\n", &late[20..]));
-    let kept = crossed && taken(&idle, &whole) && taken(&half_sent, &whole);
+    let first_writes = is_accepted(&idle, &whole) && is_accepted(&half_sent, &format!("{}\n", &late[20..]));
+    let all_writes = first_writes && is_accepted(&idle, &whole) && is_accepted(&half_sent, &whole);
     drop((idle, half_sent));
     assert_eq!(instance.exit_code(), Some(0));
     let mut rest = String::new();
     while let Ok(1..) = std::io::BufRead::read_line(link.reader(), &mut rest) {}
     assert!(!rest.contains("late"), "{rest}");
-    kept
+    all_writes
 }
 
 #[test]
 fn a_drain_half_closes_idle_clients_and_what_they_send_then_does_not_run() {
-    // The process waits a tenth of a second for them to close: a busy machine may exceed that, a few times.
-    assert!((0..8).any(|_| end_of_a_drain_resets_nothing()), "reset");
+    // The process waits 100 ms for the clients to close. On a busy machine a client may exceed that time in a few of
+    // the attempts.
+    assert!((0..8).any(|_| end_of_a_drain_resets_nothing()), "a connection was reset in each of 8 attempts");
 }
 
 #[test]
@@ -340,37 +349,38 @@
     client.send(&job(1, "read", "a1"));
     assert_eq!(link.command()["handle"], "a1");
     let slow = instance.client();
-    // It reads nothing, and sends until it is not read any more: its answers fill the buffers of the system.
-    slow.stream().set_write_timeout(Some(Duration::from_millis(300))).expect("a time-out");
+    // The client reads nothing and sends until the instance stops reading, because the answers fill the system's
+    // buffers.
+    slow.stream().set_write_timeout(Some(Duration::from_millis(300))).expect("set the timeout");
     let checks = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"ping\"}\n".repeat(1000);
     while slow.stream().write_all(checks.as_bytes()).is_ok() {}
     instance.signal("TERM");
     assert_eq!(client.receive()["method"], "draining");
-    link.send(&ended(1, "a1", "good"));
+    link.send(&run_ended(1, "a1", "good"));
     assert_eq!(client.receive()["result"]["body"], "b25l");
     drop(client);
-    slow.stream().shutdown(Shutdown::Write).expect("it is open");
-    let (mut taken, mut part) = (Vec::new(), [0; 4096]);
+    slow.stream().shutdown(Shutdown::Write).expect("the connection is open");
+    let (mut received, mut part) = (Vec::new(), [0; 4096]);
     loop {
-        // The first of it byte by byte.
-        let most = if taken.len() < 100_000 { 1 } else { part.len() };
-        match slow.stream().read(&mut part[..most]).expect("no reset") {
+        // The first 100 kB are read byte by byte.
+        let max_bytes = if received.len() < 100_000 { 1 } else { part.len() };
+        match slow.stream().read(&mut part[..max_bytes]).expect("the connection is not reset") {
             0 => break,
-            count => taken.extend_from_slice(&part[..count]),
+            count => received.extend_from_slice(&part[..count]),
         }
     }
-    assert!(taken.ends_with(b"\n"), "cut short");
+    assert!(received.ends_with(b"\n"), "the last line was truncated");
     let lines: Vec<Value> =
-        taken.split(|byte| *byte == b'\n').filter_map(|line| serde_json::from_slice(line).ok()).collect();
-    let announced = lines.iter().filter(|line| line["method"] == "draining").count();
-    assert_eq!((announced, lines.len()), (1, taken.iter().filter(|byte| **byte == b'\n').count()));
+        received.split(|byte| *byte == b'\n').filter_map(|line| serde_json::from_slice(line).ok()).collect();
+    let drain_notices = lines.iter().filter(|line| line["method"] == "draining").count();
+    assert_eq!((drain_notices, lines.len()), (1, received.iter().filter(|byte| **byte == b'\n').count()));
     drop(slow);
     assert_eq!(instance.exit_code(), Some(0));
 }
 
 #[test]
 fn a_link_reset_between_a_command_and_its_event_during_a_drain_loses_nothing() {
-    // The stop is far off: a machine that is busy with other tests is not what this is about.
+    // A long stop time, so that the test does not fail on a machine that is busy with other tests.
     let mut instance = Instance::start_with(|configuration| configuration["stop_ms"] = json!(6000));
     let (mut link, mut client) = instance.ready();
     client.send(&job(1, "read", "a1"));
@@ -382,7 +392,7 @@
     assert_eq!(cursor, 0);
     link.send(&welcome());
     assert_eq!(link.command(), json!({"event": "EXEC", "handle": "a1", "entry": "read", "arg": "aGVsbG8="}));
-    link.send(&ended(1, "a1", "good"));
+    link.send(&run_ended(1, "a1", "good"));
     assert_eq!(client.receive()["result"]["body"], "b25l");
     drop(client);
     assert_eq!(instance.exit_code(), Some(0));
@@ -396,47 +406,52 @@
     let (mut link, mut client) = instance.ready();
     client.send(&job(1, "read", "a1"));
     assert_eq!(link.command()["handle"], "a1");
-    let _below = replied_before_the_link_ends(&instance, link, "a1");
+    let _database_connections = replied_before_the_link_ends(&instance, link, "a1");
     let (mut link, _) = instance.link();
     link.send(&welcome());
     link.answer_gauges(3);
-    link.send(&ended(2, "a1", "good"));
+    link.send(&run_ended(2, "a1", "good"));
     assert_eq!(client.receive()["result"]["body"], "b25l");
 }
 
-/// An instance whose configuration is a pipe: reading it blocks until it is written.
-struct Waits {
+/// An instance process whose configuration file is a named pipe, so that reading the configuration blocks until the
+/// test writes to the pipe.
+struct BlockedStart {
     child: std::process::Child,
     pipe: std::path::PathBuf,
-    whole: String,
+    configuration: String,
     listen: std::net::SocketAddr,
 }
 
-impl Waits {
-    fn start(held: &Instance) -> Waits {
+impl BlockedStart {
+    fn start(fakes: &Instance) -> BlockedStart {
         let pipe = write("");
-        std::fs::remove_file(&pipe).expect("a file");
-        assert!(Command::new("mkfifo").arg(&pipe).status().expect("mkfifo runs").success());
-        let mut configuration: Value = serde_json::from_str(&held.configuration()).expect("JSON");
+        std::fs::remove_file(&pipe).expect("replace the file");
+        assert!(Command::new("mkfifo").arg(&pipe).status().expect("run mkfifo").success());
+        let mut configuration: Value =
+            serde_json::from_str(&fakes.configuration()).expect("the configuration is JSON");
         let listen = free_address();
         configuration["listen"] = json!(listen.to_string());
-        let child =
-            command(&["serve", "--log", "warn"]).env("PROXY_CONFIG", &pipe).spawn().expect("it starts");
-        Waits { child, pipe, whole: configuration.to_string(), listen }
+        let child = command(&["serve", "--log", "warn"])
+            .env("PROXY_CONFIG", &pipe)
+            .spawn()
+            .expect("start the hazelgrade process");
+        BlockedStart { child, pipe, configuration: configuration.to_string(), listen }
     }
 
-    /// Opens the pipe, which is done once it reads at the other end; sends a signal then, puts a file in the pipe's
-    /// place for whoever reads it again, and lets it go on.
-    fn signal_while_it_reads(&mut self, name: &str, next: &Value) {
-        let mut pipe = std::fs::OpenOptions::new().write(true).open(&self.pipe).expect("it reads");
+    /// Opens the pipe, which succeeds once the process reads from the other end. Then sends a signal, replaces the pipe
+    /// by a file with the configuration `next` for a later reload, and completes the first read.
+    fn signal_during_first_read(&mut self, name: &str, next: &Value) {
+        let mut pipe =
+            std::fs::OpenOptions::new().write(true).open(&self.pipe).expect("the process reads the pipe");
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([&format!("-{name}"), &id]).status().expect("kill runs").success());
-        std::fs::rename(write(&next.to_string()), &self.pipe).expect("a file");
-        pipe.write_all(self.whole.as_bytes()).expect("it still reads");
+        assert!(Command::new("kill").args([&format!("-{name}"), &id]).status().expect("run kill").success());
+        std::fs::rename(write(&next.to_string()), &self.pipe).expect("replace the file");
+        pipe.write_all(self.configuration.as_bytes()).expect("the process still reads the pipe");
     }
 }
 
-impl Drop for Waits {
+impl Drop for BlockedStart {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -446,53 +461,53 @@
 
 #[test]
 fn signals_before_the_listener_is_open_are_handled_sighup_reloads_and_sigterm_exits_with_0() {
-    // It holds an executor, a registry and a database that listen.
-    let held = Instance::start();
-    let mut terminated = Waits::start(&held);
-    terminated.signal_while_it_reads("TERM", &json!({}));
-    assert_eq!(terminated.child.wait().expect("a child").code(), Some(0));
-    let mut reloaded = Waits::start(&held);
-    let moved = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut next: Value = serde_json::from_str(&reloaded.whole).expect("JSON");
-    next["executor"] = json!(moved.local_addr().expect("bound").to_string());
-    reloaded.signal_while_it_reads("HUP", &next);
+    // This instance provides the executor, the registry and the database that the other processes connect to.
+    let fakes = Instance::start();
+    let mut terminated = BlockedStart::start(&fakes);
+    terminated.signal_during_first_read("TERM", &json!({}));
+    assert_eq!(terminated.child.wait().expect("wait for the child process").code(), Some(0));
+    let mut reloaded = BlockedStart::start(&fakes);
+    let moved = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+    let mut next: Value = serde_json::from_str(&reloaded.configuration).expect("the configuration is JSON");
+    next["executor"] = json!(moved.local_addr().expect("read the local address").to_string());
+    reloaded.signal_during_first_read("HUP", &next);
     assert_eq!(Peer::accept(&moved).receive(), json!({"event": "JOIN", "cursor": 0}));
     assert!(TcpStream::connect(reloaded.listen).is_ok());
 }
 
 #[test]
 fn an_unreachable_registry_prevents_neither_start_nor_service() {
-    // Datagrams to the address of all hosts are refused by this machine itself.
+    // Datagrams to the broadcast address are refused by the operating system.
     let mut instance =
         Instance::start_with(|configuration| configuration["registry"] = json!("127.255.255.255:9"));
     let (mut link, mut client) = instance.ready();
     serve_job(&mut link, &mut client, 1, "a1");
-    // It comes back, and heartbeats go there.
-    let registry = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
-    registry.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
-    let address = registry.local_addr().expect("bound").to_string();
+    // After a change of the registry's address, heartbeats arrive at the new address.
+    let registry = std::net::UdpSocket::bind("127.0.0.1:0").expect("bind to a free port");
+    registry.set_read_timeout(Some(TIMEOUT)).expect("set the timeout");
+    let address = registry.local_addr().expect("read the local address").to_string();
     instance.reload(|configuration| configuration["registry"] = json!(address));
     let mut heartbeat = [0; 64];
-    let length = registry.recv(&mut heartbeat).expect("a heartbeat");
+    let length = registry.recv(&mut heartbeat).expect("receive a heartbeat");
     assert_eq!(&heartbeat[..length], b"BEAT n1 ready");
-    // It goes again, and later heartbeats reach whoever is there next.
+    // While the registry's port is closed, sending fails; heartbeats after that arrive once the port is open again.
     drop(registry);
     serve_job(&mut link, &mut client, 2, "a2");
     std::thread::sleep(Duration::from_millis(600));
-    let registry = std::net::UdpSocket::bind(&address).expect("the same port");
-    registry.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+    let registry = std::net::UdpSocket::bind(&address).expect("bind to the same port");
+    registry.set_read_timeout(Some(TIMEOUT)).expect("set the timeout");
     assert!(registry.recv(&mut heartbeat).is_ok());
 }
 
 #[test]
 fn an_address_still_held_by_the_previous_process_is_retried() {
-    let held = RefCell::new(None);
+    let listener = RefCell::new(None);
     let instance = Instance::start_with(|configuration| {
-        let address = configuration["listen"].as_str().expect("an address").to_owned();
-        held.replace(Some(TcpListener::bind(address).expect("free")));
+        let address = configuration["listen"].as_str().expect("the address is a string").to_owned();
+        listener.replace(Some(TcpListener::bind(address).expect("the address is free")));
     });
     std::thread::sleep(Duration::from_millis(400));
-    held.take();
+    listener.take();
     let (_link, mut client) = instance.ready();
     assert_eq!(client.check(1)["result"]["up"], true);
 }
@@ -502,41 +517,40 @@
  {
     let instance = Instance::start_with(|configuration| {
         configuration["limits"]["sockets"] = json!(32);
-        // Nobody listens there.
+        // No process listens on this port.
         configuration["registry"] = json!("127.0.0.1:9");
     });
     let (mut link, _first) = instance.ready();
-    let mut health = instance.client();
+    let mut monitor = instance.client();
     for call in [1, 2] {
-        assert_eq!(health.check(call)["result"]["up"], true);
+        assert_eq!(monitor.check(call)["result"]["up"], true);
     }
-    // One in two of them asks for a check, once, as soon as it is served.
-    let mut crowd: Vec<Peer> = (0..24).map(|_| instance.client()).collect();
-    crowd
-        .iter_mut()
+    // Every second connection requests one health check as soon as it is served.
+    let mut idle: Vec<Peer> = (0..24).map(|_| instance.client()).collect();
+    idle.iter_mut()
         .step_by(2)
         .for_each(|peer| peer.send(&json!({"jsonrpc": "2.0", "id": 1, "method": "ping"})));
-    // Those that came first go first, though the health check came before all of them.
-    assert!(crowd[1].is_closed());
-    assert_eq!(health.check(3)["result"]["up"], true, "the connection of the health check was closed");
-    let mut late = instance.client();
+    // The oldest idle connections are evicted first, but not the connection that repeats health checks, which is older.
+    assert!(idle[1].is_closed());
+    assert_eq!(monitor.check(3)["result"]["up"], true, "the connection of the health check was closed");
+    let mut new_client = instance.client();
     let mut database_connections = DatabaseConnections::of(&instance.database);
     for number in 1..=8 {
         let id = format!("a{number}");
-        late.send(&job(number, "read", &id));
+        new_client.send(&job(number, "read", &id));
         assert_eq!(link.command()["handle"], id);
         link.send(&json!({"event": "CALLOUT", "cursor": number, "handle": id, "arg": "cXVlcnk="}));
         database_connections.call(&id);
     }
-    // The link is replaced beside all of them.
+    // The link to the executor is replaced while all these connections are open.
     drop(link);
     let (mut link, _) = instance.link();
     link.send(&welcome());
     for number in 1..=8 {
-        link.send(&ended(8 + number, &format!("a{number}"), "good"));
-        assert_eq!(late.receive()["result"]["body"], "b25l");
+        link.send(&run_ended(8 + number, &format!("a{number}"), "good"));
+        assert_eq!(new_client.receive()["result"]["body"], "b25l");
     }
-    drop(crowd);
+    drop(idle);
 }
 
 #[test]
@@ -550,13 +564,13 @@
     };
     client.send(&keyed_job(1, "order-7"));
     assert_eq!(link.command()["handle"], "a1");
-    link.send(&ended(1, "a1", "good"));
+    link.send(&run_ended(1, "a1", "good"));
     assert_eq!(client.receive()["result"]["body"], "b25l");
     client.send(&keyed_job(2, "order-7"));
     assert_eq!(client.receive()["result"]["body"], "b25l");
     client.send(&keyed_job(3, "order-8"));
     assert_eq!(client.receive()["error"]["code"], -32066);
-    // A retry under an id of its own still gets the stored result.
+    // A retry with another job id is still answered with the stored result.
     let mut retry = keyed_job(4, "order-7");
     retry["params"]["req"] = json!("a2");
     client.send(&retry);
@@ -566,7 +580,8 @@
     assert_eq!(link.command()["handle"], "b1");
 }
 
-/// Found by the bench under deploy/sites: whoever copied an idempotency key was answered with the result of its job.
+/// Guards against answering a request that copies another client's idempotency key with the result of that client's
+/// job.
 #[test]
 fn a_copied_idempotency_key_with_another_body_gets_no_result_of_others_and_affects_none() {
     let instance = Instance::start();
@@ -578,110 +593,123 @@
     };
     client.send(&keyed_job(1, "a1", "aGVsbG8="));
     assert_eq!(link.command()["handle"], "a1");
-    link.send(&ended(1, "a1", "good"));
+    link.send(&run_ended(1, "a1", "good"));
     assert_eq!(client.receive()["result"]["body"], "b25l");
-    let mut stranger = instance.client();
-    stranger.send(&keyed_job(1, "f1", "b3RoZXI="));
-    // It is a job of its own, and the executor does not know it.
+    let mut other = instance.client();
+    other.send(&keyed_job(1, "f1", "b3RoZXI="));
+    // The request with the copied key runs as a separate job. The executor refuses that job as unknown.
     let run = link.command();
     assert_eq!((&run["event"], &run["handle"]), (&json!("EXEC"), &json!("f1")));
     link.send(&json!({"event": "BAD", "fate": "EXEC", "handle": "f1"}));
-    assert!(stranger.receive()["error"].is_object());
-    // Nor is there a result for a retry of it.
-    stranger.send(&keyed_job(2, "f2", "b3RoZXI="));
-    assert!(stranger.receive()["error"].is_object());
-    // It doesn't take the key either: the retry is answered from the stored result.
+    assert!(other.receive()["error"].is_object());
+    // A retry of that job gets no result either.
+    other.send(&keyed_job(2, "f2", "b3RoZXI="));
+    assert!(other.receive()["error"].is_object());
+    // The request with the copied key does not take over the key: a retry by the first client is answered with the
+    // stored result.
     client.send(&keyed_job(2, "a2", "aGVsbG8="));
     assert_eq!(client.receive()["result"]["body"], "b25l");
 }
 
-/// An attempt, as a simple model has it.
+/// One attempt of a keyed job in a simple model of the result cache.
 struct Attempt {
     key: usize,
-    reached: f64,
-    until: f64,
-    /// The one whose result it is answered with; otherwise it ran.
-    shares: Option<String>,
+    received_at: f64,
+    window_end: f64,
+    /// The attempt whose result answers this one; `None` if this attempt ran.
+    answered_from: Option<String>,
     result: Option<String>,
 }
 
-/// Plays attempts that arrive, run for longer or shorter than their window, and end, in any order, read late or not.
-fn play(steps: &[(u8, u8, u8)]) {
+/// Simulates attempts that arrive, run for longer or shorter than their window, and end, in any order. An attempt may
+/// be read some time after it was received.
+fn simulate(steps: &[(u8, u8, u8)]) {
     const WINDOW: f64 = 40.0;
-    const UNREAD: f64 = 30.0;
+    const MAX_READ_DELAY: f64 = 30.0;
     let result_cache = ResultCache::new(1 << 20);
     let (mut attempts, mut now, mut count) = (BTreeMap::<String, Attempt>::new(), 0.0, 0u32);
     let end = |attempts: &mut BTreeMap<String, Attempt>, id: String, now: f64| {
-        let mut over = vec![(id.clone(), Some(format!("made by {id}")))];
-        while let Some((id, result)) = over.pop() {
-            attempts.get_mut(&id).expect("in flight").result = result.clone();
+        let mut finished = vec![(id.clone(), Some(format!("made by {id}")))];
+        while let Some((id, result)) = finished.pop() {
+            attempts.get_mut(&id).expect("the attempt is in flight").result = result.clone();
             let at = Time::from_ms(now);
             let waiting =
                 result_cache.finish(&id.as_str().into(), at, result.clone().map(|body| body.as_str().into()));
-            over.extend(waiting.into_iter().map(|id| (id.to_string(), result.clone())));
+            finished.extend(waiting.into_iter().map(|id| (id.to_string(), result.clone())));
         }
     };
-    for (what, key, by) in steps {
-        now += f64::from(by % 16);
+    for (action, key, delay) in steps {
+        now += f64::from(delay % 16);
         let key = usize::from(key % 2);
-        let runs = |attempt: &&Attempt| attempt.key == key && attempt.shares.is_none();
-        if what % 3 < 2 {
-            let reached = (now - f64::from(by % 30)).max(0.0);
-            // Ids are scattered: their order says nothing of who came first.
+        let runs = |attempt: &&Attempt| attempt.key == key && attempt.answered_from.is_none();
+        if action % 3 < 2 {
+            let received_at = (now - f64::from(delay % 30)).max(0.0);
+            // Ids are scattered, so that their order does not reflect the order of arrival.
             count += 1;
             let id = format!("{:08x}", count.wrapping_mul(0x9e37_79b1));
-            let named: JobId = id.as_str().into();
-            let at = Time::from_ms(reached);
+            let job_id: JobId = id.as_str().into();
+            let at = Time::from_ms(received_at);
             let prior = {
-                let of = result_cache.job_key(0, 0, key.to_string(), &"".into());
-                result_cache.arrived(&named, of, at, Span::from_ms(UNREAD))
+                let job_key = result_cache.job_key(0, 0, key.to_string(), &"".into());
+                result_cache.arrived(&job_id, job_key, at, Span::from_ms(MAX_READ_DELAY))
             };
-            let due = attempts.values().filter(runs).any(|of| of.until > reached || of.result.is_none());
-            assert_eq!(prior.is_some(), due, "{id} at {now}, reached at {reached}");
+            let expects_prior = attempts
+                .values()
+                .filter(runs)
+                .any(|attempt| attempt.window_end > received_at || attempt.result.is_none());
+            assert_eq!(prior.is_some(), expects_prior, "{id} at {now}, received at {received_at}");
             let mut result = None;
             if let Some(prior) = &prior {
-                let of = &attempts[&prior.to_string()];
-                assert!(of.shares.is_none() && of.key == key, "{id} repeats {prior}, which never ran");
-                let shared = result_cache.await_result(&named, prior);
-                assert_eq!(shared, of.result.as_deref().map(|body| Some(body.into())));
-                result = shared.is_some().then(|| of.result.clone()).flatten();
+                let source = &attempts[&prior.to_string()];
+                assert!(
+                    source.answered_from.is_none() && source.key == key,
+                    "{id} is answered from {prior}, which never ran"
+                );
+                let shared = result_cache.await_result(&job_id, prior);
+                assert_eq!(shared, source.result.as_deref().map(|body| Some(body.into())));
+                result = shared.is_some().then(|| source.result.clone()).flatten();
             } else {
                 result_cache.store_record(
-                    &named,
+                    &job_id,
                     Time::from_ms(now),
-                    Span::from_ms((reached + WINDOW - now).max(0.0)),
+                    Span::from_ms((received_at + WINDOW - now).max(0.0)),
                 );
             }
-            let shares = prior.map(|prior| prior.to_string());
-            let until = reached + WINDOW;
-            attempts.insert(id.clone(), Attempt { key, reached, until, shares, result: result.clone() });
+            let answered_from = prior.map(|prior| prior.to_string());
+            let window_end = received_at + WINDOW;
+            attempts.insert(
+                id.clone(),
+                Attempt { key, received_at, window_end, answered_from, result: result.clone() },
+            );
             if result.is_some() {
-                result_cache.finish(&named, Time::from_ms(now), result.map(|body| body.as_str().into()));
+                result_cache.finish(&job_id, Time::from_ms(now), result.map(|body| body.as_str().into()));
             }
         } else {
-            let runs =
-                attempts.iter().find(|(_, of)| runs(of) && of.result.is_none()).map(|(id, _)| id.clone());
+            let runs = attempts
+                .iter()
+                .find(|(_, attempt)| runs(attempt) && attempt.result.is_none())
+                .map(|(id, _)| id.clone());
             if let Some(id) = runs {
                 end(&mut attempts, id, now);
             }
         }
     }
-    // No two ran of which the later came within the window of the earlier.
-    for (id, of) in attempts.iter().filter(|(_, of)| of.shares.is_none()) {
-        let twice = attempts.iter().find(|(other, later)| {
-            later.shares.is_none()
+    // No attempt ran that was received within the window of an earlier attempt that ran.
+    for (id, earlier) in attempts.iter().filter(|(_, attempt)| attempt.answered_from.is_none()) {
+        let repeated = attempts.iter().find(|(other, later)| {
+            later.answered_from.is_none()
                 && *other != id
-                && later.key == of.key
-                && (of.reached..of.until).contains(&later.reached)
+                && later.key == earlier.key
+                && (earlier.received_at..earlier.window_end).contains(&later.received_at)
         });
-        assert!(twice.is_none(), "{id} and {:?} both ran", twice.map(|(other, _)| other));
+        assert!(repeated.is_none(), "{id} and {:?} both ran", repeated.map(|(other, _)| other));
     }
 }
 
 #[test]
 fn no_order_of_arrivals_windows_and_ends_runs_a_keyed_job_twice_within_its_window() {
     fn property(steps: Vec<(u8, u8, u8)>) -> bool {
-        play(&steps);
+        simulate(&steps);
         true
     }
     quickcheck::QuickCheck::new().tests(3000).quickcheck(property as fn(Vec<(u8, u8, u8)>) -> bool);
--- a/crates/hazelgrade-server/tests/instance/input.rs
+++ b/crates/hazelgrade-server/tests/instance/input.rs
@@ -1,4 +1,4 @@
-//! Invalid input, clients that break the protocol, limits, and the command line.
+//! Invalid input, clients that violate the protocol, limits on clients and memory, the clock, and the command line.
 
 use crate::common::*;
 use hazelgrade::time::{Span, Time};
@@ -19,8 +19,14 @@
     let with = |field: &str, value: Value| {
         let mut job = job(7, "read", "a1");
         match value {
-            Value::Null => job["params"].as_object_mut().expect("an object").remove(field).is_some(),
-            value => job["params"].as_object_mut().expect("an object").insert(field.into(), value).is_none(),
+            Value::Null => {
+                job["params"].as_object_mut().expect("the parameters are an object").remove(field).is_some()
+            }
+            value => job["params"]
+                .as_object_mut()
+                .expect("the parameters are an object")
+                .insert(field.into(), value)
+                .is_none(),
         };
         job.to_string()
     };
@@ -47,32 +53,35 @@
         (with("body", json!("A".repeat(2736))), -32602, "body"),
         (with("body", Value::Null), -32602, "body"),
     ];
-    for (place, (line, code, names)) in cases.into_iter().enumerate() {
-        // Four are answered on a connection.
-        if place % 4 == 3 {
+    for (index, (line, code, expected_text)) in cases.into_iter().enumerate() {
+        // A connection is used for at most four cases, because the fifth invalid message would close it.
+        if index % 4 == 3 {
             client = instance.client();
         }
         client.write(&format!("{line}\n"));
         let error = client.receive()["error"].clone();
         assert_eq!(error["code"], code, "{line}: {error}");
-        assert!(error["message"].as_str().is_some_and(|message| message.contains(names)), "{line}: {error}");
+        assert!(
+            error["message"].as_str().is_some_and(|message| message.contains(expected_text)),
+            "{line}: {error}"
+        );
     }
     client.send(&job(8, "read", "a2"));
     assert_eq!(link.command()["handle"], "a2");
     client.send(&job(8, "read", "a3"));
     assert_eq!(client.receive()["error"]["code"], -32600);
-    for (place, far) in [0, unix_ms() - 7000, unix_ms() + 60_000].into_iter().enumerate() {
+    for (index, received_at) in [0, unix_ms() - 7000, unix_ms() + 60_000].into_iter().enumerate() {
         let mut client = instance.client();
-        let mut job = job(1, "read", &format!("b{place}"));
-        job["params"]["ts"] = json!(far);
+        let mut job = job(1, "read", &format!("b{index}"));
+        job["params"]["ts"] = json!(received_at);
         client.send(&job);
         assert_eq!(client.receive()["error"]["code"], -32602);
     }
 }
 
-/// Runs a job of this client, so that it is trusted.
-fn prove(link: &mut Peer, client: &mut Peer, cursor: u64) {
-    let id = format!("proof{cursor}");
+/// Runs a job of this client, so that its connection becomes trusted.
+fn make_trusted(link: &mut Peer, client: &mut Peer, cursor: u64) {
+    let id = format!("trust{cursor}");
     client.send(&job(900 + cursor, "read", &id));
     assert_eq!(link.command()["handle"], id);
     link.send(
@@ -84,19 +93,19 @@
 #[test]
 fn a_client_that_keeps_sending_invalid_messages_is_told_so_and_closed_while_others_are_served() {
     let instance = Instance::start();
-    let (mut link, mut stub) = instance.ready();
-    let (mut wrong, mut unknown) = (instance.client(), instance.client());
-    wrong.write(&"what\n".repeat(500));
+    let (mut link, mut client) = instance.ready();
+    let (mut invalid, mut unknown_jobs) = (instance.client(), instance.client());
+    invalid.write(&"what\n".repeat(500));
     for _ in 0..6 {
-        assert!(wrong.receive()["error"].is_object());
+        assert!(invalid.receive()["error"].is_object());
     }
-    assert!(wrong.is_closed());
-    // Made-up jobs: each is failed, and after a few no more are read.
+    assert!(invalid.is_closed());
+    // Jobs that the executor does not know: each fails, and after a few of them the connection is not read any more.
     for call in 1..=30 {
-        unknown.send(&job(call, "read", &format!("u{call}")));
+        unknown_jobs.send(&job(call, "read", &format!("u{call}")));
     }
-    let refuse_until = |link: &mut Peer, id: &str, most: usize| {
-        for _ in 0..most {
+    let refuse_until = |link: &mut Peer, id: &str, max_commands: usize| {
+        for _ in 0..max_commands {
             let command = link.command();
             if command["handle"] == id {
                 break;
@@ -106,33 +115,33 @@
     };
     refuse_until(&mut link, "", 5);
     let mut received = 0;
-    while !unknown.is_closed() {
-        assert!(unknown.receive()["error"].is_object());
+    while !unknown_jobs.is_closed() {
+        assert!(unknown_jobs.receive()["error"].is_object());
         received += 1;
     }
     assert!((6..=30).contains(&received), "{received} answers");
-    // None of them keeps the good client from being served.
-    stub.send(&job(1, "read", "a1"));
+    // A client that sends valid messages is still served.
+    client.send(&job(1, "read", "a1"));
     refuse_until(&mut link, "a1", 60);
     link.send(
         &json!({"event": "EXIT", "cursor": 1, "handle": "a1", "fate": "good", "lasted": 9, "arg": "b25l"}),
     );
-    assert_eq!(stub.receive()["result"]["body"], "b25l");
+    assert_eq!(client.receive()["result"]["body"], "b25l");
 }
 
 #[test]
 fn silent_connections_and_half_messages_are_closed_within_three_seconds_and_others_stay() {
     let instance = Instance::start();
-    let (_link, mut stub) = instance.ready();
-    stub.check(1);
-    let began = Instant::now();
-    let mut mute = instance.client();
-    let mut half = instance.client();
-    half.check(1);
-    half.write("{\"jsonrpc\":");
-    assert!(mute.is_closed() && half.is_closed());
-    assert!(began.elapsed() > Duration::from_secs(1) && began.elapsed() < Duration::from_secs(3));
-    stub.check(2);
+    let (_link, mut client) = instance.ready();
+    client.check(1);
+    let started_at = Instant::now();
+    let mut silent = instance.client();
+    let mut incomplete = instance.client();
+    incomplete.check(1);
+    incomplete.write("{\"jsonrpc\":");
+    assert!(silent.is_closed() && incomplete.is_closed());
+    assert!(started_at.elapsed() > Duration::from_secs(1) && started_at.elapsed() < Duration::from_secs(3));
+    client.check(2);
 }
 
 #[test]
@@ -160,16 +169,16 @@
 fn a_line_without_end_closes_its_connection_once_its_open_calls_are_answered() {
     let instance = Instance::start();
     let (mut link, mut client) = instance.ready();
-    // A stranger is sent an error and closed, however much it sends.
-    let mut stranger = instance.client();
-    stranger.send(&job(1, "read", "s1"));
+    // An untrusted client receives an error and is closed, regardless of how much it sends.
+    let mut untrusted = instance.client();
+    untrusted.send(&job(1, "read", "s1"));
     assert_eq!(link.command()["handle"], "s1");
-    stranger.stream().set_write_timeout(Some(Duration::from_millis(300))).expect("a time-out");
-    stranger.write(&" ".repeat(30_000));
-    assert!(stranger.receive()["error"].is_object() && stranger.is_closed());
-    while std::io::Write::write_all(&mut stranger.stream(), &[b' '; 65_536]).is_ok() {}
+    untrusted.stream().set_write_timeout(Some(Duration::from_millis(300))).expect("set the write timeout");
+    untrusted.write(&" ".repeat(30_000));
+    assert!(untrusted.receive()["error"].is_object() && untrusted.is_closed());
+    while std::io::Write::write_all(&mut untrusted.stream(), &[b' '; 65_536]).is_ok() {}
     assert!(link.receives_cancel("s1"));
-    prove(&mut link, &mut client, 1);
+    make_trusted(&mut link, &mut client, 1);
     client.send(&job(1, "read", "a1"));
     assert_eq!(link.command()["handle"], "a1");
     client.write(&" ".repeat(30_000));
@@ -186,8 +195,8 @@
 fn a_33rd_open_job_waits_and_a_client_that_never_reads_delays_nobody() {
     let instance = Instance::start();
     let (mut link, mut client) = instance.ready();
-    prove(&mut link, &mut client, 1);
-    // Few run at once; the others are queued.
+    make_trusted(&mut link, &mut client, 1);
+    // Few jobs run at the same time; the others are queued.
     for call in 1..=33 {
         client.send(&job(call, "read", &format!("a{call}")));
     }
@@ -197,33 +206,33 @@
     link.send(&json!({"event": "EXIT", "cursor": 2, "handle": first, "fate": "bad", "lasted": 9}));
     let answers = [client.receive(), client.receive()];
     assert!(answers.iter().any(|answer| answer["id"] == 90), "{answers:?}");
-    let mut deaf = instance.client();
+    let mut non_reading = instance.client();
     let ping = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"ping\"}\n".repeat(1000);
-    deaf.stream().set_write_timeout(Some(Duration::from_millis(300))).expect("a time-out");
-    while std::io::Write::write_all(&mut deaf.stream(), ping.as_bytes()).is_ok() {}
-    let began = Instant::now();
+    non_reading.stream().set_write_timeout(Some(Duration::from_millis(300))).expect("set the write timeout");
+    while std::io::Write::write_all(&mut non_reading.stream(), ping.as_bytes()).is_ok() {}
+    let started_at = Instant::now();
     assert_eq!(instance.client().check(1)["result"]["up"], true);
-    assert!(began.elapsed() < Duration::from_millis(500));
-    deaf.receive();
+    assert!(started_at.elapsed() < Duration::from_millis(500));
+    non_reading.receive();
 }
 
 #[test]
 fn when_descriptors_run_out_the_longest_idle_connection_is_evicted_and_those_in_use_stay() {
     let instance = Instance::start_with(|configuration| configuration["limits"]["sockets"] = json!(32));
     let (mut link, mut busy) = instance.ready();
-    let mut stub = instance.client();
-    prove(&mut link, &mut stub, 1);
+    let mut trusted = instance.client();
+    make_trusted(&mut link, &mut trusted, 1);
     busy.send(&job(1, "read", "a1"));
     assert_eq!(link.command()["handle"], "a1");
-    let mut crowd: Vec<Peer> = (0..30).map(|_| instance.client()).collect();
+    let mut idle: Vec<Peer> = (0..30).map(|_| instance.client()).collect();
     for _ in 0..3 {
-        let mut late = instance.client();
-        assert_eq!(late.check(1)["result"]["up"], true);
-        crowd.push(late);
+        let mut new = instance.client();
+        assert_eq!(new.check(1)["result"]["up"], true);
+        idle.push(new);
     }
-    assert!(crowd[0].is_closed());
-    // A trusted client is idle for longer, and stays.
-    assert_eq!(stub.check(2)["result"]["up"], true);
+    assert!(idle[0].is_closed());
+    // The trusted client has been idle for longer than the evicted one and stays connected.
+    assert_eq!(trusted.check(2)["result"]["up"], true);
     link.send(
         &json!({"event": "EXIT", "cursor": 2, "handle": "a1", "fate": "good", "lasted": 9, "arg": "b25l"}),
     );
@@ -254,14 +263,14 @@
 
 #[test]
 fn database_connections_are_reused_closed_when_idle_and_report_whether_anything_was_sent() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+    let address = listener.local_addr().expect("read the local address");
     let database = Rc::new(Database::new(address, 32, Duration::from_millis(100)));
     let (received, tasks) =
         (Rc::new(Received(RefCell::default())), Rc::new(async_executor::LocalExecutor::new()));
     let pause = |ms| async_io::Timer::after(Duration::from_millis(ms));
-    let play = async {
-        let call = |avoided: &[u64]| database.call(&tasks, &received, b"Q\r\n", avoided, None);
+    let scenario = async {
+        let call = |excluded: &[u64]| database.call(&tasks, &received, b"Q\r\n", excluded, None);
         assert_eq!((call(&[]), call(&[])), (1, 2));
         pause(30).await;
         let (mut one, _two) = (Peer::accept(&listener), Peer::accept(&listener));
@@ -277,18 +286,18 @@
         assert_eq!(call(&[]), 4);
         pause(30).await;
     };
-    async_io::block_on(tasks.run(play));
+    async_io::block_on(tasks.run(scenario));
     assert_eq!(*received.0.borrow(), ["reply on 1", "1: Idle", "4: Unreachable"]);
 }
 
 #[test]
 fn stored_results_stay_within_their_memory_limit_and_the_earliest_to_expire_is_dropped() {
     let (now, result_cache) = (Time::from_ms(0.0), ResultCache::new(10));
-    for (place, id) in ["a1", "a2"].into_iter().enumerate() {
+    for (index, id) in ["a1", "a2"].into_iter().enumerate() {
         let id = id.into();
-        let key = result_cache.job_key(0, 0, place.to_string(), &"".into());
+        let key = result_cache.job_key(0, 0, index.to_string(), &"".into());
         result_cache.arrived(&id, key, now, Span::ZERO);
-        result_cache.store_record(&id, now, Span::from_ms(1000.0 + place as f64));
+        result_cache.store_record(&id, now, Span::from_ms(1000.0 + index as f64));
         result_cache.finish(&id, now, Some("12345678".into()));
     }
     assert_eq!(result_cache.await_result(&"b1".into(), &"a1".into()), Some(None));
@@ -311,15 +320,15 @@
 
 #[test]
 fn arbitrary_lines_are_decoded_or_refused_without_a_panic() {
-    fn property(place: usize, byte: u8, cut: usize) -> bool {
-        let site = hazelgrade_settings::decode(&settings(), 1).expect("settings").host;
+    fn property(position: usize, byte: u8, cut: usize) -> bool {
+        let site = hazelgrade_settings::decode(&settings(), 1).expect("the settings are valid").host;
         let mut line = job(1, "read", "a1").to_string().into_bytes();
-        let place = place % line.len();
-        line[place] = byte;
+        let position = position % line.len();
+        line[position] = byte;
         line.truncate(line.len() - cut % 3);
-        let kept = protocol::jsonrpc::decode(&line, &site).is_ok();
+        let is_accepted = protocol::jsonrpc::decode(&line, &site).is_ok();
         let _ = (protocol::executor::decode(&line), protocol::database::decode(&line));
-        !kept || cut.is_multiple_of(3)
+        !is_accepted || cut.is_multiple_of(3)
     }
     quickcheck::QuickCheck::new().tests(2000).quickcheck(property as fn(usize, u8, usize) -> bool);
 }
@@ -328,9 +337,9 @@
 fn an_invalid_configuration_exits_with_2_and_one_line_that_names_the_field() {
     let instance = Instance::start();
     instance.client();
-    let whole = instance.configuration();
+    let valid = instance.configuration();
     let with = |field: &str, value: Value| {
-        let mut configuration: Value = serde_json::from_str(&whole).expect("JSON");
+        let mut configuration: Value = serde_json::from_str(&valid).expect("the configuration is JSON");
         configuration[field] = value;
         configuration.to_string()
     };
@@ -343,23 +352,24 @@
         (with("limits", json!({"memory_mb": -1})), "limits.memory_mb"),
         (with("settings", json!([])), "settings"),
         (with("settings", json!({"specifics": {"halt": "sometimes"}})), "halt"),
-        (whole.clone(), "listen"),
+        (valid.clone(), "listen"),
     ];
-    for (text, names) in cases {
+    for (text, expected_text) in cases {
         let path = write(&text);
-        let output = run(&["serve", "--config", path.to_str().expect("text")]);
+        let output = run(&["serve", "--config", path.to_str().expect("the path is valid UTF-8")]);
         let message = String::from_utf8_lossy(&output.stderr).into_owned();
-        let said: Vec<&str> = message.lines().filter(|line| line.starts_with("hazelgrade: ")).collect();
-        assert_eq!((output.status.code(), said.len()), (Some(2), 1), "{text}: {message}");
-        assert!(said[0].contains(names), "{names}: {message}");
+        let error_lines: Vec<&str> =
+            message.lines().filter(|line| line.starts_with("hazelgrade: ")).collect();
+        assert_eq!((output.status.code(), error_lines.len()), (Some(2), 1), "{text}: {message}");
+        assert!(error_lines[0].contains(expected_text), "{expected_text}: {message}");
         let _ = std::fs::remove_file(path);
     }
-    let path = write(&whole);
-    let checked = run(&["check", "--config", path.to_str().expect("text")]);
+    let path = write(&valid);
+    let checked = run(&["check", "--config", path.to_str().expect("the path is valid UTF-8")]);
     assert!(checked.status.success() && String::from_utf8_lossy(&checked.stdout).contains("use case book"));
     assert_eq!(run(&["serve", "--config", "/nowhere/at.json"]).status.code(), Some(2));
-    for words in [&["serve", "--loud"][..], &["server"], &[]] {
-        let output = run(words);
+    for args in [&["serve", "--loud"][..], &["server"], &[]] {
+        let output = run(args);
         assert!(output.status.code() == Some(2) && String::from_utf8_lossy(&output.stderr).contains("usage"));
     }
     assert!(run(&["help"]).status.success() && run(&["version"]).stdout.starts_with(b"hazelgrade "));
--- a/crates/hazelgrade-server/tests/instance/main.rs
+++ b/crates/hazelgrade-server/tests/instance/main.rs
@@ -1,4 +1,5 @@
-//! The service instance as a process: what it serves, what input costs it, restarts, fleets, rare crossings.
+//! Integration tests of the service instance as a process: serving, invalid input, restarts, several instances, and
+//! events that happen at the same moment.
 
 #![allow(clippy::expect_used, clippy::panic, clippy::too_many_lines)]
 mod common;
--- a/crates/hazelgrade-server/tests/recorded_messages.rs
+++ b/crates/hazelgrade-server/tests/recorded_messages.rs
@@ -1,5 +1,5 @@
-//! Every line that an instance sends or reads, byte for byte: clients, executor, database, registry. The peers are
-//! other programs, so a name inside this one may change and a line may not.
+//! Records every message format between an instance and its clients, executor, database and registry, byte for byte.
+//! The peers are separate programs, so identifiers in this package may be renamed, but the messages must not change.
 
 #![allow(clippy::expect_used)]
 
@@ -11,8 +11,9 @@
 use hazelgrade_settings::HostSettings;
 use serde_json::json;
 
-/// One idempotent and one keyed class, one tenant, with or without an identity for each caller.
-fn site(callers_known: bool) -> HostSettings {
+/// Settings with one idempotent and one keyed job class and one tenant; `authenticates_callers` states whether callers
+/// are authenticated.
+fn host_settings(authenticates_callers: bool) -> HostSettings {
     let settings = json!({
         "classes": [
             {"name": "read", "aim": 3000, "giveUp": 6000, "idempotency": "safe", "gain": 1, "window": 5000},
@@ -24,7 +25,7 @@
     let host = hazelgrade_settings::decode(&settings, 1).expect("settings").host;
     assert_eq!(host.job_classes[0].idempotency, Idempotency::Idempotent);
     assert_ne!(host.job_classes[1].idempotency, Idempotency::Idempotent);
-    HostSettings { authenticates_callers: callers_known, ..host }
+    HostSettings { authenticates_callers, ..host }
 }
 
 #[test]
@@ -115,7 +116,7 @@
         ),
     ];
     for (line, id, code, message) in cases {
-        assert_refused(line, &site(false), id, code, message);
+        assert_error_answer(line, &host_settings(false), id, code, message);
     }
     let line = jsonrpc::encode_error(&jsonrpc::invalid_time(7));
     let message = "field ts: expected a time in the past, and within the cut-off";
@@ -130,14 +131,14 @@
 
 #[test]
 fn answers_to_wrong_fields_of_a_job() {
-    let customer = "field owner: expected a customer of this site";
+    let owner_message = "field owner: expected a customer of this site";
     let cases = [
         ("read", r#""req":"a1""#, r#""req":"""#, "field req: expected a job's id"),
         ("read", r#""req":"a1""#, r#""req":"a 1""#, "field req: expected a job's id without spaces"),
         ("read", r#""ts":1000.5"#, r#""ts":0"#, "field ts: expected Unix milliseconds"),
         ("read", r#""via":2"#, r#""via":0.5"#, "field via: expected a whole number"),
-        ("read", r#""owner":"acme""#, r#""owner":"other""#, customer),
-        ("read", r#""owner":"acme""#, r#""owner":null"#, customer),
+        ("read", r#""owner":"acme""#, r#""owner":"other""#, owner_message),
+        ("read", r#""owner":"acme""#, r#""owner":null"#, owner_message),
         ("read", r#""resent":1"#, r#""resent":2"#, "field resent: expected 1, or no such field"),
         (
             "read",
@@ -150,16 +151,16 @@
         ("book", r#""opkey":"k1""#, r#""opkey":5"#, "field opkey: expected the mark of a numbered job"),
         ("read", r#""body":"aGk=""#, r#""body":"a""#, "field body: expected base64 for 2048 bytes at most"),
     ];
-    for (job_class, field, wrong, message) in cases {
+    for (job_class, field, invalid, message) in cases {
         let line = job_line(job_class);
         assert!(line.contains(field), "{field}");
-        assert_refused(&line.replace(field, wrong), &site(false), "7", -32602, message);
+        assert_error_answer(&line.replace(field, invalid), &host_settings(false), "7", -32602, message);
     }
-    let wrong_token = job_line("read").replace(r#""token":"t1""#, r#""token":5"#);
+    let invalid_token = job_line("read").replace(r#""token":"t1""#, r#""token":5"#);
     let message = "field token: expected a token of 2048 bytes at most";
-    assert_refused(&wrong_token, &site(true), "7", -32602, message);
+    assert_error_answer(&invalid_token, &host_settings(true), "7", -32602, message);
     let no_token = r#"{"jsonrpc":"2.0","id":7,"method":"hello","params":{}}"#;
-    assert_refused(no_token, &site(true), "7", -32602, "field token: expected a token");
+    assert_error_answer(no_token, &host_settings(true), "7", -32602, "field token: expected a token");
 }
 
 fn job_line(job_class: &str) -> String {
@@ -176,31 +177,32 @@
     format!("{{\"error\":{{\"code\":{code},\"message\":\"{message}\"}},\"id\":{id},\"jsonrpc\":\"2.0\"}}\n")
 }
 
-fn assert_refused(line: &str, site: &HostSettings, id: &str, code: i64, message: &str) {
-    let error = jsonrpc::decode(line.as_bytes(), site).expect_err(line);
+fn assert_error_answer(line: &str, settings: &HostSettings, id: &str, code: i64, message: &str) {
+    let error = jsonrpc::decode(line.as_bytes(), settings).expect_err(line);
     assert_eq!(jsonrpc::encode_error(&error), error_line(id, code, message), "{line}");
 }
 
 #[test]
 fn a_job_with_every_field_is_read() {
-    for (job_class, place, key) in [("read", 0, "s1"), ("book", 1, "k1")] {
-        for callers_known in [false, true] {
-            let decoded = jsonrpc::decode(job_line(job_class).as_bytes(), &site(callers_known));
+    for (job_class, class_index, key) in [("read", 0, "s1"), ("book", 1, "k1")] {
+        for authenticates_callers in [false, true] {
+            let decoded =
+                jsonrpc::decode(job_line(job_class).as_bytes(), &host_settings(authenticates_callers));
             let Ok(ClientMessage::Job(request)) = decoded else { panic!("{decoded:?}") };
-            assert_eq!((request.call_id, &*request.job.id, request.job.job_class), (7, "a1", place));
+            assert_eq!((request.call_id, &*request.job.id, request.job.job_class), (7, "a1", class_index));
             assert_eq!((request.job.tenant, request.names_tenant), (0, true));
             assert_eq!((request.job.received_at.as_ms(), request.job.queued_kb), (1000.5, 12.5));
             assert_eq!((request.job.priority_rank, request.job.is_retry), (0.5, true));
             assert_eq!((&*request.body, request.idempotency_key.as_deref()), ("aGk=", Some(key)));
-            assert_eq!(request.token.as_deref(), callers_known.then_some("t1"));
+            assert_eq!(request.token.as_deref(), authenticates_callers.then_some("t1"));
         }
     }
 }
 
 #[test]
 fn messages_other_than_jobs_are_read() {
-    let site = site(true);
-    let decode = |line: &str| jsonrpc::decode(line.as_bytes(), &site).expect(line);
+    let settings = host_settings(true);
+    let decode = |line: &str| jsonrpc::decode(line.as_bytes(), &settings).expect(line);
     let ping = decode(r#"{"jsonrpc":"2.0","id":3,"method":"ping"}"#);
     assert!(matches!(ping, ClientMessage::HealthCheck { call_id: 3 }), "{ping:?}");
     let hello = decode(r#"{"jsonrpc":"2.0","id":4,"method":"hello","params":{"token":"t1"}}"#);
