--- a/crates/hazelgrade-budget/src/lease_holder/mod.rs
+++ b/crates/hazelgrade-budget/src/lease_holder/mod.rs
@@ -1,9 +1,10 @@
-//! A node's side of budgets, as a state machine: the time, grants and what is in use come in, requests go out. At any
-//! time [`LeaseHolder::entitlement`] is what may be used.
+//! The lease holder of a node, as a state machine: its inputs are the time, grants and the node's usage, its outputs
+//! are lease requests. [`LeaseHolder::entitlement`] returns what the node may use at any time.
 //!
-//! A lease counts from its request, on a monotonic clock. Only the answer to the latest request is accepted: one
-//! that is late, doubled or from an earlier generation of the lessor changes nothing. After the lease only unleased
-//! units may be used; work that is in flight then goes on, and counts until it ends.
+//! A lease counts from the time of its request, on a monotonic clock. Only the answer to the latest request is
+//! accepted; an answer that is late, duplicated or from an earlier generation of the lessor changes nothing. After
+//! the lease has expired, only unleased units may be used for new work. Work in flight continues, and its units count
+//! as in use until it ends.
 
 mod lease;
 
@@ -16,40 +17,41 @@
 use lease::{HeldLease, bounded_span};
 use std::collections::BTreeMap;
 
-/// Time between requests until a lessor states one, in milliseconds.
+/// Time between requests until a lessor has stated one, in milliseconds.
 const INITIAL_RENEW_WITHIN_MS: f64 = 300.0;
-/// Shortest time between requests, whatever a lessor states, in milliseconds.
+/// Shortest time between requests, regardless of what a lessor states, in milliseconds.
 const MIN_REQUEST_GAP_MS: f64 = 5.0;
-/// Longest time between requests, whatever a lessor states, in milliseconds.
+/// Longest time between requests, regardless of what a lessor states, in milliseconds.
 const MAX_RENEW_WITHIN_MS: f64 = 60_000.0;
-/// A request without an answer is given up after the usual time between requests, the next one after twice that, and so
-/// on up to this many times the usual time: half a lease. If requests followed faster than answers arrive, no answer
-/// would ever be accepted.
+/// Upper limit of the exponential backoff, as a multiple of the usual time between requests: half a lease. A request
+/// without an answer is abandoned after the usual time, the next one after twice that time, and so on. If requests
+/// were sent faster than answers arrive, no answer would ever be accepted.
 const MAX_BACKOFF_FACTOR: f64 = 2.5;
-/// The most doublings that are computed; [`MAX_BACKOFF_FACTOR`] bounds the time before that.
+/// Limit of the doublings that are computed; [`MAX_BACKOFF_FACTOR`] limits the backoff before this one is reached.
 const MAX_BACKOFF_DOUBLINGS: i32 = 8;
-/// Ratio by which times between requests vary at random, so that a fleet does not send them in step.
+/// Ratio by which the time between requests varies at random, so that the nodes of a fleet do not send in step.
 const JITTER_RATIO: f64 = 0.2;
 
-/// The latest request.
+/// State of the latest request.
 #[derive(Clone, Debug, Default)]
 struct LatestRequest {
     sequence: u64,
     sent_at: Option<Time>,
-    /// When it was sent, while an answer to it is awaited.
+    /// Time at which the request was sent, as long as its answer is awaited.
     awaited_since: Option<Time>,
-    /// Requests before it that were given up without an answer, in a row.
+    /// Number of consecutive requests before this one that were abandoned without an answer.
     unanswered: i32,
-    /// Whether something changed since, so that the next request follows its answer at once.
+    /// Whether usage changed or a nudge arrived after the request, so that the next request follows the answer at
+    /// once.
     is_outdated: bool,
 }
 
-/// A node's leases of all budgets that bind it, from one lessor.
+/// A node's leases of all budgets that bind the node, from one lessor.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
     name: String,
     incarnation: u64,
-    latest: LatestRequest,
+    latest_request: LatestRequest,
     /// Sequence number of the latest request whose answer was accepted.
     last_accepted: u64,
     known_lessor: Option<KnownLessor>,
@@ -62,10 +64,10 @@
 }
 
 impl LeaseHolder {
-    /// A holder without any lease.
+    /// Creates a lease holder without any lease.
     ///
-    /// `incarnation` is drawn at random by each process; `unleased` are the units that this node may use without a
-    /// lease, by budget; `random` draws the jitter between requests.
+    /// `incarnation` is a random number drawn by each process at its start, `unleased` are the units that this node
+    /// may use without a lease, by budget, and `random` is the source of the jitter between requests.
     pub fn new(
         now: Time,
         name: &str,
@@ -78,7 +80,7 @@
         LeaseHolder {
             name: name.to_owned(),
             incarnation,
-            latest: LatestRequest::default(),
+            latest_request: LatestRequest::default(),
             last_accepted: 0,
             known_lessor: None,
             renew_within: Span::from_ms(INITIAL_RENEW_WITHIN_MS),
@@ -90,7 +92,8 @@
         }
     }
 
-    /// Binds the node by these budgets, at most [`MAX_LINES`]. Others stay only while the node has units of them.
+    /// Sets the budgets that bind the node, at most [`MAX_LINES`]. Other budgets are kept only while the node has
+    /// units of them. The next request is due at once.
     pub fn bind(&mut self, now: Time, budgets: &[String]) {
         for budget in budgets.iter().take(MAX_LINES) {
             self.leases.entry(budget.clone()).or_default();
@@ -99,13 +102,13 @@
         self.next_request_at = now;
     }
 
-    /// What may be used of a budget; nothing of one that does not bind the node.
+    /// Returns what the node may use of a budget: [`Entitlement::NONE`] if the budget does not bind the node.
     pub fn entitlement(&self, now: Time, budget: &str) -> Entitlement {
         self.leases.get(budget).map_or(Entitlement::NONE, |lease| lease.entitlement(now))
     }
 
-    /// Notes what is in use of a budget. A request follows at once if more is wanted than may be used, or if units
-    /// beyond that came out of use.
+    /// Records the node's usage of a budget. The next request is due at once if demand grew and exceeds the usable
+    /// units, or if units that were in use in excess of the usable ones became free.
     pub fn record_usage(&mut self, now: Time, budget: &str, usage: Usage) {
         let Some(lease) = self.leases.get_mut(budget) else { return };
         if lease.record_usage(now, usage) {
@@ -113,49 +116,51 @@
         }
     }
 
-    /// Makes the next request due as soon as the gap between requests allows, or after the awaited answer.
+    /// Makes the next request due as soon as the minimum gap allows or, if an answer is awaited, after that answer.
     fn request_soon(&mut self, now: Time) {
-        if self.latest.awaited_since.is_some() {
-            self.latest.is_outdated = true;
+        if self.latest_request.awaited_since.is_some() {
+            self.latest_request.is_outdated = true;
             return;
         }
-        let earliest = self.latest.sent_at.map_or(now, |at| at + Span::from_ms(MIN_REQUEST_GAP_MS));
+        let earliest = self.latest_request.sent_at.map_or(now, |at| at + Span::from_ms(MIN_REQUEST_GAP_MS));
         self.next_request_at = self.next_request_at.min(earliest.max(now));
     }
 
-    /// The lessor wants a request at once.
+    /// Handles the lessor's demand for a request at once.
     pub fn on_nudge(&mut self, now: Time) {
         self.request_soon(now);
     }
 
-    /// A connection to the lessor is up; requests on an earlier one are not answered any more.
+    /// Handles a new connection to the lessor. Requests on an earlier connection are no longer answered, so the next
+    /// request is due at once.
     pub fn on_connected(&mut self, now: Time) {
         self.next_request_at = now;
-        self.latest.awaited_since = None;
-        self.latest.unanswered = 0;
+        self.latest_request.awaited_since = None;
+        self.latest_request.unanswered = 0;
     }
 
-    /// Wants nothing from now on, and returns units as they become free.
+    /// Starts the drain: from now on the holder wants no units, and returns its units as they become free.
     pub fn start_drain(&mut self, now: Time) {
         self.draining = true;
-        // An answer that is still to come is outdated: the next request follows at once.
-        self.latest.awaited_since = None;
+        // An answer to an earlier request would be outdated, so the next request does not wait for it.
+        self.latest_request.awaited_since = None;
         self.next_request_at = now;
     }
 
-    /// When the next request is due.
+    /// Returns the time at which the next request is due.
     pub fn next_request_at(&self) -> Time {
         self.next_request_at
     }
 
-    /// The request that is due, if one is; it counts as sent.
+    /// Returns the request that is due, if there is one. The caller has to send it: the holder regards it as sent.
     pub fn take_request(&mut self, now: Time) -> Option<LeaseRequest> {
         if now < self.next_request_at || self.leases.is_empty() {
             return None;
         }
-        let unanswered = if self.latest.awaited_since.is_some() { self.latest.unanswered + 1 } else { 0 };
-        self.latest = LatestRequest {
-            sequence: self.latest.sequence + 1,
+        let unanswered =
+            if self.latest_request.awaited_since.is_some() { self.latest_request.unanswered + 1 } else { 0 };
+        self.latest_request = LatestRequest {
+            sequence: self.latest_request.sequence + 1,
             sent_at: Some(now),
             awaited_since: Some(now),
             unanswered,
@@ -169,7 +174,7 @@
         Some(LeaseRequest {
             holder: self.name.clone(),
             incarnation: self.incarnation,
-            sequence: self.latest.sequence,
+            sequence: self.latest_request.sequence,
             last_accepted: self.last_accepted,
             known_lessor: self.known_lessor.clone(),
             draining,
@@ -181,21 +186,22 @@
         1.0 + JITTER_RATIO * (self.random.next_f64() - 0.5)
     }
 
-    /// Applies a grant. Returns `false` if it is ignored because it does not answer the latest request or is of an
-    /// earlier generation.
+    /// Applies a grant. Returns `false` if the grant is ignored, because it does not answer the latest request or
+    /// comes from an earlier generation of the lessor.
     pub fn on_grant(&mut self, now: Time, grant: &LeaseGrant) -> bool {
-        // A lease counts from its request: an answer to any other is of no use.
-        let answered = self.latest.awaited_since.filter(|_| grant.sequence == self.latest.sequence);
+        // A lease counts from the time of its request, which is kept for the latest request only.
+        let answered =
+            self.latest_request.awaited_since.filter(|_| grant.sequence == self.latest_request.sequence);
         let Some(requested_at) = answered.filter(|_| !self.is_of_earlier_generation(grant)) else {
             self.ignored_grants += 1;
             return false;
         };
-        self.latest.awaited_since = None;
-        self.latest.unanswered = 0;
+        self.latest_request.awaited_since = None;
+        self.latest_request.unanswered = 0;
         self.last_accepted = grant.sequence;
         self.known_lessor = Some(KnownLessor { site: grant.lessor.clone(), generation: grant.generation });
-        let least = Span::from_ms(MIN_REQUEST_GAP_MS);
-        self.renew_within = bounded_span(grant.renew_within_ms, MAX_RENEW_WITHIN_MS).max(least);
+        let min_renew_within = Span::from_ms(MIN_REQUEST_GAP_MS);
+        self.renew_within = bounded_span(grant.renew_within_ms, MAX_RENEW_WITHIN_MS).max(min_renew_within);
         let jitter = self.jitter_factor();
         self.next_request_at = now.max(requested_at + self.renew_within * jitter);
         for line in &grant.lines {
@@ -203,7 +209,7 @@
                 lease.apply_grant(now, requested_at, line, self.draining);
             }
         }
-        if self.latest.is_outdated || self.leases.values().any(HeldLease::is_shrunk) {
+        if self.latest_request.is_outdated || self.leases.values().any(HeldLease::is_shrunk) {
             self.request_soon(now);
         }
         true
@@ -215,22 +221,22 @@
             .is_some_and(|known| known.site == grant.lessor && grant.generation < known.generation)
     }
 
-    /// Whether nothing is in use and all leases are returned or over.
+    /// Whether no units are in use and all leases have been returned or have expired.
     pub fn has_returned_all(&self, now: Time) -> bool {
         self.leases.values().all(|lease| lease.is_returned(now))
     }
 
-    /// The number that this process drew at its start.
+    /// Returns the random number that this process drew at its start.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Grants that were ignored: late, doubled, or of an earlier generation.
+    /// Returns the number of grants that were ignored: late, duplicated, or from an earlier generation of the lessor.
     pub fn ignored_grants(&self) -> u64 {
         self.ignored_grants
     }
 
-    /// The budgets that bind the node.
+    /// Returns the names of the budgets that bind the node, and of those of which the node still has units.
     pub fn budgets(&self) -> impl Iterator<Item = &String> {
         self.leases.keys()
     }
--- a/crates/hazelgrade-budget/src/lessor/division.rs
+++ b/crates/hazelgrade-budget/src/lessor/division.rs
@@ -1,25 +1,25 @@
-//! When and how a budget is divided among its lease holders.
+//! Division of a budget among its lease holders: its timing, the holders' claims, and the resulting targets.
 
 use super::HolderId;
-use super::book::{BudgetBook, Lease};
+use super::leased_budget::{Lease, LeasedBudget};
 use crate::Units;
 use crate::division::{Claim, Precedence, divide};
 use hazelgrade::time::{Span, Time};
 use std::collections::BTreeMap;
 
-/// Most divisions of a budget during one lease.
+/// Limit of the divisions of a budget during one lease.
 const MAX_DIVISIONS_PER_LEASE: f64 = 20.0;
-/// Half-life of the smoothing of demand while it grows, as a ratio of a lease. Demand comes in bursts, and all holders
-/// are never at their peaks together.
+/// Half-life of the smoothing of growing demand, as a ratio of the lease. Demand comes in bursts, and the holders do
+/// not reach their peaks at the same time.
 const RISE_HALF_LIFE_RATIO: f64 = 0.1;
-/// The same when demand falls.
+/// Half-life of the smoothing of falling demand, as a ratio of the lease.
 const FALL_HALF_LIFE_RATIO: f64 = 0.4;
-/// Units beyond the mean demand, as a ratio of its square root: calls that arrive at random then mostly find a free
-/// unit.
+/// Headroom above the mean demand, as a ratio of the square root of the mean: with it, calls that arrive at random
+/// mostly find a free unit.
 const HEADROOM_RATIO: f64 = 0.5;
 
 impl Lease {
-    /// Smoothed demand in units as of `now`, moving towards what the holder wanted last.
+    /// Returns the smoothed demand in units as of `now`, which moves towards the units that the holder wanted last.
     pub(super) fn demand_now(&self, now: Time, lease: Span) -> f64 {
         let wanted = f64::from(self.wanted);
         let half_life_ratio = if wanted > self.demand { RISE_HALF_LIFE_RATIO } else { FALL_HALF_LIFE_RATIO };
@@ -33,7 +33,7 @@
         Claim {
             min_share: if self.draining { 0 } else { min_share },
             weight: 1,
-            // What it may use without a lease need not be granted.
+            // Units that the holder may use without a lease need not be granted.
             demand: (demand.ceil() as Units).saturating_sub(self.unleased),
             current: if self.draining { 0 } else { self.granted },
             precedence: self.precedence(now, lease),
@@ -51,12 +51,12 @@
     }
 }
 
-impl BudgetBook {
+impl LeasedBudget {
     fn min_division_interval(&self) -> Span {
         self.terms.lease * (1.0 / MAX_DIVISIONS_PER_LEASE)
     }
 
-    /// Requests that the budget is divided again as soon as the interval between divisions allows.
+    /// Requests a new division as soon as the minimum interval between divisions allows.
     pub(super) fn request_division(&mut self) {
         self.division_requested = true;
     }
@@ -65,14 +65,14 @@
         self.division_requested
     }
 
-    /// When a requested division may be made.
+    /// Returns the earliest time of a requested division; `None` if none is requested.
     pub(super) fn next_division(&self, now: Time) -> Option<Time> {
         let due_at = || self.divided_at.map_or(now, |at| at + self.min_division_interval());
         self.division_requested.then(due_at)
     }
 
-    /// Divides the leasable units and sets the target of each holder; if the last division was too recent, only notes
-    /// that one is due.
+    /// Divides the leasable units and sets the target of each holder. If the latest division is more recent than the
+    /// minimum interval, only records that a division is requested.
     pub(super) fn divide(&mut self, now: Time) {
         if self.divided_at.is_some_and(|at| now.since(at) < self.min_division_interval()) {
             self.division_requested = true;
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Units for each holder that stays and accepts answers.
+    /// Returns the units of each holder that neither drains nor is unresponsive.
     fn targets(&self, now: Time) -> BTreeMap<HolderId, Units> {
         let mut holders = Vec::new();
         let mut claims = Vec::new();
@@ -107,13 +107,13 @@
         holders.into_iter().zip(shares).collect()
     }
 
-    /// Holders that are to send a request now: all that have more than their target, and as many of those that have
-    /// less as there are unbooked units. Each is returned once per division.
+    /// Returns the holders that should send a request now: all holders above their target, and as many holders below
+    /// their target as there are unbooked units. A holder is returned once per division.
     pub(super) fn take_holders_to_nudge(&mut self) -> Vec<HolderId> {
         let unbooked = self.unbooked();
-        let below = self.below_target.len().min(unbooked as usize);
+        let below_count = self.below_target.len().min(unbooked as usize);
         let mut holders = std::mem::take(&mut self.above_target);
-        holders.extend(self.below_target.drain(..below));
+        holders.extend(self.below_target.drain(..below_count));
         holders
     }
 }
--- a/crates/hazelgrade-budget/src/lessor/events.rs
+++ b/crates/hazelgrade-budget/src/lessor/events.rs
@@ -1,4 +1,4 @@
-//! A lessor's events, its actions, and the reasons for which it grants nothing new.
+//! A lessor's events and actions, and the reasons why a lessor grants nothing new.
 
 use crate::Units;
 use crate::ownership::UnconfirmedSites;
@@ -9,7 +9,7 @@
 use serde::{Serialize, Serializer};
 use std::collections::BTreeMap;
 
-/// A connection of a lease holder, by the number that the caller gave it.
+/// Number of a lease holder's connection, assigned by the lessor's caller.
 pub type Connection = u64;
 
 /// An event that a lessor handles.
@@ -19,27 +19,27 @@
     Requested(Connection, LeaseRequest),
     /// A connection ended.
     Disconnected(Connection),
-    /// The document, or what this site owns by it, changed.
+    /// The budget document, or the units that this site owns, changed.
     TermsChanged {
-        /// Terms in effect, by budget.
+        /// Terms in effect, by budget name.
         terms: BTreeMap<String, BudgetTerms>,
-        /// Units that this site owns, by budget.
+        /// Units that this site owns, by budget name.
         owned: BTreeMap<String, Units>,
     },
-    /// All other sites reported since the start, or these did not.
+    /// Result of waiting for the other sites: all have reported since the start, or some have not.
     OtherSites(Result<(), UnconfirmedSites>),
-    /// The record of the latest [`Action::Store`] is stored, or could not be.
+    /// The record of the latest [`Action::Store`] has been stored, or could not be stored.
     Stored(Result<(), StoreFailed>),
-    /// A lease holder or another site, named here, knows a later generation of this lessor.
+    /// The named lease holder or site knows a later generation of this lessor than the stored one.
     StaleStore(String),
-    /// The time of [`Lessor::wakes_at`](super::Lessor::wakes_at) came.
+    /// The time that [`Lessor::wakes_at`](super::Lessor::wakes_at) returned has come.
     Timer,
 }
 
-/// What the lessor's caller is to do.
+/// An action that the lessor's caller has to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a grant.
+    /// Send a grant on a connection.
     Grant(Connection, LeaseGrant),
     /// Ask the lease holder on this connection to send a request at once.
     Nudge(Connection),
@@ -52,13 +52,13 @@
 /// A past event of a lessor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HistoryEntry {
-    /// When, by the lessor's clock.
+    /// Time of the event by the lessor's clock.
     pub at: Time,
-    /// What happened.
+    /// Description of the event.
     pub text: String,
 }
 
-/// The record could not be written; the text is the store's.
+/// The lessor's record could not be written; contains the error text of the store.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct StoreFailed(pub String);
@@ -69,32 +69,33 @@
     }
 }
 
-/// A lease holder or another site knows a later generation than the store: the store is an old copy.
+/// A lease holder or another site knows a later generation of the lessor than the store has, so the store is an old
+/// copy.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{witness} knows a later start of this keeper: its store is an old copy")]
 pub struct StaleStore {
-    /// The lease holder or site that knows it.
+    /// Name of the lease holder or site that knows the later generation.
     pub witness: String,
 }
 
-/// Why a lessor grants nothing new. Lease holders keep what they hold.
+/// Why a lessor grants nothing new. Lease holders may renew what they hold.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum GrantsBlocked {
-    /// The store is an old copy: an operator has to reopen the lessor.
+    /// The store is an old copy. An operator has to reopen the lessor.
     #[error(transparent)]
     StaleStore(StaleStore),
-    /// Leases of an earlier start may be in use.
+    /// Leases that were granted before the latest start may still be in use.
     #[error("leases of the start before may be in use for {} ms more", .left.as_ms().ceil())]
     Recovering {
-        /// Until they are certainly over.
+        /// Time until those leases are certainly over.
         left: Span,
     },
-    /// Other sites have not reported since the start.
+    /// Some other sites have not reported since this site's start.
     #[error(transparent)]
     Unconfirmed(UnconfirmedSites),
 }
 
-/// Serialized as its text.
+/// Serialized as the display text.
 impl Serialize for GrantsBlocked {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.collect_str(self)
--- a/crates/hazelgrade-budget/src/lessor/book.rs
+++ b/crates/hazelgrade-budget/src/lessor/leased_budget.rs
@@ -1,4 +1,4 @@
-//! The book of one budget: the leases of its holders, and how many units are booked for them.
+//! One budget as its lessor leases it: the holders' leases, and the number of units booked for them.
 
 use super::{HolderId, max_grant_time, saturated};
 use crate::Units;
@@ -7,29 +7,29 @@
 use hazelgrade::time::Time;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What one holder has of a budget, as the lessor books it.
+/// One holder's lease of a budget, as the lessor has recorded it.
 #[derive(Clone, Debug)]
 pub(super) struct Lease {
-    /// The most units that it may hold.
+    /// The most units that the holder may hold.
     pub(super) booked: Units,
     pub(super) granted: Units,
     pub(super) in_use: Units,
     pub(super) wanted: Units,
-    /// Units that it may use without a lease.
+    /// Units that the holder may use without a lease.
     pub(super) unleased: Units,
-    /// Smoothed `wanted`, as of `demand_at`.
+    /// Exponentially smoothed `wanted`, as of `demand_at`.
     pub(super) demand: f64,
     pub(super) demand_at: Time,
-    /// When the lease and all that was begun under it are certainly over.
+    /// Time at which the lease and all work that was started under it are certainly over.
     pub(super) expires_at: Time,
-    /// Its units by the latest division.
+    /// The holder's units according to the latest division.
     pub(super) target: Units,
-    /// Since when it wants units and has none.
+    /// Time since which the holder has wanted units and has had none.
     pub(super) starved_since: Option<Time>,
-    /// Since when it has units.
+    /// Time since which the holder has had units.
     pub(super) served_since: Option<Time>,
     pub(super) draining: bool,
-    /// It sends requests and accepts no answer, so units granted to it would not be used.
+    /// Whether the holder sends requests but accepts no answers, so that units granted to it would not be used.
     pub(super) unresponsive: bool,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// Units that came back because a lease is over.
+/// Units that became free because a lease has expired.
 #[derive(Clone, Debug)]
 pub(super) struct ExpiredLease {
     /// Name of the holder.
@@ -61,27 +61,30 @@
     pub(super) units: Units,
 }
 
-/// The book of one budget.
+/// One budget as its lessor leases it.
 #[derive(Clone, Debug)]
-pub(super) struct BudgetBook {
+pub(super) struct LeasedBudget {
     pub(super) terms: BudgetTerms,
     owned: Units,
     pub(super) leases: BTreeMap<HolderId, Lease>,
     pub(super) divided_at: Option<Time>,
     pub(super) division_requested: bool,
-    /// Sums over `leases`. They are updated at each change, as thousands of holders send several requests per lease.
+    /// Sum of `booked` over `leases`. Both sums are updated at each change instead of being recomputed, because
+    /// thousands of holders send several requests per lease.
     booked: u64,
+    /// Sum of `unleased` over `leases`.
     unleased: u64,
-    /// No lease expires before this.
+    /// Lower limit of the expiry times of all leases.
     next_expiry: Option<Time>,
-    /// Since the latest division: holders that have more than their target, and less.
+    /// Holders above their target that are still to be nudged because of the latest division.
     pub(super) above_target: Vec<HolderId>,
+    /// Holders below their target that are still to be nudged because of the latest division.
     pub(super) below_target: VecDeque<HolderId>,
 }
 
-impl BudgetBook {
-    pub(super) fn new(terms: BudgetTerms, owned: Units) -> BudgetBook {
-        BudgetBook {
+impl LeasedBudget {
+    pub(super) fn new(terms: BudgetTerms, owned: Units) -> LeasedBudget {
+        LeasedBudget {
             terms,
             owned,
             leases: BTreeMap::new(),
@@ -119,25 +122,25 @@
         self.leases.contains_key(id)
     }
 
-    /// Whether nobody has a lease of it.
+    /// Whether no holder has a lease of the budget.
     pub(super) fn is_unused(&self) -> bool {
         self.leases.is_empty()
     }
 
-    /// Units that all holders together may hold.
+    /// Returns the units that all holders together may hold.
     pub(super) fn booked(&self) -> u64 {
         self.booked
     }
 
-    /// Units that may be leased here: owned ones, less those set aside, less those beyond that which live nodes may use
-    /// without a lease.
+    /// Returns the units that may be leased at this site: the owned units less those set aside, and less those that
+    /// nodes may use without a lease beyond the units set aside.
     pub(super) fn leasable(&self) -> Units {
         let set_aside = u64::from(self.terms.set_aside);
-        let past_set_aside = self.unleased.saturating_sub(set_aside);
-        saturated(u64::from(self.owned).saturating_sub(set_aside + past_set_aside))
+        let unleased_beyond_set_aside = self.unleased.saturating_sub(set_aside);
+        saturated(u64::from(self.owned).saturating_sub(set_aside + unleased_beyond_set_aside))
     }
 
-    /// Leasable units that are not booked.
+    /// Returns the leasable units that are not booked.
     pub(super) fn unbooked(&self) -> u64 {
         u64::from(self.leasable()).saturating_sub(self.booked)
     }
@@ -146,7 +149,7 @@
         self.next_expiry
     }
 
-    /// Removes a holder.
+    /// Removes a holder's lease and returns it.
     pub(super) fn remove(&mut self, id: &HolderId) -> Option<Lease> {
         let lease = self.leases.remove(id)?;
         self.booked -= u64::from(lease.booked);
@@ -155,16 +158,16 @@
         Some(lease)
     }
 
-    /// Removes holders whose leases are over.
+    /// Removes the leases that have expired and returns their units.
     pub(super) fn expire(&mut self, now: Time) -> Vec<ExpiredLease> {
         if self.next_expiry.is_none_or(|at| now < at) {
             return Vec::new();
         }
-        let is_over = |lease: &Lease| lease.expires_at <= now;
-        let over: Vec<HolderId> =
-            self.leases.iter().filter(|(_, lease)| is_over(lease)).map(|(id, _)| id.clone()).collect();
+        let has_expired = |lease: &Lease| lease.expires_at <= now;
+        let expired_ids: Vec<HolderId> =
+            self.leases.iter().filter(|(_, lease)| has_expired(lease)).map(|(id, _)| id.clone()).collect();
         let mut expired = Vec::new();
-        for id in over {
+        for id in expired_ids {
             if let Some(lease) = self.remove(&id) {
                 expired.push(ExpiredLease { holder: id.name, units: lease.booked });
             }
@@ -173,7 +176,8 @@
         expired
     }
 
-    /// Books what a holder's request says; returns whether the holder is new, or changed by enough to divide again.
+    /// Records a holder's request: its usage, and the units it holds as booked. Returns whether the holder is new or
+    /// has changed by enough to divide the budget again.
     pub(super) fn record_request(
         &mut self,
         now: Time,
@@ -206,7 +210,8 @@
         RecordedRequest { is_new, changed }
     }
 
-    /// Books a grant that answers a line of a holder's request.
+    /// Records the grant that answers a line of a holder's request. The holder is booked for the larger of the units
+    /// that it holds and the units granted, until it confirms the grant.
     pub(super) fn record_grant(&mut self, now: Time, id: &HolderId, line: &RequestLine, units: Units) {
         let Some(lease) = self.leases.get_mut(id) else { return };
         let booked = line.held.max(units);
@@ -219,11 +224,11 @@
     }
 }
 
-/// What booking a request showed.
+/// Result of recording a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RecordedRequest {
-    /// Whether the holder had no lease of this budget before.
+    /// Whether the holder had no lease of the budget before.
     pub(super) is_new: bool,
-    /// Whether its demand, what it holds or its state changed by enough to divide again.
+    /// Whether the holder's demand, held units or state changed by enough to divide the budget again.
     pub(super) changed: bool,
 }
