--- a/crates/hazelgrade-budget/src/ownership/commands.rs
+++ b/crates/hazelgrade-budget/src/ownership/commands.rs
@@ -1,4 +1,4 @@
-//! Operators' commands on what a site owns. Each has an id and is carried out once.
+//! Operators' commands on the units that a site owns. Each command has an id and is carried out once.
 
 use super::{Action, Ownership};
 use crate::Units;
@@ -6,41 +6,42 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The most command ids that are remembered.
+/// Limit of the ids of completed commands that are kept.
 const MAX_COMPLETED_COMMANDS: usize = 256;
 
-/// What a command did.
+/// Result of a command that was carried out or had been carried out before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// A command with this id was carried out before.
+    /// A command with this id had been carried out before.
     AlreadyDone {
         /// Id of the command.
         id: String,
     },
     /// Units were sent to another site.
     Sent {
-        /// How many units.
+        /// Number of units.
         units: Units,
         /// Name of the budget.
         budget: String,
-        /// The other site.
+        /// Name of the receiving site.
         to: String,
     },
-    /// The site had been declared lost before.
+    /// The site had already been declared lost.
     AlreadyRetired {
         /// The lost site.
         site: String,
     },
-    /// The site is declared lost.
+    /// The site has been declared lost.
     Retired {
         /// The lost site.
         site: String,
-        /// What was taken over from it; nothing yet while other sites have not reported their transfers with it.
+        /// Units that were taken over from the lost site; `None` while other sites have yet to report their transfers
+        /// with the lost site.
         taken_over: Option<TakenOver>,
     },
 }
 
-/// Units that were taken over, by budget.
+/// Units that were taken over from a lost site, by budget name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TakenOver(pub BTreeMap<String, Units>);
 
@@ -68,51 +69,51 @@
     }
 }
 
-/// Why a command was not carried out. Nothing was changed.
+/// Why a command was not carried out. A command that fails changes nothing.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum CommandError {
-    /// The document in effect has no such budget.
+    /// The document in effect has no budget of this name.
     #[error("there is no budget {budget}")]
     UnknownBudget {
         /// The name that was given.
         budget: String,
     },
-    /// Units can't be moved to this site.
+    /// Units can't be moved to this site, because it is unknown, this site itself, or declared lost.
     #[error("{site} is no other site of this budget")]
-    NotAReceiver {
+    InvalidReceiver {
         /// The name that was given.
         site: String,
     },
-    /// More units were to be moved than are free.
+    /// The command asks to move more units than are free.
     #[error("{units} of {budget} are not free here: {free} are")]
-    NotFree {
-        /// Units that were to be moved.
+    InsufficientFreeUnits {
+        /// Units that the command asks to move.
         units: Units,
         /// Name of the budget.
         budget: String,
         /// Units that are free.
         free: Units,
     },
-    /// There is no such other site.
+    /// No other site has this name.
     #[error("{site} is no other site")]
     UnknownSite {
         /// The name that was given.
         site: String,
     },
-    /// Grants of the site may still be in use.
+    /// Units that the site granted may still be in use.
     #[error("what {site} granted may be in use for {} ms more: say it again then", .wait.as_ms().ceil())]
     TooEarly {
-        /// The site that was to be retired.
+        /// Name of the site that the command asks to retire.
         site: String,
-        /// Time until it may be retired.
+        /// Time until the site may be retired.
         wait: Span,
     },
 }
 
-/// `3 of calls, 2 of retries`.
+/// Formats units by budget for operators: `3 of calls, 2 of retries`.
 pub(super) fn units_by_budget(units: &BTreeMap<String, Units>) -> String {
-    let shown: Vec<String> = units.iter().map(|(budget, units)| format!("{units} of {budget}")).collect();
-    shown.join(", ")
+    let parts: Vec<String> = units.iter().map(|(budget, units)| format!("{units} of {budget}")).collect();
+    parts.join(", ")
 }
 
 impl Ownership {
@@ -120,15 +121,16 @@
         self.ledger.completed_commands.iter().any(|completed| completed == id)
     }
 
-    /// Remembers that a command was carried out.
-    fn complete(&mut self, id: &str) {
+    /// Records the id of a command that was carried out; the oldest id is dropped beyond [`MAX_COMPLETED_COMMANDS`].
+    fn record_completed(&mut self, id: &str) {
         self.ledger.completed_commands.push(id.to_owned());
         if self.ledger.completed_commands.len() > MAX_COMPLETED_COMMANDS {
             self.ledger.completed_commands.remove(0);
         }
     }
 
-    /// Moves units to another site, at most `free`. With an id that was carried out before nothing changes.
+    /// Moves units to another site, at most `free` ones. If a command with this id was carried out before, nothing
+    /// changes.
     ///
     /// # Errors
     /// The budget or the site is unknown, or the units are not free.
@@ -148,28 +150,29 @@
             return Err(CommandError::UnknownBudget { budget: budget.to_owned() });
         }
         if !self.peers.contains_key(to) || self.ledger.is_retired(to) {
-            return Err(CommandError::NotAReceiver { site: to.to_owned() });
+            return Err(CommandError::InvalidReceiver { site: to.to_owned() });
         }
         if units > free {
-            return Err(CommandError::NotFree { units, budget: budget.to_owned(), free });
+            return Err(CommandError::InsufficientFreeUnits { units, budget: budget.to_owned(), free });
         }
-        self.complete(id);
+        self.record_completed(id);
         self.debit(to, budget, units, actions);
         Ok(CommandOutcome::Sent { units, budget: budget.to_owned(), to: to.to_owned() })
     }
 
-    /// The earliest time at which nothing that a site granted can be in use, if it stopped right after its last report;
-    /// `max_grant_time` is the longest time for which a grant may be used. `None` if it never reported.
+    /// Returns the earliest time at which no unit that `site` granted can be in use, provided that the site stopped
+    /// right after its last report; `None` if the site has never reported. `max_grant_time` is the longest time for
+    /// which a grant may be used.
     pub fn safe_to_retire_at(&self, site: &str, max_grant_time: Span) -> Option<Time> {
         let last_report = self.peers.get(site).and_then(|peer| peer.last_report);
         last_report.map(|at| at + max_grant_time)
     }
 
-    /// Declares a site lost for good; what it owned is owned here once all other sites reported their transfers
-    /// with it.
+    /// Declares a site lost for good. This site takes over the units that the lost site owned, once all other sites
+    /// have reported their transfers with the lost site.
     ///
     /// # Errors
-    /// The site is unknown, or it is earlier than `safe_at`.
+    /// The site is unknown, or `now` is before `safe_at`.
     pub fn retire(
         &mut self,
         id: &str,
@@ -181,7 +184,8 @@
         if self.ledger.is_retired(site) {
             return Ok(CommandOutcome::AlreadyRetired { site: site.to_owned() });
         }
-        // It may have been about something else: that is no reason to say that this site is declared lost.
+        // The earlier command with this id may have been a different one, so the outcome must not claim that the site
+        // is lost.
         if self.is_completed(id) {
             return Ok(CommandOutcome::AlreadyDone { id: id.to_owned() });
         }
@@ -194,9 +198,9 @@
         let times = self.ledger.retired.get(site).map_or(1, |before| before.times + 1);
         let successor = self.site.clone();
         self.declare_lost(site, times, &successor);
-        self.complete(id);
+        self.record_completed(id);
         actions.push(Action::Store(self.ledger.clone()));
-        actions.push(Action::Log(format!("{site} is declared lost")));
+        actions.push(Action::Log(format!("site {site} was declared lost by an operator")));
         self.take_over(actions);
         let taken_over = self.ledger.retired.get(site).and_then(|retired| retired.taken_over.clone());
         Ok(CommandOutcome::Retired { site: site.to_owned(), taken_over: taken_over.map(TakenOver) })
--- a/crates/hazelgrade-budget/src/ownership/reports.rs
+++ b/crates/hazelgrade-budget/src/ownership/reports.rs
@@ -1,4 +1,4 @@
-//! Reports between sites: what this one reports, and what follows from another's report.
+//! Reports between sites: composing this site's reports and handling those of other sites.
 
 use super::{Action, Ownership};
 use crate::Units;
@@ -7,10 +7,10 @@
 use std::collections::BTreeMap;
 
 impl Ownership {
-    /// This site's report to another one.
+    /// Returns this site's report to another site.
     ///
-    /// `overcommitted`: more is leased or in use here than is owned, in any budget. `shortfalls`: units wanted here
-    /// beyond what is owned, by budget.
+    /// `overcommitted` states whether more units of any budget are leased or in use at this site than it owns.
+    /// `shortfalls` are the units wanted at this site beyond the owned ones, by budget name.
     pub fn report_to(
         &self,
         to: &str,
@@ -35,7 +35,8 @@
     fn report_line(&self, to: &str, budget: &str, shortfall: Units) -> SiteReportLine {
         let totals = self.ledger.transfers_with(to, budget).copied().unwrap_or_default();
         let net_owned = self.net_owned(budget);
-        // What a successor took over from this site comes back like what this site lent.
+        // A site that surrendered its units recalls its documented share, as if it had lent these units to its
+        // successor.
         let share = if self.ledger.surrendered > 0 {
             self.terms.get(budget).map_or(0, |terms| terms.site_share(&self.site))
         } else {
@@ -59,8 +60,9 @@
         })
     }
 
-    /// Handles another site's report. A report changes no ownership if it is for another site, from an unknown site, of
-    /// an earlier generation, or from a site that was declared lost and has not surrendered.
+    /// Handles another site's report. A report does not change the ownership if it is addressed to another site, or
+    /// if it comes from an unknown site, from an earlier generation, or from a site that was declared lost and has
+    /// not surrendered its units.
     pub fn on_report(&mut self, now: Time, report: &SiteReport, actions: &mut Vec<Action>) {
         if report.to != self.site || !self.peers.contains_key(&report.from) {
             return;
@@ -72,7 +74,7 @@
         if report.known_generation > self.generation {
             actions.push(Action::StaleStore(report.from.clone()));
         }
-        self.learn_of_retired(report, actions);
+        self.record_retired(report, actions);
         if !self.readmit(report, actions) {
             return;
         }
@@ -83,7 +85,7 @@
         self.take_over(actions);
     }
 
-    /// Raises the transfer totals to those of the report, and notes its generation.
+    /// Raises the transfer totals to those of the report, and records the generation of the reporting site.
     fn update_transfers(&mut self, report: &SiteReport, actions: &mut Vec<Action>) {
         let previous = self.ledger.peer_generations.insert(report.from.clone(), report.generation);
         let mut changed = previous != Some(report.generation);
@@ -92,13 +94,16 @@
         for line in &report.lines {
             let totals = transfers.entry(line.budget.clone()).or_default();
             if line.sent > totals.received {
-                let arrived = line.sent - totals.received;
-                log.push(format!("{}: {arrived} came from {}", line.budget, report.from));
+                let newly_received = line.sent - totals.received;
+                log.push(format!(
+                    "budget {}: received {newly_received} units from site {}",
+                    line.budget, report.from
+                ));
                 totals.received = line.sent;
                 changed = true;
             }
-            // The other site received more than the store says was sent: the store is an old copy, and the units no
-            // longer belong to this site.
+            // The other site has received more units than this site's store records as sent: the store is an old
+            // copy, and this site no longer owns those units.
             if line.received > totals.sent {
                 totals.sent = line.received;
                 changed = true;
--- a/crates/hazelgrade-budget/src/ownership/retirement.rs
+++ b/crates/hazelgrade-budget/src/ownership/retirement.rs
@@ -1,5 +1,5 @@
-//! Sites that are declared lost: their transfers are settled, a successor takes over what they owned, and they are
-//! readmitted once they surrendered it.
+//! Retirement of sites that are declared lost: their transfers are settled, a successor takes over the units that
+//! they owned, and they are readmitted once they have surrendered those units.
 
 use super::{Action, Ownership, Peer};
 use crate::Units;
@@ -8,8 +8,9 @@
 use std::collections::BTreeMap;
 
 impl Ownership {
-    /// Learns from a report which sites were declared lost; this site may be among them.
-    pub(super) fn learn_of_retired(&mut self, report: &SiteReport, actions: &mut Vec<Action>) {
+    /// Records the sites that were declared lost according to a report. If this site is among them, it surrenders all
+    /// its units.
+    pub(super) fn record_retired(&mut self, report: &SiteReport, actions: &mut Vec<Action>) {
         let mut changed = false;
         for (site, reported) in &report.retired {
             if *site == self.site {
@@ -17,7 +18,7 @@
                     self.surrender(reported.times);
                     changed = true;
                     actions.push(Action::Log(format!(
-                        "{} says that this site was declared lost: it owns nothing now",
+                        "site {} reports that this site was declared lost; this site surrendered all its units",
                         report.from
                     )));
                 }
@@ -27,7 +28,10 @@
             if known.is_none_or(|known| known.times < reported.times) && !reported.readmitted {
                 self.declare_lost(site, reported.times, &reported.successor);
                 changed = true;
-                actions.push(Action::Log(format!("{site} was declared lost at {}", reported.successor)));
+                actions.push(Action::Log(format!(
+                    "site {site} was declared lost at site {}",
+                    reported.successor
+                )));
             }
         }
         if changed {
@@ -35,8 +39,8 @@
         }
     }
 
-    /// Gives up all that this site owned: it now belongs to the successor, which settles all transfers. What lease
-    /// holders still use is taken back from them.
+    /// Surrenders all units that this site owned: they now belong to the successor, which settles all transfers.
+    /// Units that lease holders still use are taken back from the holders.
     fn surrender(&mut self, times: u64) {
         self.ledger.surrendered = times;
         self.ledger.transfers.clear();
@@ -48,7 +52,8 @@
         self.ledger.shares.values_mut().for_each(|share| *share = 0);
     }
 
-    /// Whether a report counts. That of a retired site counts once the site has surrendered; then it is readmitted.
+    /// Returns whether a report may be applied. A retired site is readmitted, and its reports are applied again, once
+    /// it reports that it has surrendered its units.
     pub(super) fn readmit(&mut self, report: &SiteReport, actions: &mut Vec<Action>) -> bool {
         let Some(retired) = self.ledger.retired.get_mut(&report.from) else { return true };
         if retired.readmitted {
@@ -58,11 +63,14 @@
             return false;
         }
         retired.readmitted = true;
-        actions.push(Action::Log(format!("{} is back and owns nothing yet", report.from)));
+        actions.push(Action::Log(format!(
+            "site {} surrendered its units and is readmitted; it owns no units yet",
+            report.from
+        )));
         true
     }
 
-    /// Notes a site as lost, with the transfers between it and this site until now.
+    /// Records a site as lost, with the transfers between the lost site and this site until now.
     pub(super) fn declare_lost(&mut self, site: &str, times: u64, successor: &str) {
         let transfers = self.ledger.transfers.remove(site).unwrap_or_default();
         let taken_over_before = self.ledger.retired.remove(site).and_then(|retired| retired.taken_over);
@@ -82,8 +90,8 @@
         self.ledger.retired.insert(site.to_owned(), retired);
     }
 
-    /// Takes over what lost sites owned if this site is their successor and all other sites reported their transfers
-    /// with them.
+    /// Takes over the units of each lost site whose successor is this site, once all other sites have reported their
+    /// transfers with the lost site.
     pub(super) fn take_over(&mut self, actions: &mut Vec<Action>) {
         let settled: Vec<String> = self
             .ledger
@@ -94,12 +102,12 @@
             .collect();
         for site in settled {
             let taken_over = self.owned_by_retired(&site);
-            let shown = super::commands::units_by_budget(&taken_over);
+            let taken_over_text = super::commands::units_by_budget(&taken_over);
             if let Some(retired) = self.ledger.retired.get_mut(&site) {
                 retired.taken_over = Some(taken_over);
             }
             actions.push(Action::Store(self.ledger.clone()));
-            actions.push(Action::Log(format!("{shown} that {site} owned are owned here now")));
+            actions.push(Action::Log(format!("took over from lost site {site}: {taken_over_text}")));
         }
     }
 
@@ -115,16 +123,17 @@
                 .all(|(_, peer)| reported(peer))
     }
 
-    /// What a lost site owned by budget: its share and the transfers that all other sites had with it.
+    /// Returns the units that a lost site owned, by budget name: its share, plus the net units that all other sites
+    /// transferred to the lost site.
     fn owned_by_retired(&self, site: &str) -> BTreeMap<String, Units> {
         let owned = |budget: &str, share: Units| {
             let reported = self.peers.values().filter_map(|peer| peer.retired.get(site));
-            let received_by_it: i64 = reported
+            let net_received: i64 = reported
                 .chain(self.ledger.retired.get(site))
                 .filter_map(|retired| retired.transfers.get(budget))
                 .map(|totals: &TransferTotals| -totals.net())
                 .sum();
-            (i64::from(share) + received_by_it).clamp(0, i64::from(Units::MAX)) as Units
+            (i64::from(share) + net_received).clamp(0, i64::from(Units::MAX)) as Units
         };
         self.terms
             .iter()
--- a/crates/hazelgrade-budget/src/ownership/transfers.rs
+++ b/crates/hazelgrade-budget/src/ownership/transfers.rs
@@ -1,11 +1,13 @@
-//! Units that are sent to other sites: free ones to sites with a shortfall, recalled ones to the sites that own them.
+//! Transfers of units to other sites: free units to sites with a shortfall, recalled units to the sites that recalled
+//! them.
 
 use super::{Action, Ownership};
 use crate::Units;
 use crate::protocol::SiteReport;
 use std::collections::BTreeMap;
 
-/// Ratio of the free units that is sent to sites with a shortfall: the rest may be wanted here at any moment.
+/// Ratio of the free units that is sent to sites with a shortfall. The remaining units are kept, because this site's
+/// nodes may want them at any time.
 const SENT_RATIO: f64 = 0.5;
 
 struct Transfer {
@@ -15,7 +17,7 @@
 }
 
 impl Ownership {
-    /// Promises what another site recalls, at most what this site owns beyond its share.
+    /// Promises the units that another site recalls, at most those that this site owns beyond its share.
     pub(super) fn promise_recalled(&mut self, report: &SiteReport) {
         for line in &report.lines {
             let totals = self.ledger.transfers_with(&report.from, &line.budget);
@@ -33,10 +35,10 @@
         }
     }
 
-    /// Sends what was promised, and some of the free units to sites with a shortfall.
+    /// Sends the promised units, and some of the free units to sites with a shortfall.
     ///
-    /// `free` is units that can be spared at once, by budget. `not_overcommitted` lists the budgets of which no more is
-    /// leased or in use here than is owned; promises are sent only for these.
+    /// `free` are the units that can be moved at once, by budget name. `not_overcommitted` lists the budgets of which
+    /// no more units are leased or in use at this site than it owns; promised units are sent only for these budgets.
     pub fn send_units(
         &mut self,
         free: &BTreeMap<String, Units>,
@@ -62,29 +64,29 @@
         }
     }
 
-    /// Transfers to sites with a shortfall, `spared` units at most.
+    /// Returns transfers of at most `spared` units in total to sites with a shortfall.
     fn transfers_for_shortfalls(&self, budget: &str, spared: Units) -> Vec<Transfer> {
-        let mut left = spared;
+        let mut remaining = spared;
         let mut transfers = Vec::new();
         for (site, peer) in &self.peers {
             let shortfall = peer.shortfalls.get(budget).copied().unwrap_or(0);
             let sent = self.ledger.transfers_with(site, budget).map_or(0, |totals| totals.sent);
             let in_transit = sent.saturating_sub(peer.received.get(budget).copied().unwrap_or(0));
             let in_transit = in_transit.min(u64::from(Units::MAX)) as Units;
-            let units = shortfall.saturating_sub(in_transit).min(left);
+            let units = shortfall.saturating_sub(in_transit).min(remaining);
             if units > 0 && peer.confirmed && !self.ledger.is_retired(site) {
-                left -= units;
+                remaining -= units;
                 transfers.push(Transfer { site: site.clone(), budget: budget.to_owned(), units });
             }
         }
         transfers
     }
 
-    /// Books units as sent.
+    /// Records units as sent to a site. The changed ledger is stored before the other site learns of the transfer.
     pub(super) fn debit(&mut self, site: &str, budget: &str, units: Units, actions: &mut Vec<Action>) {
         let transfers = self.ledger.transfers.entry(site.to_owned()).or_default();
         transfers.entry(budget.to_owned()).or_default().sent += u64::from(units);
         actions.push(Action::Store(self.ledger.clone()));
-        actions.push(Action::Log(format!("{budget}: {units} sent to {site}")));
+        actions.push(Action::Log(format!("budget {budget}: sent {units} units to site {site}")));
     }
 }
--- a/crates/hazelgrade-budget/src/protocol.rs
+++ b/crates/hazelgrade-budget/src/protocol.rs
@@ -1,22 +1,22 @@
 //! Messages between lease holders, lessors and operators. Each message may arrive late, twice or never.
 //!
-//! The names on the wire are older than the names used here; `#[serde(rename)]` maps them.
+//! The names on the wire differ from the Rust names; `#[serde(rename)]` maps them.
 
 use crate::Units;
 use crate::stored::RetiredSite;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The most budgets in one request, and the most that bind one node.
+/// Limit of the budgets in one request, and of the budgets that bind one node.
 pub const MAX_LINES: usize = 64;
 
-/// The lessor whose grant a lease holder accepted last.
+/// The lessor whose grant a lease holder accepted most recently.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, u64)", into = "(String, u64)")]
 pub struct KnownLessor {
-    /// The lessor's site.
+    /// Name of the lessor's site.
     pub site: String,
-    /// The lessor's generation at that grant.
+    /// Generation of the lessor that sent the grant.
     pub generation: u64,
 }
 
@@ -32,26 +32,26 @@
     }
 }
 
-/// A lease holder's request to its lessor for all of its budgets.
+/// A lease holder's request to its lessor, for all budgets of the holder.
 ///
-/// The holder accepts only the answer to its latest request, so that a later request tells the lessor what is held.
+/// The holder accepts only the answer to its latest request, so each request states reliably what the holder holds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// Name of the lease holder.
     pub holder: String,
-    /// Drawn at random when the process starts: two processes under one name are two lease holders.
+    /// Random number drawn when the process starts, so that two processes with the same name are two lease holders.
     #[serde(rename = "run")]
     pub incarnation: u64,
-    /// Grows with each request of this incarnation.
+    /// Sequence number of the request; it grows with each request of this incarnation.
     #[serde(rename = "count")]
     pub sequence: u64,
-    /// Sequence number of the latest request whose answer was accepted; 0 if none was.
+    /// Sequence number of the latest request whose answer the holder accepted; 0 if there is none.
     #[serde(rename = "taken")]
     pub last_accepted: u64,
-    /// The lessor whose grant was accepted last.
+    /// The lessor whose grant the holder accepted most recently.
     #[serde(rename = "known")]
     pub known_lessor: Option<KnownLessor>,
-    /// Whether the holder shuts down: then it wants nothing more and returns what it does not use.
+    /// Whether the holder drains: it then wants no further units and returns those that it does not use.
     #[serde(rename = "leaving")]
     pub draining: bool,
     /// One line per budget, at most [`MAX_LINES`].
@@ -59,21 +59,21 @@
     pub lines: Vec<RequestLine>,
 }
 
-/// What a lease holder has of one budget, and what it wants.
+/// A lease holder's held, used and wanted units of one budget.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestLine {
     /// Name of the budget.
     pub budget: String,
-    /// Units that it may use under its lease, or units in use beyond its unleased ones if those are more.
+    /// Units that the holder may use under its lease or, if more, its units in use beyond the unleased ones.
     #[serde(rename = "holds")]
     pub held: Units,
-    /// Units in use now, unleased ones included.
+    /// Units in use now, including unleased ones.
     #[serde(rename = "used")]
     pub in_use: Units,
-    /// Units in use plus units that it rejected work for, averaged since its last request.
+    /// Units in use plus the units that rejected work would have used, averaged since the holder's previous request.
     #[serde(rename = "wants")]
     pub wanted: Units,
-    /// Units that it may use without a lease.
+    /// Units that the holder may use without a lease.
     #[serde(rename = "alone")]
     pub unleased: Units,
 }
@@ -81,15 +81,15 @@
 /// A lessor's answer to a [`LeaseRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The lessor's site.
+    /// Name of the lessor's site.
     #[serde(rename = "keeper")]
     pub lessor: String,
-    /// Grows with each start of the lessor.
+    /// Generation of the lessor; it grows with each start of the lessor.
     pub generation: u64,
-    /// Sequence number of the request that this answers.
+    /// Sequence number of the request that this grant answers.
     #[serde(rename = "count")]
     pub sequence: u64,
-    /// The holder sends its next request within this time, in milliseconds.
+    /// Time within which the holder has to send its next request, in milliseconds.
     #[serde(rename = "again_ms")]
     pub renew_within_ms: f64,
     /// One line for each line of the request.
@@ -97,19 +97,19 @@
     pub lines: Vec<GrantLine>,
 }
 
-/// What a lessor grants of one budget.
+/// A lessor's grant of units of one budget.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GrantLine {
     /// Name of the budget.
     pub budget: String,
     /// Units that the holder may use under this lease.
     pub units: Units,
-    /// Length of the lease in milliseconds, counted by the holder from its request.
+    /// Length of the lease, which the holder counts from the time of its request, in milliseconds.
     pub lease_ms: f64,
-    /// Work that starts under this lease ends within this time, in milliseconds.
+    /// Longest time that work which starts under this lease may take, in milliseconds.
     #[serde(rename = "longest_use_ms")]
     pub max_use_ms: f64,
-    /// If less than wanted was granted: the time after which there may be more, in milliseconds.
+    /// Time after which more units may be available, in milliseconds; `None` if all wanted units were granted.
     #[serde(rename = "more_in_ms")]
     pub retry_after_ms: Option<f64>,
 }
@@ -118,55 +118,55 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OperatorCommand {
-    /// Report who holds what, and since when.
+    /// Report the state of all budgets and their leases.
     Show,
-    /// Report past events.
+    /// Report past events of the lessor.
     History,
     /// Move free units to another site.
     Move {
         /// Id of the command.
         id: String,
-        /// The site that gets the units.
+        /// Name of the receiving site.
         to: String,
         /// Name of the budget.
         budget: String,
-        /// How many units.
+        /// Number of units.
         units: Units,
     },
-    /// Declare a site lost for good and take over what it owned.
+    /// Declare a site lost for good and take over the units that it owned.
     Retire {
         /// Id of the command.
         id: String,
-        /// The lost site.
+        /// Name of the lost site.
         site: String,
     },
-    /// Grant again: the reason for which the lessor stopped granting is resolved.
+    /// Allow new grants again, after the operator has resolved the cause for which grants were blocked.
     Open,
 }
 
-/// What one site reports to another. Transfer totals only grow, so reports may arrive in any order and any number
-/// of times.
+/// One site's report to another site. Transfer totals only grow, so reports may arrive in any order and any number of
+/// times.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SiteReport {
-    /// The reporting site.
+    /// Name of the reporting site.
     pub from: String,
-    /// The site that it reports to.
+    /// Name of the site that receives the report.
     pub to: String,
     /// Generation of the reporting site's lessor.
     pub generation: u64,
-    /// The latest generation of the other site's lessor that reached the reporting site.
+    /// Latest generation of the receiving site's lessor that the reporting site has learned of.
     #[serde(rename = "known")]
     pub known_generation: u64,
     /// Digest of the budget document in effect.
     #[serde(rename = "version")]
     pub document_digest: String,
-    /// Whether what the reporting site owns and has leased is within its share by that document.
+    /// Whether the units that the reporting site owns and has leased are within its share according to that document.
     #[serde(rename = "settled")]
     pub within_share: bool,
     /// One line per budget.
     #[serde(rename = "of")]
     pub lines: Vec<SiteReportLine>,
-    /// How often the reporting site surrendered all it owned because it had been declared lost.
+    /// Number of times that the reporting site was declared lost and surrendered all its units.
     #[serde(rename = "gave_up")]
     pub surrendered: u64,
     /// Sites that were declared lost, by name.
@@ -178,15 +178,16 @@
 pub struct SiteReportLine {
     /// Name of the budget.
     pub budget: String,
-    /// Units ever sent to the other site.
+    /// All units ever sent to the receiving site.
     pub sent: u64,
-    /// Units ever received from it.
+    /// All units ever received from the receiving site.
     #[serde(rename = "seen")]
     pub received: u64,
-    /// Units wanted at the reporting site beyond what it owns.
+    /// Units wanted at the reporting site beyond those it owns.
     #[serde(rename = "short")]
     pub shortfall: Units,
-    /// Units that are to come back: lent out of its share and wanted now, or missing since its share was lowered.
+    /// Units that the receiving site should send back: units that the reporting site lent out of its share and wants
+    /// now, and units that it lacks since its share was lowered.
     #[serde(rename = "recalls")]
     pub recalled: Units,
 }
--- a/crates/hazelgrade-budget/src/terms.rs
+++ b/crates/hazelgrade-budget/src/terms.rs
@@ -1,4 +1,4 @@
-//! The terms of a budget, as its document states them.
+//! The terms of budgets, as stated in the budget document.
 
 use crate::Units;
 use hazelgrade::time::Span;
@@ -6,24 +6,24 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What a budget counts.
+/// The quantity that a budget limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Measure {
     /// Calls in flight to a dependency.
     ConcurrentCalls,
     /// A tenant's jobs per second.
     Rate {
-        /// Jobs that may come at once after an idle time; the budget's total if the document states none.
+        /// Jobs that are admitted at once after an idle time; the budget's total if the document states none.
         burst: Units,
     },
-    /// Retries that may come at once.
+    /// Retries that are admitted at once.
     Retries {
         /// Thousandths of a retry that each first attempt earns; 100 if the document states none.
         per_mille: Units,
     },
 }
 
-/// As operators see it in reports.
+/// The text that operators see in reports.
 impl fmt::Display for Measure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -37,40 +37,44 @@
 /// The terms of one budget.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BudgetTerms {
-    /// What is counted.
+    /// The quantity that the budget limits.
     pub measure: Measure,
-    /// Units that all nodes of all sites may use together.
+    /// Units that the nodes of all sites may use together.
     pub total: Units,
-    /// Units that each site owns before any were transferred, by site; they add up to the total.
+    /// Units that each site owns before any transfer, by site name; they add up to the total.
     pub site_shares: BTreeMap<String, Units>,
-    /// Units of each site that are never leased; what its nodes may use without a lease is within them. 0 by default.
+    /// Units of each site that are never leased. They cover the units that the site's nodes may use without a lease.
+    /// 0 by default.
     pub set_aside: Units,
-    /// Units that each node gets before any node gets more, as far as the total allows. 1 by default.
+    /// Units that each node gets before any node gets more than this number, as far as the total allows. 1 by
+    /// default.
     pub min_share: Units,
     /// Length of a lease: 200 to 10,000 ms, 2,000 by default.
     pub lease: Span,
-    /// How long work that was begun under a lease may go on, its linger included: 10 to 60,000 ms, 2,000 by default.
+    /// Longest time that work which starts under a lease may take, including its linger: 10 to 60,000 ms, 2,000 by
+    /// default.
     pub max_use_time: Span,
-    /// The tenant whose jobs a [`Measure::Rate`] counts.
+    /// The tenant whose jobs a budget with [`Measure::Rate`] limits.
     pub tenant: Option<String>,
 }
 
 impl BudgetTerms {
-    /// Units that a site owns before any were transferred; 0 for a site that the document does not name.
+    /// Returns the units that a site owns before any transfer; 0 for a site that the document does not name.
     pub fn site_share(&self, site: &str) -> Units {
         self.site_shares.get(site).copied().unwrap_or(0)
     }
 }
 
-/// Length of a lease if the document states none, in milliseconds. The units of a node that dies are lost for a lease
-/// and the longest use; a lease is renewed several times before its end, so only a lasting fault lets it expire.
+/// Length of a lease if the document states none, in milliseconds. The units of a node that dies are unavailable for
+/// the length of a lease plus the longest use time. A lease is renewed several times before its end, so only a
+/// lasting fault lets a lease expire.
 const DEFAULT_LEASE_MS: f64 = 2000.0;
-/// Longest use if the document states none, in milliseconds. A call that takes longer is given up in any case.
+/// Longest use time if the document states none, in milliseconds. A call that takes longer is abandoned in any case.
 const DEFAULT_MAX_USE_MS: f64 = 2000.0;
-/// Ratio of a retry that a first attempt earns if the document states none.
+/// Retries that each first attempt earns if the document states none.
 const DEFAULT_RETRY_RATIO: f64 = 0.1;
 
-/// The terms of all budgets of a budget document, by name.
+/// Reads the terms of all budgets of a budget document, by budget name.
 pub fn read_all(document: &Document) -> BTreeMap<String, BudgetTerms> {
     let fields = document.fields();
     let names = fields.names("budget");
--- a/crates/hazelgrade-budget/tests/operator_texts.rs
+++ b/crates/hazelgrade-budget/tests/operator_texts.rs
@@ -42,9 +42,9 @@
 fn why_a_command_was_not_carried_out() {
     let unknown = CommandError::UnknownBudget { budget: "calls".into() };
     assert_eq!(unknown.to_string(), "there is no budget calls");
-    let receiver = CommandError::NotAReceiver { site: "c".into() };
+    let receiver = CommandError::InvalidReceiver { site: "c".into() };
     assert_eq!(receiver.to_string(), "c is no other site of this budget");
-    let not_free = CommandError::NotFree { units: 9, budget: "calls".into(), free: 2 };
+    let not_free = CommandError::InsufficientFreeUnits { units: 9, budget: "calls".into(), free: 2 };
     assert_eq!(not_free.to_string(), "9 of calls are not free here: 2 are");
     assert_eq!(CommandError::UnknownSite { site: "c".into() }.to_string(), "c is no other site");
     let early = CommandError::TooEarly { site: "b".into(), wait: Span::from_ms(1200.25) };
