--- a/crates/hazelgrade-budget/tests/division.rs
+++ b/crates/hazelgrade-budget/tests/division.rs
@@ -1,9 +1,9 @@
-//! How a total is divided among claims.
+//! Division of a total among claims: completeness, fairness, and no gain from an overstated demand.
 
 use hazelgrade_budget::division::{Claim, Precedence, divide};
 use quickcheck::quickcheck;
 
-fn claims(of: &[(u8, u8, u8, u8)]) -> Vec<Claim> {
+fn claims(fields: &[(u8, u8, u8, u8)]) -> Vec<Claim> {
     let claim = |(min_share, weight, demand, current): &(u8, u8, u8, u8)| Claim {
         min_share: u32::from(*min_share % 3),
         weight: u32::from(*weight % 4) + 1,
@@ -11,31 +11,32 @@
         current: u32::from(*current % 40),
         precedence: Precedence::Normal,
     };
-    of.iter().map(claim).collect()
+    fields.iter().map(claim).collect()
 }
 
 quickcheck! {
-    /// All of the total and no more; and whoever wants more than it has stands behind nobody who could spare a unit.
-    fn a_division_is_complete_and_fair(of: Vec<(u8, u8, u8, u8)>, total: u8) -> bool {
-        let (claims, total) = (claims(&of), u32::from(total));
+    /// The shares add up to the total, and no claim with unmet demand has fewer units for its weight than another
+    /// claim that could spare one.
+    fn a_division_is_complete_and_fair(fields: Vec<(u8, u8, u8, u8)>, total: u8) -> bool {
+        let (claims, total) = (claims(&fields), u32::from(total));
         let shares = divide(total, &claims);
         let sum: u32 = shares.iter().sum();
-        let all = if claims.is_empty() { sum == 0 } else { sum == total };
-        let wants = |at: usize| shares[at] < claims[at].demand;
-        let fair = (0..claims.len()).filter(|at| wants(*at)).all(|poor| {
-            (0..claims.len()).all(|rich| {
-                let (units, weight) = (u64::from(shares[rich]), u64::from(claims[rich].weight));
-                let least = claims[rich].min_share.max(claims[poor].min_share.min(shares[poor]));
-                // One unit less would still be no less for its weight than what the other has.
-                shares[rich] <= least
-                    || (shares[rich] <= claims[rich].demand
-                        && (units - 1) * u64::from(claims[poor].weight) <= u64::from(shares[poor]) * weight)
+        let complete = if claims.is_empty() { sum == 0 } else { sum == total };
+        let has_unmet_demand = |index: usize| shares[index] < claims[index].demand;
+        let fair = (0..claims.len()).filter(|index| has_unmet_demand(*index)).all(|unmet| {
+            (0..claims.len()).all(|other| {
+                let (units, weight) = (u64::from(shares[other]), u64::from(claims[other].weight));
+                let guaranteed = claims[other].min_share.max(claims[unmet].min_share.min(shares[unmet]));
+                // With one unit less, the other claim would have no more units for its weight than the unmet one.
+                shares[other] <= guaranteed
+                    || (shares[other] <= claims[other].demand
+                        && (units - 1) * u64::from(claims[unmet].weight) <= u64::from(shares[unmet]) * weight)
             })
         });
-        all && fair
+        complete && fair
     }
 
-    /// Nobody gets more by wanting more than its share.
+    /// Overstating the demand does not raise a claim above its fair share by more than one unit.
     fn an_overstated_demand_gets_no_more_than_its_share(others: u8, overstated: u16) -> bool {
         let others = usize::from(others % 9) + 1;
         let claim = |demand| {
--- a/crates/hazelgrade-budget/tests/lease_holder.rs
+++ b/crates/hazelgrade-budget/tests/lease_holder.rs
@@ -1,4 +1,4 @@
-//! A node's lease holder by itself.
+//! A node's lease holder: which grants it accepts, and when it sends requests.
 
 use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::Time;
@@ -23,27 +23,27 @@
     let mut holder =
         LeaseHolder::new(at(0.0), "n0", 7, &[("calls".to_owned(), 1)].into(), MultiplyWithCarry::new(1));
     holder.bind(at(0.0), &["calls".to_owned()]);
-    assert_eq!(holder.entitlement(at(0.0), "calls").units, 1, "what it may use without a lease");
+    assert_eq!(holder.entitlement(at(0.0), "calls").units, 1, "one unit may be used without a lease");
     assert_eq!(holder.take_request(at(0.0)).map(|request| request.sequence), Some(1));
     assert!(holder.on_grant(at(900.0), &grant(1, 5, 4)));
-    // The lease counts from the request, and ends a little early.
+    // The lease counts from the time of the request, and ends early by the possible clock drift.
     assert_eq!(holder.entitlement(at(998.0), "calls").units, 5);
     assert_eq!(holder.entitlement(at(999.1), "calls").units, 1);
-    assert!(!holder.on_grant(at(950.0), &grant(1, 5, 9)), "twice");
-    let request = holder.take_request(at(2000.0)).expect("it is due");
+    assert!(!holder.on_grant(at(950.0), &grant(1, 5, 9)), "a duplicate grant is ignored");
+    let request = holder.take_request(at(2000.0)).expect("a request is due");
     assert_eq!((request.sequence, request.last_accepted, request.lines[0].held), (2, 1, 0));
-    assert!(!holder.on_grant(at(2001.0), &grant(1, 5, 9)), "late");
-    assert!(!holder.on_grant(at(2001.0), &grant(2, 4, 9)), "of an earlier start of the lessor");
+    assert!(!holder.on_grant(at(2001.0), &grant(1, 5, 9)), "a late grant is ignored");
+    assert!(!holder.on_grant(at(2001.0), &grant(2, 4, 9)), "a grant of an earlier generation is ignored");
     assert!(holder.on_grant(at(2001.0), &grant(2, 6, 3)));
-    // What is in use beyond what it may use counts as held until it is over.
+    // Units in use beyond the entitlement count as held until the work ends.
     holder.record_usage(at(2002.0), "calls", Usage { in_use: 4, wanted: 4 });
-    let lapsed = holder.take_request(at(4000.0)).expect("it is due");
-    assert_eq!(lapsed.lines[0].held, 3, "four in use, one of them its own");
-    // Whoever drains keeps only what it uses.
+    let lapsed = holder.take_request(at(4000.0)).expect("a request is due");
+    assert_eq!(lapsed.lines[0].held, 3, "four units in use, one of them unleased");
+    // A draining holder keeps only the units that it uses.
     assert!(holder.on_grant(at(4001.0), &grant(3, 6, 5)));
     holder.record_usage(at(4002.0), "calls", Usage { in_use: 2, wanted: 2 });
     holder.start_drain(at(4003.0));
-    let draining = holder.take_request(at(4003.0)).expect("at once");
+    let draining = holder.take_request(at(4003.0)).expect("a drain makes a request due at once");
     assert!(draining.draining && draining.lines[0].held == 1);
     assert_eq!(holder.entitlement(at(4004.0), "calls").units, 2);
 }
@@ -57,11 +57,11 @@
     for ms in 1..100u32 {
         holder.record_usage(at(f64::from(ms)), "calls", Usage { in_use: 0, wanted: ms * 2 });
         holder.on_nudge(at(f64::from(ms)));
-        assert!(holder.take_request(at(f64::from(ms))).is_none(), "the first is not answered yet");
+        assert!(holder.take_request(at(f64::from(ms))).is_none(), "the first request is not answered yet");
     }
-    // Its answer is accepted, and what there is to say is said at once.
+    // The answer is accepted, and the changed usage is sent at once in the next request.
     assert!(holder.on_grant(at(100.0), &grant(1, 5, 4)));
     assert!(holder.take_request(at(100.0)).is_some());
-    // One that was lost is given up, in good time.
+    // A request whose answer was lost is abandoned, and another one is sent.
     assert!(holder.take_request(at(180.0)).is_none() && holder.take_request(at(400.0)).is_some());
 }
--- a/crates/hazelgrade-budget/tests/lessor.rs
+++ b/crates/hazelgrade-budget/tests/lessor.rs
@@ -1,4 +1,4 @@
-//! A site's lessor by itself.
+//! A site's lessor: outdated requests, and the time for which a restarted lessor grants nothing new.
 
 use hazelgrade::time::{Span, Time};
 use hazelgrade_budget::lessor::{Action, Event, Lessor};
@@ -19,13 +19,13 @@
     }
 }
 
-/// A request that comes after a later one of the same holder says what was, and is not answered: by it the book
-/// would say less than the holder has.
+/// Guards against booking too few units for a holder: a request that arrives after a later request of the same holder
+/// states what was held earlier, so the lessor must not answer it.
 #[test]
-fn a_lessor_ignores_requests_that_a_later_one_overtook() {
+fn a_lessor_ignores_requests_older_than_the_latest() {
     let record = LessorRecord { site: "a".into(), ..LessorRecord::default() };
     let (mut lessor, _) = Lessor::new(Time::from_ms(0.0), record);
-    let mut tell = |ms: f64, event| {
+    let mut handle = |ms: f64, event| {
         let mut actions = Vec::new();
         lessor.handle(Time::from_ms(ms), event, &mut actions);
         let grants = actions.iter().filter_map(|action| match action {
@@ -46,25 +46,25 @@
         max_use_time: Span::from_ms(1000.0),
         tenant: None,
     };
-    tell(0.0, Event::Stored(Ok(())));
+    handle(0.0, Event::Stored(Ok(())));
     let terms = [("calls".to_owned(), terms)].into();
-    tell(1.0, Event::TermsChanged { terms, owned: [("calls".to_owned(), 6)].into() });
-    tell(1.0, Event::Stored(Ok(())));
-    // Nothing is granted before the disk has it that something is.
-    assert_eq!(tell(202.0, Event::Requested(1, request("n0", 7, 2, 0))), (vec![], true));
-    assert_eq!(tell(203.0, Event::Stored(Ok(()))), (vec![6], false));
-    assert_eq!(tell(204.0, Event::Requested(1, request("n0", 7, 1, 0))).0, Vec::<u32>::new());
-    assert_eq!(tell(204.0, Event::Requested(1, request("n0", 7, 2, 0))).0, Vec::<u32>::new());
-    // All of it is with n0 until that says otherwise.
-    assert_eq!(tell(500.0, Event::Requested(2, request("n1", 8, 1, 0))).0, vec![0]);
-    assert_eq!(tell(600.0, Event::Requested(1, request("n0", 7, 3, 6))).0, vec![3]);
-    let unconfirmed = tell(700.0, Event::Requested(2, request("n1", 8, 2, 0)));
-    assert_eq!(unconfirmed.0, vec![0], "n0 has not confirmed yet");
-    assert_eq!(tell(800.0, Event::Requested(1, request("n0", 7, 4, 3))).0, vec![3]);
-    assert_eq!(tell(900.0, Event::Requested(2, request("n1", 8, 3, 0))).0, vec![3]);
+    handle(1.0, Event::TermsChanged { terms, owned: [("calls".to_owned(), 6)].into() });
+    handle(1.0, Event::Stored(Ok(())));
+    // No units are granted before the store contains the record of a grant.
+    assert_eq!(handle(202.0, Event::Requested(1, request("n0", 7, 2, 0))), (vec![], true));
+    assert_eq!(handle(203.0, Event::Stored(Ok(()))), (vec![6], false));
+    assert_eq!(handle(204.0, Event::Requested(1, request("n0", 7, 1, 0))).0, Vec::<u32>::new());
+    assert_eq!(handle(204.0, Event::Requested(1, request("n0", 7, 2, 0))).0, Vec::<u32>::new());
+    // All units are booked for n0 until a request of n0 states fewer held units.
+    assert_eq!(handle(500.0, Event::Requested(2, request("n1", 8, 1, 0))).0, vec![0]);
+    assert_eq!(handle(600.0, Event::Requested(1, request("n0", 7, 3, 6))).0, vec![3]);
+    let unconfirmed = handle(700.0, Event::Requested(2, request("n1", 8, 2, 0)));
+    assert_eq!(unconfirmed.0, vec![0], "n0 has not confirmed the smaller grant yet");
+    assert_eq!(handle(800.0, Event::Requested(1, request("n0", 7, 4, 3))).0, vec![3]);
+    assert_eq!(handle(900.0, Event::Requested(2, request("n1", 8, 3, 0))).0, vec![3]);
 }
 
-/// Terms of one budget of calls with leases and uses of this length.
+/// Terms of one budget of concurrent calls with these lengths of a lease and of the longest use.
 fn terms_with(lease_ms: f64, max_use_ms: f64) -> Event {
     let terms = BudgetTerms {
         measure: Measure::ConcurrentCalls,
@@ -82,16 +82,16 @@
     }
 }
 
-/// A lessor with a disk that always works.
-struct Stored {
+/// A lessor whose store never fails.
+struct StoredLessor {
     lessor: Lessor,
     record: LessorRecord,
 }
 
-impl Stored {
-    fn start(ms: f64, record: LessorRecord) -> Stored {
+impl StoredLessor {
+    fn start(ms: f64, record: LessorRecord) -> StoredLessor {
         let (lessor, first) = Lessor::new(Time::from_ms(ms), record.clone());
-        let mut stored = Stored { lessor, record };
+        let mut stored = StoredLessor { lessor, record };
         stored.perform(ms, vec![first]);
         stored
     }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Handles its own timers up to this time.
+    /// Handles the lessor's timers that are due up to `to_ms`.
     fn run_until(&mut self, from_ms: f64, to_ms: f64) {
         let mut now = Time::from_ms(from_ms);
         while let Some(at) = self.lessor.wakes_at(now).filter(|at| *at <= Time::from_ms(to_ms)) {
@@ -125,45 +125,46 @@
     }
 }
 
-/// After a lost store every later start waited for the longest lease of any document, 70 s, although all leases of that
-/// time were long over: callers of a site were rejected at each restart.
+/// Guards against rejecting a site's callers at each restart after a lost store: every later start waited for the
+/// longest lease that any document may state, 70 s, although the leases from before the loss were long over.
 #[test]
-fn a_start_after_a_lost_stores_wait_is_over_waits_for_the_present_leases_only() {
+fn a_start_after_the_wait_for_a_lost_store_waits_for_present_leases_only() {
     let lost = LessorRecord { site: "a".into(), generation: 5, granted: true, max_grant_ms: 70_000.0 };
-    let mut first = Stored::start(0.0, lost);
+    let mut first = StoredLessor::start(0.0, lost);
     first.handle(1.0, terms_with(600.0, 600.0));
     first.run_until(1.0, 70_000.0);
-    assert!(first.is_blocked(70_000.0), "leases of the lost store may be in use");
-    let again = Stored::start(70_000.0, first.record.clone());
-    assert!(again.is_blocked(139_000.0), "a start during the wait knows no better");
+    assert!(first.is_blocked(70_000.0), "leases that the lost store recorded may be in use");
+    let during_wait = StoredLessor::start(70_000.0, first.record.clone());
+    assert!(during_wait.is_blocked(139_000.0), "a start during the wait has to wait for as long");
     first.run_until(70_000.0, 70_200.0);
     assert!(!first.is_blocked(70_200.0));
     first.handle(70_300.0, Event::Requested(1, request("n0", 7, 1, 0)));
-    let next = Stored::start(71_000.0, first.record);
-    assert!(next.is_blocked(72_200.0), "leases of the start before may be in use");
+    let next = StoredLessor::start(71_000.0, first.record);
+    assert!(next.is_blocked(72_200.0), "leases of the previous start may be in use");
     assert!(!next.is_blocked(72_300.0));
 }
 
-/// A start must not come too early either: leases by longer terms than the present ones may still be in use.
+/// Guards against a restart that grants too early: leases under longer terms than the present ones may be in use.
 #[test]
 fn a_start_waits_for_leases_by_longer_terms_until_they_are_over() {
-    let mut first = Stored::start(0.0, LessorRecord { site: "a".into(), ..LessorRecord::default() });
+    let mut first = StoredLessor::start(0.0, LessorRecord { site: "a".into(), ..LessorRecord::default() });
     first.handle(1.0, terms_with(5000.0, 5000.0));
     first.handle(100.0, Event::Requested(1, request("n0", 7, 1, 0)));
     first.handle(200.0, terms_with(600.0, 600.0));
     first.run_until(200.0, 10_000.0);
-    let early = Stored::start(10_000.0, first.record.clone());
-    assert!(early.is_blocked(19_900.0), "the lease of n0 and its use end at 10,100");
+    let early = StoredLessor::start(10_000.0, first.record.clone());
+    assert!(early.is_blocked(19_900.0), "the lease of n0 and the longest use end at 10,100 ms");
     first.run_until(10_000.0, 10_300.0);
-    let late = Stored::start(10_300.0, first.record);
+    let late = StoredLessor::start(10_300.0, first.record);
     assert!(!late.is_blocked(11_600.0));
 }
 
-/// A copy of the store from a time of shorter leases says less than the document by which the latest ones were granted.
+/// Guards against a wait that is too short after a restart with an old copy of the store: the copy states a shorter
+/// longest lease than the document under which the latest leases were granted.
 #[test]
-fn a_start_with_a_copy_from_a_time_of_shorter_leases_waits_for_those_of_the_document() {
+fn a_start_with_an_old_store_of_shorter_leases_waits_for_leases_of_the_document() {
     let copy = LessorRecord { site: "a".into(), generation: 5, granted: true, max_grant_ms: 1201.2 };
-    let mut lessor = Stored::start(0.0, copy);
+    let mut lessor = StoredLessor::start(0.0, copy);
     lessor.handle(1.0, terms_with(5000.0, 5000.0));
     assert!(lessor.is_blocked(9_900.0));
     assert!(!lessor.is_blocked(10_100.0));
--- a/crates/hazelgrade-budget/tests/operator_texts.rs
+++ b/crates/hazelgrade-budget/tests/operator_texts.rs
@@ -1,4 +1,4 @@
-//! Texts that operators read, and look for: they stay as they are.
+//! Texts that operators read and search for. They must not change.
 
 use hazelgrade::time::Span;
 use hazelgrade_budget::lessor::{GrantsBlocked, StaleStore};
@@ -6,26 +6,26 @@
 use hazelgrade_budget::terms::Measure;
 
 #[test]
-fn what_a_budget_measures() {
+fn texts_of_measures() {
     assert_eq!(Measure::ConcurrentCalls.to_string(), "InHand");
     assert_eq!(Measure::Rate { burst: 12 }.to_string(), "Rate { burst: 12 }");
     assert_eq!(Measure::Retries { per_mille: 200 }.to_string(), "Tries { per_mille: 200 }");
 }
 
 #[test]
-fn why_nothing_new_is_granted() {
+fn texts_of_blocked_grants() {
     let stale = GrantsBlocked::StaleStore(StaleStore { witness: "n0".into() });
     assert_eq!(stale.to_string(), "n0 knows a later start of this keeper: its store is an old copy");
     let recovering = GrantsBlocked::Recovering { left: Span::from_ms(1200.25) };
     assert_eq!(recovering.to_string(), "leases of the start before may be in use for 1201 ms more");
     let unconfirmed = GrantsBlocked::Unconfirmed(UnconfirmedSites { sites: vec!["b".into(), "c".into()] });
     assert_eq!(unconfirmed.to_string(), "not heard of since the start: b, c");
-    let json = serde_json::to_string(&Some(unconfirmed)).expect("it can be encoded");
+    let json = serde_json::to_string(&Some(unconfirmed)).expect("the reason can be encoded");
     assert_eq!(json, r#""not heard of since the start: b, c""#);
 }
 
 #[test]
-fn what_a_command_did() {
+fn texts_of_command_outcomes() {
     let text = |outcome: CommandOutcome| outcome.to_string();
     assert_eq!(text(CommandOutcome::AlreadyDone { id: "m1".into() }), "m1 was done before");
     let sent = CommandOutcome::Sent { units: 3, budget: "calls".into(), to: "b".into() };
@@ -39,13 +39,13 @@
 }
 
 #[test]
-fn why_a_command_was_not_carried_out() {
+fn texts_of_command_errors() {
     let unknown = CommandError::UnknownBudget { budget: "calls".into() };
     assert_eq!(unknown.to_string(), "there is no budget calls");
-    let receiver = CommandError::InvalidReceiver { site: "c".into() };
-    assert_eq!(receiver.to_string(), "c is no other site of this budget");
-    let not_free = CommandError::InsufficientFreeUnits { units: 9, budget: "calls".into(), free: 2 };
-    assert_eq!(not_free.to_string(), "9 of calls are not free here: 2 are");
+    let invalid_receiver = CommandError::InvalidReceiver { site: "c".into() };
+    assert_eq!(invalid_receiver.to_string(), "c is no other site of this budget");
+    let insufficient = CommandError::InsufficientFreeUnits { units: 9, budget: "calls".into(), free: 2 };
+    assert_eq!(insufficient.to_string(), "9 of calls are not free here: 2 are");
     assert_eq!(CommandError::UnknownSite { site: "c".into() }.to_string(), "c is no other site");
     let early = CommandError::TooEarly { site: "b".into(), wait: Span::from_ms(1200.25) };
     assert_eq!(early.to_string(), "what b granted may be in use for 1201 ms more: say it again then");
--- a/crates/hazelgrade-budget/tests/ownership.rs
+++ b/crates/hazelgrade-budget/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! What sites own, and how it moves between them.
+//! Units that sites own, transfers between sites, and retirement of sites.
 
 #![allow(clippy::too_many_lines)]
 
@@ -27,26 +27,27 @@
 
 struct Sites {
     ownerships: Vec<Ownership>,
-    disks: Vec<SiteLedger>,
-    starts: [u64; 3],
+    stored_ledgers: Vec<SiteLedger>,
+    generations: [u64; 3],
 }
 
 impl Sites {
-    fn store(&mut self, at: usize, actions: Vec<Action>) {
+    fn store(&mut self, site: usize, actions: Vec<Action>) {
         for action in actions {
             if let Action::Store(ledger) = action {
-                self.disks[at] = ledger;
+                self.stored_ledgers[site] = ledger;
             }
         }
     }
 
-    fn start(&mut self, at: usize) {
-        self.starts[at] += 1;
-        self.ownerships[at] = Ownership::new(SITES[at], self.starts[at], self.disks[at].clone());
+    fn start(&mut self, site: usize) {
+        self.generations[site] += 1;
+        self.ownerships[site] =
+            Ownership::new(SITES[site], self.generations[site], self.stored_ledgers[site].clone());
         let mut actions = Vec::new();
         let terms = terms(&[("a", 10), ("b", 6), ("c", 4)]);
-        self.ownerships[at].set_terms("d".into(), terms, &mut actions);
-        self.store(at, actions);
+        self.ownerships[site].set_terms("d".into(), terms, &mut actions);
+        self.store(site, actions);
     }
 
     fn owned(&self) -> u32 {
@@ -54,51 +55,54 @@
     }
 }
 
-/// Three sites whose reports are lost, doubled and late, that die and come back, that lend and recall.
+/// Guards against units that are owned twice or lost, when three sites restart, lend, recall and retire, and their
+/// reports are lost, duplicated and late.
 #[test]
 fn sites_own_no_more_than_the_total_together_and_lose_nothing() {
     for seed in 0..400 {
         let mut random = MultiplyWithCarry::new(seed);
-        let mut pick = |of: usize| ((random.next_f64() * of as f64) as usize).min(of - 1);
-        let ownerships = SITES.iter().map(|site| Ownership::new(site, 0, SiteLedger::default())).collect();
-        let mut sites = Sites { ownerships, disks: vec![SiteLedger::default(); 3], starts: [0; 3] };
-        (0..3).for_each(|at| sites.start(at));
-        let mut net = Vec::new();
+        let mut pick = |count: usize| ((random.next_f64() * count as f64) as usize).min(count - 1);
+        let ownerships = SITES.iter().map(|name| Ownership::new(name, 0, SiteLedger::default())).collect();
+        let mut sites =
+            Sites { ownerships, stored_ledgers: vec![SiteLedger::default(); 3], generations: [0; 3] };
+        (0..3).for_each(|site| sites.start(site));
+        let mut network = Vec::new();
         let mut retired = None;
         for turn in 0..200 {
-            let (at, to) = (pick(3), pick(3));
+            let (site, to) = (pick(3), pick(3));
             let mut actions = Vec::new();
             match pick(8) {
-                0 => sites.start(at),
-                1..=3 if at != to => {
+                0 => sites.start(site),
+                1..=3 if site != to => {
                     let shortfalls = [("calls".to_owned(), [0, 0, 5, 50][pick(4)])].into();
-                    net.push((to, sites.ownerships[at].report_to(SITES[to], false, &shortfalls)));
+                    network.push((to, sites.ownerships[site].report_to(SITES[to], false, &shortfalls)));
                 }
-                4 if !net.is_empty() => {
-                    net.swap_remove(pick(net.len()));
+                4 if !network.is_empty() => {
+                    network.swap_remove(pick(network.len()));
                 }
                 5 => {
-                    let free = pick(1 + sites.ownerships[at].owned("calls") as usize) as u32;
+                    let free = pick(1 + sites.ownerships[site].owned("calls") as usize) as u32;
                     let free = [("calls".to_owned(), free)].into();
-                    let within = if pick(2) == 0 { vec!["calls".to_owned()] } else { Vec::new() };
-                    sites.ownerships[at].send_units(&free, &within, &mut actions);
+                    let not_overcommitted = if pick(2) == 0 { vec!["calls".to_owned()] } else { Vec::new() };
+                    sites.ownerships[site].send_units(&free, &not_overcommitted, &mut actions);
                 }
                 6 if turn > 120 && retired.is_none() => {
-                    // Lost for good as its operator knows: it is down.
-                    let outcome = sites.ownerships[at].retire(
+                    // The retired site is down: it handles no further reports until the end of the history.
+                    let outcome = sites.ownerships[site].retire(
                         "r",
                         Time::from_ms(9e9),
-                        SITES[(at + 1) % 3],
+                        SITES[(site + 1) % 3],
                         Time::from_ms(0.0),
                         &mut actions,
                     );
                     assert!(outcome.is_ok(), "{outcome:?}");
-                    retired = Some((at + 1) % 3);
+                    retired = Some((site + 1) % 3);
                 }
-                _ if !net.is_empty() => {
-                    let place = pick(net.len());
-                    // Delivered, and maybe once more later.
-                    let (to, report) = if pick(4) == 0 { net[place].clone() } else { net.swap_remove(place) };
+                _ if !network.is_empty() => {
+                    let index = pick(network.len());
+                    // The report is delivered, and some reports are delivered once more later.
+                    let (to, report) =
+                        if pick(4) == 0 { network[index].clone() } else { network.swap_remove(index) };
                     if retired != Some(to) {
                         let now = Time::from_ms(f64::from(turn));
                         sites.ownerships[to].on_report(now, &report, &mut actions);
@@ -108,16 +112,20 @@
                 }
                 _ => {}
             }
-            sites.store(at, actions);
-            let gone = retired.map_or(0, |at| sites.ownerships[at].owned("calls"));
-            assert!(sites.owned() - gone <= 20, "seed {seed}, turn {turn}: {}", sites.owned());
+            sites.store(site, actions);
+            let retired_units = retired.map_or(0, |site| sites.ownerships[site].owned("calls"));
+            assert!(
+                sites.owned() - retired_units <= 20,
+                "seed {seed}, turn {turn}: {} units owned",
+                sites.owned()
+            );
         }
-        // All are back, all is reported: nothing is lost.
-        (0..3).for_each(|at| sites.start(at));
+        // All sites have restarted and reports are exchanged: no units are lost.
+        (0..3).for_each(|site| sites.start(site));
         for _ in 0..12 {
-            for at in 0..3 {
-                for to in (0..3).filter(|to| *to != at) {
-                    let report = sites.ownerships[at].report_to(SITES[to], false, &BTreeMap::new());
+            for site in 0..3 {
+                for to in (0..3).filter(|to| *to != site) {
+                    let report = sites.ownerships[site].report_to(SITES[to], false, &BTreeMap::new());
                     let mut actions = Vec::new();
                     sites.ownerships[to].on_report(Time::from_ms(1e6), &report, &mut actions);
                     sites.ownerships[to].send_units(&BTreeMap::new(), &["calls".to_owned()], &mut actions);
@@ -129,8 +137,8 @@
     }
 }
 
-/// Guards against an operator who is told that a site was declared lost because the id of the command was used before,
-/// for another one.
+/// Guards against telling an operator that a site was declared lost although it was not, when the id of the command
+/// had been used before for another command.
 #[test]
 fn a_used_command_id_does_not_say_that_a_site_is_lost() {
     let mut ownership = Ownership::new("a", 1, SiteLedger::default());
--- a/crates/hazelgrade-budget/tests/recorded_histories.rs
+++ b/crates/hazelgrade-budget/tests/recorded_histories.rs
@@ -1,23 +1,24 @@
-//! What some histories of a simulated fleet came to, as recorded: whoever changes a decision, the order of a sum or
-//! of the random draws changes these figures.
+//! Recorded results of some histories of a simulated fleet. A change of a decision, of the order of a sum or of the
+//! order of random draws changes these figures.
 
 use hazelgrade_fakes::fleet::{Fault, Fleet, FleetConfig, RestartStore};
 
-/// Calls, rejected ones, messages of each kind, bytes, the peak, and the sums in full precision.
+/// Formats the results: calls, rejected calls, messages of each kind, bytes, peak of calls in flight, sums in full
+/// precision, and the units of each node and site.
 fn recorded(fleet: &Fleet) -> String {
-    let seen = &fleet.observations;
+    let observations = &fleet.observations;
     format!(
         "{} {} {} {} {} {} {} {} {:?} {:?} {:?} {:?}",
-        seen.calls,
-        seen.rejected,
-        seen.requests,
-        seen.grants,
-        seen.nudges,
-        seen.site_reports,
-        seen.bytes,
-        seen.max_in_flight,
-        seen.used_unit_ms,
-        seen.usable_unit_ms,
+        observations.calls,
+        observations.rejected,
+        observations.requests,
+        observations.grants,
+        observations.nudges,
+        observations.site_reports,
+        observations.bytes,
+        observations.max_in_flight,
+        observations.used_unit_ms,
+        observations.usable_unit_ms,
         fleet.shares(),
         fleet.owned_by_site(),
     )
@@ -41,7 +42,7 @@
 }
 
 fn faults(fleet: &mut Fleet) {
-    let all = [
+    let sequence = [
         Fault::SetDemand(0, 20.0),
         Fault::SetDemand(1, 0.0),
         Fault::CutNode { node: 2, requests: true, grants: false },
@@ -65,7 +66,7 @@
         Fault::StartSite(0, RestartStore::OldCopy),
         Fault::StartNode(6),
     ];
-    for fault in all {
+    for fault in sequence {
         fleet.run(333.0);
         fleet.inject(fault);
     }
@@ -87,7 +88,7 @@
     ),
 ];
 
-/// State of each site at the end of the first history.
+/// Report of each site at the end of the first history.
 const SITES_UNDER_FAULTS: [&str; 3] = [
     concat!(
         r#"{"calls":{"whole":40,"owned":14,"set_aside":3,"granted":1,"used":3,"wanted":28,"in_doubt"#,
@@ -130,12 +131,12 @@
 
 #[test]
 fn a_fleet_under_faults_decides_as_recorded() {
-    for (seed, before) in (1..).zip(UNDER_FAULTS) {
+    for (seed, expected) in (1..).zip(UNDER_FAULTS) {
         let mut fleet = Fleet::new(config(seed));
         faults(&mut fleet);
-        assert_eq!(recorded(&fleet), before, "seed {seed}");
-        for (site, before) in SITES_UNDER_FAULTS.iter().enumerate().filter(|_| seed == 1) {
-            assert_eq!(&fleet.site_report(site), before, "site {site}");
+        assert_eq!(recorded(&fleet), expected, "seed {seed}");
+        for (site, expected) in SITES_UNDER_FAULTS.iter().enumerate().filter(|_| seed == 1) {
+            assert_eq!(&fleet.site_report(site), expected, "site {site}");
         }
     }
 }
--- a/crates/hazelgrade-budget/tests/recorded_messages.rs
+++ b/crates/hazelgrade-budget/tests/recorded_messages.rs
@@ -1,4 +1,5 @@
-//! The recorded form of every message and every stored record: names, order of fields and numbers stay byte for byte.
+//! Recorded JSON of every message and every stored record. Names, numbers and the order of fields must stay byte for
+//! byte.
 
 #![allow(clippy::expect_used)]
 
@@ -12,7 +13,7 @@
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
 
-/// Encodes to exactly this text, and reads back from it.
+/// Asserts that the value is encoded as exactly this text, and that the text is decoded to the same value.
 fn assert_recorded<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, text: &str) {
     assert_eq!(serde_json::to_string(value).expect("it can be encoded"), text);
     assert_eq!(&serde_json::from_str::<T>(text).expect("it can be read"), value);
@@ -62,14 +63,14 @@
         max_use_ms: 1000.5,
         retry_after_ms: Some(400.0),
     };
-    let none =
+    let unknown_budget =
         GrantLine { budget: "more".into(), units: 0, lease_ms: 0.0, max_use_ms: 0.0, retry_after_ms: None };
     let grant = LeaseGrant {
         lessor: "a".into(),
         generation: 8,
         sequence: 3,
         renew_within_ms: 400.0,
-        lines: vec![line, none],
+        lines: vec![line, unknown_budget],
     };
     let text = concat!(
         r#"{"keeper":"a","generation":8,"count":3,"again_ms":400.0,"of":["#,
@@ -84,8 +85,9 @@
     assert_recorded(&OperatorCommand::Show, r#""show""#);
     assert_recorded(&OperatorCommand::History, r#""history""#);
     assert_recorded(&OperatorCommand::Open, r#""open""#);
-    let moved = OperatorCommand::Move { id: "m1".into(), to: "b".into(), budget: "calls".into(), units: 3 };
-    assert_recorded(&moved, r#"{"move":{"id":"m1","to":"b","budget":"calls","units":3}}"#);
+    let move_units =
+        OperatorCommand::Move { id: "m1".into(), to: "b".into(), budget: "calls".into(), units: 3 };
+    assert_recorded(&move_units, r#"{"move":{"id":"m1","to":"b","budget":"calls","units":3}}"#);
     let retire = OperatorCommand::Retire { id: "r1".into(), site: "b".into() };
     assert_recorded(&retire, r#"{"retire":{"id":"r1","site":"b"}}"#);
 }
--- a/crates/hazelgrade-budget/tests/states.rs
+++ b/crates/hazelgrade-budget/tests/states.rs
@@ -1,6 +1,6 @@
-//! All states, within bounds, of a lessor and two lease holders over a channel that loses, doubles and reorders
-//! messages, while the lessor is killed and comes back, holders die and come back, and calls go on past the lease
-//! under which they were begun. Time goes on in steps, for each at the rate of its own clock.
+//! Bounded model check of a lessor and two lease holders over a channel that loses, duplicates and reorders messages.
+//! The lessor and the holders are killed and restarted, and calls continue past the lease under which they started.
+//! Time advances in steps, and each process has a clock with its own rate.
 
 use hazelgrade::random::MultiplyWithCarry;
 use hazelgrade::time::{Span, Time};
@@ -17,11 +17,11 @@
 const TOTAL: u32 = 2;
 /// Length of a lease, in steps.
 const LEASE: u64 = 4;
-/// Longest use, in steps.
+/// Longest use time, in steps.
 const MAX_USE: u64 = 2;
-/// A step of time, in milliseconds: far above the least time between requests.
+/// Length of a step, in milliseconds: far above the minimum time between requests.
 const STEP_MS: f64 = 100.0;
-/// Most messages under way at once.
+/// Limit of messages in transit at once.
 const MAX_MESSAGES: usize = 3;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -30,14 +30,14 @@
     Grant(usize, LeaseGrant),
 }
 
-/// What may still happen.
+/// Numbers of time steps, faults and restarts that the model may still take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Left {
+struct Remaining {
     time: u64,
     losses: u8,
-    doubles: u8,
-    lessor_starts: u8,
-    holder_starts: u8,
+    duplications: u8,
+    lessor_restarts: u8,
+    holder_restarts: u8,
 }
 
 /// A call in flight.
@@ -45,34 +45,34 @@
 struct Call {
     holder: usize,
     incarnation: u64,
-    since: u64,
+    started_at: u64,
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct ModelState {
     /// Steps since the start.
     time: u64,
     lessor: Lessor,
-    /// When the lessor's clock began.
+    /// Step at which the lessor last started, when its clock began at zero.
     lessor_started_at: u64,
     stored: LessorRecord,
     holders: Vec<LeaseHolder>,
-    incarnations: u64,
+    last_incarnation: u64,
     calls: Vec<Call>,
     messages: Vec<Message>,
-    left: Left,
+    remaining: Remaining,
     key: String,
 }
 
-impl PartialEq for World {
-    fn eq(&self, other: &World) -> bool {
+impl PartialEq for ModelState {
+    fn eq(&self, other: &ModelState) -> bool {
         self.key == other.key
     }
 }
 
-impl Eq for World {}
+impl Eq for ModelState {}
 
-impl Hash for World {
+impl Hash for ModelState {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.key.hash(state);
     }
@@ -80,15 +80,15 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    Time,
+    AdvanceTime,
     Request(usize),
     Deliver(usize),
-    Lose(usize),
-    Double(usize),
-    Begin(usize),
-    End(usize),
-    LessorStarts,
-    HolderStarts(usize),
+    LoseMessage(usize),
+    Duplicate(usize),
+    StartCall(usize),
+    EndCall(usize),
+    RestartLessor,
+    RestartHolder(usize),
 }
 
 fn terms() -> BTreeMap<String, BudgetTerms> {
@@ -105,10 +105,10 @@
     [(BUDGET.to_owned(), terms)].into()
 }
 
-fn holder(time: u64, place: usize, incarnation: u64) -> LeaseHolder {
+fn holder(time: u64, index: usize, incarnation: u64) -> LeaseHolder {
     let mut holder = LeaseHolder::new(
         holder_time(time),
-        &format!("n{place}"),
+        &format!("n{index}"),
         incarnation,
         &BTreeMap::new(),
         MultiplyWithCarry::new(1),
@@ -117,20 +117,21 @@
     holder
 }
 
-/// Holders' clocks are slow and the lessor's is fast: the worst for leases, 200 parts in a million each.
+/// Returns the time by a holder's clock. Holders' clocks are slow and the lessor's clock is fast, by 200 parts per
+/// million each: the worst case for leases.
 fn holder_time(time: u64) -> Time {
     Time::from_ms(time as f64 * STEP_MS * 0.9998)
 }
 
-impl World {
-    fn keyed(mut self) -> World {
+impl ModelState {
+    fn with_key(mut self) -> ModelState {
         self.key = format!(
             "{:?}{:?}{:?}{:?}{:?}",
             self.time,
             self.lessor,
             self.holders,
             self.calls,
-            (&self.messages, self.left, self.lessor_started_at)
+            (&self.messages, self.remaining, self.lessor_started_at)
         );
         self
     }
@@ -139,7 +140,7 @@
         Time::from_ms((self.time - self.lessor_started_at) as f64 * STEP_MS * 1.0002)
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             let mut actions = Vec::new();
@@ -167,168 +168,179 @@
         if let Action::Store(record) = first {
             self.stored = record;
         }
-        self.tell(Event::Stored(Ok(())));
+        self.handle_event(Event::Stored(Ok(())));
         let owned = [(BUDGET.to_owned(), TOTAL)].into();
-        self.tell(Event::TermsChanged { terms: terms(), owned });
+        self.handle_event(Event::TermsChanged { terms: terms(), owned });
     }
 
-    fn used(&self, place: usize) -> u32 {
-        let incarnation = self.holders[place].incarnation();
-        let is_own = |call: &&Call| call.holder == place && call.incarnation == incarnation;
+    fn in_use(&self, index: usize) -> u32 {
+        let incarnation = self.holders[index].incarnation();
+        let is_own = |call: &&Call| call.holder == index && call.incarnation == incarnation;
         self.calls.iter().filter(is_own).count() as u32
     }
 
-    fn may_begin(&self, place: usize) -> bool {
-        self.used(place) < self.holders[place].entitlement(holder_time(self.time), BUDGET).units
+    fn may_start_call(&self, index: usize) -> bool {
+        self.in_use(index) < self.holders[index].entitlement(holder_time(self.time), BUDGET).units
     }
 }
 
-struct Bounds(Left);
+struct BoundedModel(Remaining);
 
-impl Model for Bounds {
-    type State = World;
+impl Model for BoundedModel {
+    type State = ModelState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<ModelState> {
         let stored = LessorRecord { site: "a".into(), ..LessorRecord::default() };
         let (lessor, _) = Lessor::new(Time::from_ms(0.0), stored.clone());
-        let mut world = World {
+        let mut state = ModelState {
             time: 0,
             lessor,
             lessor_started_at: 0,
             stored,
             holders: vec![holder(0, 0, 1), holder(0, 1, 2)],
-            incarnations: 2,
+            last_incarnation: 2,
             calls: Vec::new(),
             messages: Vec::new(),
-            left: self.0,
+            remaining: self.0,
             key: String::new(),
         };
-        world.start_lessor();
-        vec![world.keyed()]
+        state.start_lessor();
+        vec![state.with_key()]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Step>) {
-        let left = world.left;
-        // Calls end when their longest use is over; time does not go on past that.
-        if left.time > 0 && world.calls.iter().all(|call| world.time < call.since + MAX_USE) {
-            actions.push(Step::Time);
+    fn actions(&self, state: &ModelState, actions: &mut Vec<Step>) {
+        let remaining = state.remaining;
+        // A call ends at the latest after the longest use time, so time does not advance beyond that while a call is
+        // in flight.
+        if remaining.time > 0 && state.calls.iter().all(|call| state.time < call.started_at + MAX_USE) {
+            actions.push(Step::AdvanceTime);
         }
-        for place in 0..world.holders.len() {
-            if world.holders[place].next_request_at() <= holder_time(world.time)
-                && world.messages.len() < MAX_MESSAGES
+        for index in 0..state.holders.len() {
+            if state.holders[index].next_request_at() <= holder_time(state.time)
+                && state.messages.len() < MAX_MESSAGES
             {
-                actions.push(Step::Request(place));
+                actions.push(Step::Request(index));
             }
-            if world.may_begin(place) {
-                actions.push(Step::Begin(place));
+            if state.may_start_call(index) {
+                actions.push(Step::StartCall(index));
             }
-            if left.holder_starts > 0 {
-                actions.push(Step::HolderStarts(place));
+            if remaining.holder_restarts > 0 {
+                actions.push(Step::RestartHolder(index));
             }
         }
-        for place in 0..world.messages.len() {
-            actions.push(Step::Deliver(place));
-            if left.losses > 0 {
-                actions.push(Step::Lose(place));
+        for index in 0..state.messages.len() {
+            actions.push(Step::Deliver(index));
+            if remaining.losses > 0 {
+                actions.push(Step::LoseMessage(index));
             }
-            if left.doubles > 0 && world.messages.len() < MAX_MESSAGES {
-                actions.push(Step::Double(place));
+            if remaining.duplications > 0 && state.messages.len() < MAX_MESSAGES {
+                actions.push(Step::Duplicate(index));
             }
         }
-        actions.extend((0..world.calls.len()).map(Step::End));
-        if left.lessor_starts > 0 {
-            actions.push(Step::LessorStarts);
+        actions.extend((0..state.calls.len()).map(Step::EndCall));
+        if remaining.lessor_restarts > 0 {
+            actions.push(Step::RestartLessor);
         }
     }
 
-    fn next_state(&self, world: &World, step: Step) -> Option<World> {
-        let mut next = world.clone();
+    fn next_state(&self, state: &ModelState, step: Step) -> Option<ModelState> {
+        let mut next = state.clone();
         match step {
-            Step::Time => {
+            Step::AdvanceTime => {
                 next.time += 1;
-                next.left.time -= 1;
-                next.tell(Event::Timer);
+                next.remaining.time -= 1;
+                next.handle_event(Event::Timer);
             }
-            Step::Request(place) => {
-                let (used, now) = (next.used(place), holder_time(next.time));
-                // It always wants more: what it is granted it may use at any moment.
-                let usage = Usage { in_use: used, wanted: used.max(TOTAL) };
-                next.holders[place].record_usage(now, BUDGET, usage);
-                let request = next.holders[place].take_request(now)?;
-                next.messages.push(Message::Request(place, request));
+            Step::Request(index) => {
+                let (in_use, now) = (next.in_use(index), holder_time(next.time));
+                // A holder always wants the total, and may use its granted units at any moment.
+                let usage = Usage { in_use, wanted: in_use.max(TOTAL) };
+                next.holders[index].record_usage(now, BUDGET, usage);
+                let request = next.holders[index].take_request(now)?;
+                next.messages.push(Message::Request(index, request));
             }
             Step::Deliver(at) => match next.messages.remove(at) {
-                Message::Request(place, request) => next.tell(Event::Requested(place as u64, request)),
-                Message::Grant(place, grant) => {
+                Message::Request(index, request) => {
+                    next.handle_event(Event::Requested(index as u64, request))
+                }
+                Message::Grant(index, grant) => {
                     let now = holder_time(next.time);
-                    next.holders[place].on_grant(now, &grant);
+                    next.holders[index].on_grant(now, &grant);
                 }
             },
-            Step::Lose(at) => {
+            Step::LoseMessage(at) => {
                 next.messages.remove(at);
-                next.left.losses -= 1;
+                next.remaining.losses -= 1;
             }
-            Step::Double(at) => {
+            Step::Duplicate(at) => {
                 let message = next.messages[at].clone();
                 next.messages.push(message);
-                next.left.doubles -= 1;
+                next.remaining.duplications -= 1;
             }
-            Step::Begin(place) => {
-                let incarnation = next.holders[place].incarnation();
-                next.calls.push(Call { holder: place, incarnation, since: next.time });
+            Step::StartCall(index) => {
+                let incarnation = next.holders[index].incarnation();
+                next.calls.push(Call { holder: index, incarnation, started_at: next.time });
                 next.calls.sort_unstable();
             }
-            Step::End(at) => {
+            Step::EndCall(at) => {
                 next.calls.remove(at);
             }
-            Step::LessorStarts => {
-                next.left.lessor_starts -= 1;
+            Step::RestartLessor => {
+                next.remaining.lessor_restarts -= 1;
                 next.start_lessor();
             }
-            Step::HolderStarts(place) => {
-                next.left.holder_starts -= 1;
-                next.incarnations += 1;
-                next.holders[place] = holder(next.time, place, next.incarnations);
+            Step::RestartHolder(index) => {
+                next.remaining.holder_restarts -= 1;
+                next.last_incarnation += 1;
+                next.holders[index] = holder(next.time, index, next.last_incarnation);
             }
         }
-        Some(next.keyed())
+        Some(next.with_key())
     }
 
-    fn properties(&self) -> Vec<Property<Bounds>> {
+    fn properties(&self) -> Vec<Property<BoundedModel>> {
         vec![
-            Property::always("never more than the total", |_: &Bounds, world: &World| {
-                world.calls.len() <= TOTAL as usize
+            Property::always("never more than the total", |_: &BoundedModel, state: &ModelState| {
+                state.calls.len() <= TOTAL as usize
             }),
-            Property::sometimes("the total is used by one", |_, world: &World| {
-                (0..2).any(|place| world.used(place) == TOTAL)
+            Property::sometimes("the total is used by one", |_, state: &ModelState| {
+                (0..2).any(|index| state.in_use(index) == TOTAL)
             }),
-            Property::sometimes("the total is used by both", |_, world: &World| {
-                (0..2).all(|place| world.used(place) == 1)
+            Property::sometimes("the total is used by both", |_, state: &ModelState| {
+                (0..2).all(|index| state.in_use(index) == 1)
             }),
         ]
     }
 }
 
-fn explored(left: Left, depth: usize, states: usize) {
-    let checker = Bounds(left)
+fn check_states(remaining: Remaining, max_depth: usize, max_states: usize) {
+    let checker = BoundedModel(remaining)
         .checker()
         .threads(4)
-        .target_max_depth(depth)
-        .target_state_count(states)
+        .target_max_depth(max_depth)
+        .target_state_count(max_states)
         .spawn_bfs()
         .join();
     let found = checker.discovery("never more than the total");
     assert!(found.is_none(), "{:?}", found.map(|path| path.into_actions()));
-    println!("{} states, {} deep at most", checker.unique_state_count(), checker.max_depth());
+    println!("{} unique states, maximum depth {}", checker.unique_state_count(), checker.max_depth());
 }
 
 #[test]
-fn messages_lost_doubled_and_out_of_order_never_exceed_the_total() {
-    explored(Left { time: 8, losses: 1, doubles: 1, lessor_starts: 0, holder_starts: 0 }, 22, 120_000);
+fn messages_lost_duplicated_and_out_of_order_never_exceed_the_total() {
+    check_states(
+        Remaining { time: 8, losses: 1, duplications: 1, lessor_restarts: 0, holder_restarts: 0 },
+        22,
+        120_000,
+    );
 }
 
 #[test]
 fn a_lessor_and_holders_that_die_and_restart_never_exceed_the_total() {
-    explored(Left { time: 9, losses: 0, doubles: 1, lessor_starts: 1, holder_starts: 1 }, 22, 120_000);
+    check_states(
+        Remaining { time: 9, losses: 0, duplications: 1, lessor_restarts: 1, holder_restarts: 1 },
+        22,
+        120_000,
+    );
 }
--- a/crates/hazelgrade-budget/tests/terms.rs
+++ b/crates/hazelgrade-budget/tests/terms.rs
@@ -1,4 +1,4 @@
-//! Documents of budgets, and the terms that are read from them.
+//! Budget documents: the reasons for which they are rejected, and the terms that are read from them.
 
 use hazelgrade_budget::terms::{self, Measure};
 use hazelgrade_config::{Document, Kind};
@@ -37,11 +37,12 @@
             "expected one of in-hand, rate, tries",
         ),
     ] {
-        let said = faults(text);
-        assert!(said.contains(expected), "{text}\nsaid {said:?}, expected {expected:?}");
+        let reported = faults(text);
+        assert!(reported.contains(expected), "{text}\nreported {reported:?}, expected {expected:?}");
     }
     let shipped = include_str!("../../../deploy/budgets.toml");
-    let document = Document::read_as(Kind::Budgets, shipped, "deploy/budgets.toml").expect("it is right");
+    let document = Document::read_as(Kind::Budgets, shipped, "deploy/budgets.toml")
+        .expect("the shipped document is valid");
     let budgets = terms::read_all(&document);
     assert_eq!(budgets["calls"].site_shares["b"], 16);
     assert_eq!(budgets["tries"].measure, Measure::Retries { per_mille: 200 });
--- a/crates/hazelgrade-budget/tests/token_bucket.rs
+++ b/crates/hazelgrade-budget/tests/token_bucket.rs
@@ -1,4 +1,4 @@
-//! A node's share of a rate, or of retries, as single jobs.
+//! Token buckets that admit jobs and retries according to a node's share of a budget.
 
 use hazelgrade::time::Time;
 use hazelgrade_budget::terms::Measure;
@@ -6,8 +6,8 @@
 use quickcheck::quickcheck;
 
 quickcheck! {
-    /// Shares that move between buckets never let through more than one bucket of the total's size would.
-    fn buckets_together_are_no_more_than_one(moves: Vec<(u8, u8, u8)>) -> bool {
+    /// Buckets between which shares move never admit more jobs together than a single bucket for the total would.
+    fn buckets_together_admit_no_more_than_one(moves: Vec<(u8, u8, u8)>) -> bool {
         let (total, burst) = (40, 12);
         let measure = Measure::Rate { burst };
         let at = Time::from_ms;
@@ -20,7 +20,7 @@
             let (from, to) = (shares.iter().position(|share| *share > 0).unwrap_or(0), usize::from(to % 3));
             let units = u32::from(units).min(shares[from]);
             shares[from] -= units;
-            // Given back before it is given.
+            // The share is returned by one bucket before the other one gets it.
             buckets[from].resize(at(now), measure, total, shares[from]);
             shares[to] += units;
             buckets[to].resize(at(now), measure, total, shares[to]);
@@ -42,10 +42,10 @@
 fn retries_are_a_ratio_of_first_attempts() {
     let mut bucket = TokenBucket::new(Time::from_ms(0.0), Measure::Retries { per_mille: 200 }, 10);
     bucket.resize(Time::from_ms(0.0), Measure::Retries { per_mille: 200 }, 10, 4);
-    assert!(bucket.try_take(Time::from_ms(1.0)).is_err(), "nothing was earned yet");
+    assert!(bucket.try_take(Time::from_ms(1.0)).is_err(), "no retry has been earned yet");
     (0..100).for_each(|_| bucket.deposit());
     let taken = (0..100).filter(|_| bucket.try_take(Time::from_ms(2.0)).is_ok()).count();
-    assert_eq!(taken, 4, "a part of what may come together, whatever was earned");
+    assert_eq!(taken, 4, "the share limits the retries, however many were earned");
     (0..5).for_each(|_| bucket.deposit());
     assert!(bucket.try_take(Time::from_ms(3.0)).is_ok() && bucket.try_take(Time::from_ms(3.0)).is_err());
 }
