--- a/crates/hazelgrade-budget/src/lease_holder/lease.rs
+++ b/crates/hazelgrade-budget/src/lease_holder/lease.rs
@@ -11,7 +11,8 @@
 /// Use time of unleased units before the first grant, in milliseconds: effectively unbounded.
 const UNBOUNDED_USE_MS: f64 = 1e9;
 
-/// Converts a duration from a message, limited to 0 to `max_ms`; a value that is not finite counts as zero.
+/// Converts a duration from a message and limits it to the range from 0 to `max_ms`. A value that is not finite
+/// counts as 0.
 pub(super) fn bounded_span(ms: f64, max_ms: f64) -> Span {
     Span::from_ms(if ms.is_finite() { ms.clamp(0.0, max_ms) } else { 0.0 })
 }
@@ -60,8 +61,8 @@
     /// Units wanted at the time of the latest request.
     last_wanted: Units,
     mean_wanted: MeanWanted,
-    /// Whether the latest grant was smaller than the lease before it. The lessor can lease the difference to other
-    /// holders only after a request shows that the grant was accepted.
+    /// Whether the latest grant was smaller than the units leased or in use before. The lessor can lease the
+    /// difference to other holders only after a request shows that the grant was accepted.
     shrunk: bool,
 }
 
--- a/crates/hazelgrade-budget/src/lease_holder/mod.rs
+++ b/crates/hazelgrade-budget/src/lease_holder/mod.rs
@@ -126,7 +126,7 @@
         self.next_request_at = self.next_request_at.min(earliest.max(now));
     }
 
-    /// Handles the lessor's demand for a request at once.
+    /// Handles a nudge of the lessor: the next request is due as soon as possible.
     pub fn on_nudge(&mut self, now: Time) {
         self.request_soon(now);
     }
