--- a/crates/hazelgrade-stream/src/lib.rs
+++ b/crates/hazelgrade-stream/src/lib.rs
@@ -1,16 +1,16 @@
-//! Streamed configuration: versions of a document go from a control service to nodes; each node acknowledges or
-//! rejects a version, runs it on trial, and keeps it or rolls back.
+//! Streamed configuration: a control service distributes versions of a document to nodes. Each node acknowledges or
+//! rejects a version, runs an acknowledged version on trial, and then keeps the version or rolls back.
 //!
-//! | module | what it does |
+//! | module | contents |
 //! | --- | --- |
-//! | [`protocol`] | the messages, and how they are written |
-//! | [`subscriber`] | a node's side, as a state machine without input or output |
-//! | [`trial`] | whether a version on trial does well |
-//! | [`stored`] | what a node stores |
-//! | [`backoff`] | when a node connects again |
-//! | [`client`] | a node's side on a socket |
-//! | [`publisher`] | the control service's side, as a state machine without input or output |
-//! | [`admission`] | how many subscribers a control service admits |
+//! | [`protocol`] | the messages and their encoding on the wire |
+//! | [`subscriber`] | the node's side, as a state machine that performs no I/O |
+//! | [`trial`] | the decision whether a version passes its trial |
+//! | [`stored`] | the state that a node stores |
+//! | [`backoff`] | the delays between a node's attempts to connect |
+//! | [`client`] | the node's side on a socket |
+//! | [`publisher`] | the control service's side, as a state machine that performs no I/O |
+//! | [`admission`] | the rate limit for new subscribers of a control service |
 //! | [`control_service`] | the control service's side on sockets |
 //! | [`lessor_service`] | the lessor of a site's budgets on the control service's sockets |
 
--- a/crates/hazelgrade-stream/src/subscriber/candidate.rs
+++ b/crates/hazelgrade-stream/src/subscriber/candidate.rs
@@ -1,4 +1,4 @@
-//! A candidate takes effect, is on trial, and becomes good or is rolled back.
+//! The candidate's way from taking effect, through its trial, to the last good version or a rollback.
 
 use super::Subscriber;
 use super::event::Action;
@@ -10,7 +10,7 @@
 use hazelgrade_config::{Document, Version};
 
 impl Subscriber {
-    /// Records that the node crashed with this version on trial.
+    /// Records that the node crashed while this version was on trial.
     pub(super) fn record_crash(&mut self, version: Version, actions: &mut Vec<Action>) {
         let crashes = self.stored.record_crash(version.digest);
         let reason = format!("the node died with it on trial, {crashes} of {MAX_CRASHES_ON_TRIAL} times");
@@ -19,8 +19,8 @@
         self.store(actions);
     }
 
-    /// Handles that the candidate is in effect, or can't be applied here. A document that is applied at a start or by a
-    /// rollback is not a candidate and needs no answer.
+    /// Starts the candidate's trial once the candidate is in effect, or rejects a candidate that can't be applied on
+    /// this node. A document that is applied at a start or by a rollback is not a candidate and needs no answer.
     pub(super) fn on_applied(&mut self, now: Time, result: Result<(), String>, actions: &mut Vec<Action>) {
         let Some(Candidate { stage: Stage::Applying, .. }) = &self.candidate else { return };
         if let Err(reason) = result {
@@ -35,7 +35,7 @@
         let staged = staged_fields(fallback.as_deref(), &candidate.document);
         let version = candidate.version;
         let reply_to = candidate.reply_to.take();
-        actions.push(Action::Log(format!("version {version} is in effect, on trial")));
+        actions.push(Action::Log(format!("version {version} took effect; its trial has started")));
         if let Some(reply_to) = reply_to {
             let nonce = reply_to.nonce;
             let message = SubscriberMessage::Acknowledged { nonce, version, on_trial: true, staged };
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Drops a candidate that has not been in effect; only its number is remembered.
+    /// Rejects a candidate that has not taken effect. The candidate's version stays the latest known version.
     pub(super) fn reject_candidate(&mut self, rejection: Rejection, actions: &mut Vec<Action>) {
         let Some(Candidate { version, reply_to, .. }) = self.candidate.take() else { return };
         self.stored.on_trial = None;
@@ -60,7 +60,7 @@
 
     pub(super) fn on_sample(&mut self, now: Time, sample: Sample, actions: &mut Vec<Action>) {
         if self.draining {
-            return; // Jobs that a drain rejects are no evidence against a version.
+            return; // Jobs that are rejected because of a drain say nothing about the version on trial.
         }
         let Some(Candidate { stage: Stage::OnTrial(trial), .. }) = &mut self.candidate else {
             self.baseline.record(now, sample);
@@ -76,7 +76,8 @@
         }
     }
 
-    /// The candidate passed its trial; it is good once that is stored.
+    /// Stores a candidate that passed its trial as the last good version. The candidate counts as good once the write
+    /// has ended.
     fn store_as_good(&mut self, actions: &mut Vec<Action>) {
         let Some(candidate) = &self.candidate else { return };
         let document = (*candidate.document).clone();
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Goes back to what the node served by before the candidate.
+    /// Applies the document that was in effect before the candidate, and reports why the trial failed.
     pub(super) fn roll_back(&mut self, reason: String, actions: &mut Vec<Action>) {
         let Some(Candidate { version, .. }) = self.candidate.take() else { return };
         actions.push(Action::Apply { document: self.fallback_document(), is_rollback: true });
@@ -100,7 +101,8 @@
         self.send_on(self.connection_count, message, actions);
     }
 
-    /// Moves the candidate to its next stage if it waited for the write with this ticket, which is on the disk now.
+    /// Moves the candidate to its next stage if the candidate waits for the write with this ticket. The write is on the
+    /// disk now.
     pub(super) fn on_candidate_stored(&mut self, ticket: u64, actions: &mut Vec<Action>) {
         let Some(candidate) = &mut self.candidate else { return };
         match candidate.stage {
@@ -117,15 +119,17 @@
     fn end_trial_as_good(&mut self, actions: &mut Vec<Action>) {
         let Some(Candidate { version, document, .. }) = self.candidate.take() else { return };
         self.last_good = Some(VersionedDocument { version, document });
-        actions.push(Action::Log(format!("version {version} is good")));
+        actions.push(Action::Log(format!(
+            "version {version} passed its trial and is stored as the last good version"
+        )));
         let message = SubscriberMessage::TrialEnded { version, failure: None };
         self.send_on(self.connection_count, message, actions);
         self.handle_waiting_offer(actions);
     }
 }
 
-/// The fields that differ from what was in effect before and take effect at the next start only.
-fn staged_fields(before: Option<&Document>, document: &Document) -> Vec<String> {
-    let Some(before) = before else { return Vec::new() };
-    before.fields().difference(document.fields()).staged()
+/// The fields that differ from the previous document and take effect only at the node's next start.
+fn staged_fields(previous: Option<&Document>, document: &Document) -> Vec<String> {
+    let Some(previous) = previous else { return Vec::new() };
+    previous.fields().difference(document.fields()).staged()
 }
--- a/crates/hazelgrade-stream/src/subscriber/connection.rs
+++ b/crates/hazelgrade-stream/src/subscriber/connection.rs
@@ -1,4 +1,4 @@
-//! The connection to a control service.
+//! The subscriber's connection to a control service.
 
 use super::Subscriber;
 use super::event::Action;
@@ -9,7 +9,7 @@
 impl Subscriber {
     pub(super) fn connect(&mut self, now: Time, actions: &mut Vec<Action>) {
         let delay = self.backoff.next_delay(&mut self.random, self.retry_after.take());
-        actions.push(Action::Connect { control_service: self.control_service, at: now + delay });
+        actions.push(Action::Connect { control_service: self.control_service_index, at: now + delay });
         self.connection = Connection::Connecting;
     }
 
@@ -29,10 +29,10 @@
     }
 
     pub(super) fn on_disconnected(&mut self, now: Time, actions: &mut Vec<Action>) {
-        // The next control service offers its current version again.
+        // The control service of the next connection offers its current version again.
         self.waiting_offer = None;
         if self.retry_after.is_none() {
-            self.control_service = (self.control_service + 1) % self.control_services;
+            self.control_service_index = (self.control_service_index + 1) % self.control_service_count;
         }
         self.connect(now, actions);
     }
@@ -41,7 +41,8 @@
         let Connection::Open { last_received } = &mut self.connection else { return };
         *last_received = now;
         match message {
-            // The lease holder handles leases; here they only show that the connection works.
+            // The lease holder handles messages about leases. For the subscriber they only show that the connection
+            // works.
             PublisherMessage::LeaseGrant(_)
             | PublisherMessage::RequestLeases
             | PublisherMessage::SiteReport(_) => self.backoff.reset(),
@@ -60,14 +61,14 @@
         }
     }
 
-    /// Sends a message if the connection with this count is still open.
+    /// Sends a message if the connection with this number is still open.
     pub(super) fn send_on(&self, connection: u64, message: SubscriberMessage, actions: &mut Vec<Action>) {
         if connection == self.connection_count && matches!(self.connection, Connection::Open { .. }) {
             actions.push(Action::Send(message));
         }
     }
 
-    /// When the connection counts as dead unless another message comes.
+    /// The time at which the connection counts as dead unless another message is received before.
     pub(super) fn silence_deadline(&self) -> Option<Time> {
         match self.connection {
             Connection::Open { last_received } => Some(last_received + Span::from_ms(SILENCE_TIMEOUT_MS)),
@@ -75,13 +76,15 @@
         }
     }
 
-    /// Closes the connection if it is dead.
+    /// Closes the connection if no message has been received on it for the silence timeout.
     pub(super) fn check_silence(&mut self, now: Time, actions: &mut Vec<Action>) {
         let Connection::Open { last_received } = self.connection else { return };
         if now.since(last_received) >= Span::from_ms(SILENCE_TIMEOUT_MS) {
-            actions.push(Action::Log("the control service is silent".into()));
+            let reason = "no message from the control service";
+            actions
+                .push(Action::Log(format!("{reason} for {SILENCE_TIMEOUT_MS} ms; closing the connection")));
             actions.push(Action::Disconnect);
-            // So that it is closed only once; `Disconnected` follows.
+            // Prevents a second `Disconnect` before `Event::Disconnected` follows.
             self.connection = Connection::Closed;
         }
     }
--- a/crates/hazelgrade-stream/src/subscriber/event.rs
+++ b/crates/hazelgrade-stream/src/subscriber/event.rs
@@ -1,4 +1,4 @@
-//! A subscriber's events and actions.
+//! The events that a subscriber handles and the actions that it requests.
 
 use crate::protocol::{PublisherMessage, SubscriberMessage};
 use crate::stored::StoredState;
@@ -10,69 +10,69 @@
 /// An event that a subscriber handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The requested connection is open.
+    /// The connection of [`Action::Connect`] is open.
     Connected,
     /// The connection ended, or could not be opened.
     Disconnected,
-    /// A message came on the connection.
+    /// A message was received on the connection.
     Received(PublisherMessage),
-    /// A line came on the connection that could not be decoded, for this reason.
+    /// A line was received on the connection that could not be decoded, for this reason.
     Undecodable(String),
-    /// A write ended.
+    /// The write of [`Action::Store`] ended.
     Stored {
         /// The ticket of [`Action::Store`].
         ticket: u64,
-        /// `Ok` once it is on the disk, or the reason why it is not.
+        /// `Ok` if the state is on the disk, or the reason why it could not be stored.
         result: Result<(), String>,
     },
-    /// The document of [`Action::Apply`] is in effect, or can't be applied on this node for this reason.
+    /// The document of [`Action::Apply`] is in effect, or can't be applied on this node, for this reason.
     Applied(Result<(), String>),
-    /// How jobs fared since the last sample; due every [`sample_interval`](super::Subscriber::sample_interval).
+    /// The outcomes of jobs since the previous sample; due every [`sample_interval`](super::Subscriber::sample_interval).
     Sampled(Sample),
-    /// The node drains.
+    /// The node began to drain.
     DrainStarted,
-    /// The time of [`next_timer`](super::Subscriber::next_timer) has come.
+    /// The time of [`next_timer`](super::Subscriber::next_timer) has been reached.
     TimerFired,
 }
 
-/// What the subscriber's caller is to do.
+/// An action that the code that runs the subscriber must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Connect to a control service; [`Event::Connected`] or [`Event::Disconnected`] follows.
+    /// Connect to a control service. [`Event::Connected`] or [`Event::Disconnected`] follows.
     Connect {
-        /// The number of the control service, from 0.
+        /// The index of the control service, from 0.
         control_service: usize,
-        /// When to connect.
+        /// The time at which to connect.
         at: Time,
     },
     /// Send a message on the connection.
     Send(SubscriberMessage),
-    /// Close the connection; [`Event::Disconnected`] follows.
+    /// Close the connection. [`Event::Disconnected`] follows.
     Disconnect,
-    /// Store the state in place of the one before; [`Event::Stored`] follows.
+    /// Store this state in place of the previously stored state. [`Event::Stored`] follows.
     Store {
-        /// Identifies the write; each ticket is greater than the one before.
+        /// Identifies the write. Each ticket is greater than the previous one.
         ticket: u64,
-        /// The state.
+        /// The state to store.
         state: StoredState,
     },
-    /// Serve by a document from the next round on; [`Event::Applied`] follows.
+    /// Put a document into effect from the next round on. [`Event::Applied`] follows.
     Apply {
-        /// The document; with `None` the node is not ready.
+        /// The document; with `None` the node has no configuration and is not ready.
         document: Option<Arc<Document>>,
-        /// Whether this is what the node served by before a version that failed.
+        /// Whether the action rolls back a version that failed its trial.
         is_rollback: bool,
     },
     /// Write a line to the log.
     Log(String),
 }
 
-/// What the node serves by.
+/// The configuration that is in effect on the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InEffect {
-    /// Nothing: it is not ready.
+    /// None: the node is not ready.
     Nothing,
-    /// The document that it was started with.
+    /// The local document that the node was started with.
     LocalDocument,
     /// The last good version.
     Good(Version),
--- a/crates/hazelgrade-stream/src/subscriber/mod.rs
+++ b/crates/hazelgrade-stream/src/subscriber/mod.rs
@@ -1,15 +1,17 @@
-//! A node's side of streamed configuration, as a state machine: events and the time come in, actions go out.
+//! The node's side of streamed configuration, as a state machine: the input is events with the current time, the output
+//! is actions.
 //!
-//! At every step the node serves by its local document, by a version that passed its trial, or by one that it has
-//! acknowledged and has on trial. After a crash it starts again with one of the first two. To ensure this, a version
-//! goes through these stages, one version at a time:
+//! At every step the configuration in effect is the local document, a version that passed its trial, or a version that
+//! the node acknowledged and has on trial. After a crash the node starts with the local document or with the last good
+//! version. To ensure this, one version at a time goes through these stages:
 //!
-//! 1. *checked* (`offers`): lineage, number, digest and document; a version rejected here changes nothing;
-//! 2. *stored* (`storage`): the store has it as on trial before it takes effect, so that a crash with it is recognized;
-//! 3. *on trial* (`candidate`): in effect and acknowledged; [`trial`](crate::trial) decides whether it does well;
+//! 1. *checked* (`offers`): lineage, number, digest and document; a version that is rejected here changes nothing;
+//! 2. *stored* (`storage`): the version is stored as on trial before it takes effect, so that the next start recognizes
+//!    a crash during the trial;
+//! 3. *on trial* (`candidate`): in effect and acknowledged; [`trial`](crate::trial) decides whether the version passes;
 //! 4. *ended* (`candidate`): stored as the last good version, or rolled back and reported with the reason.
 //!
-//! If versions are offered meanwhile, the latest of them waits.
+//! If versions are offered meanwhile, only the latest of them waits; the others are rejected as superseded.
 
 mod candidate;
 mod connection;
@@ -33,27 +35,28 @@
 use std::sync::Arc;
 use write_schedule::WriteSchedule;
 
-/// What a subscriber starts with.
+/// The configuration and the stored state that a subscriber starts with.
 pub struct SubscriberConfig {
-    /// The kind of document that it subscribes to.
+    /// The kind of document that the node subscribes to.
     pub kind: Kind,
     /// The node's name.
     pub node: String,
     /// The version of the node's program.
     pub program: String,
-    /// The only lineage whose versions it applies; by default the lineage of the first version that it applies.
+    /// The only lineage whose versions the node applies. With `None` the node follows the lineage of the first version
+    /// that it applies.
     pub lineage: Option<String>,
-    /// How a version is judged on trial.
+    /// The rules by which a version passes or fails its trial.
     pub trial_rules: operator::Trial,
-    /// How many control services there are; they are numbered from 0.
+    /// The number of control services. Their indexes start at 0.
     pub control_services: usize,
-    /// The source of jitter.
+    /// The source of the jitter in the delays between attempts to connect.
     pub random: MultiplyWithCarry,
     /// The delays between attempts to connect.
     pub backoff: Backoff,
-    /// The state that was stored before the start.
+    /// The state that the node stored before this start.
     pub stored: StoredState,
-    /// The document to serve by while no streamed version is good.
+    /// The document in effect while no streamed version is good or on trial.
     pub local_document: Option<Document>,
 }
 
@@ -64,38 +67,40 @@
     node: String,
     program: String,
     /// The lineage that the operator configured, if any.
-    lineage: Option<String>,
+    configured_lineage: Option<String>,
     trial_rules: operator::Trial,
-    control_services: usize,
+    control_service_count: usize,
     random: MultiplyWithCarry,
     backoff: Backoff,
     stored: StoredState,
     writes: WriteSchedule,
     local_document: Option<Arc<Document>>,
     last_good: Option<VersionedDocument>,
-    /// The version that is being applied.
+    /// The version that is being applied or is on trial.
     candidate: Option<Candidate>,
-    /// The offer that is handled after the candidate.
+    /// The latest offer that was received during the candidate's stages; handled once the candidate is done.
     waiting_offer: Option<Offer>,
     baseline: Baseline,
     connection: Connection,
-    /// Connections so far; an answer is sent only on the connection that its offer came on.
+    /// The number of connections so far, which identifies the current one. An offer is answered only on the connection
+    /// that carried the offer.
     connection_count: u64,
-    /// The control service to connect to.
-    control_service: usize,
-    /// The delay that the control service asked for before the connection was closed.
+    /// The index of the control service to connect to.
+    control_service_index: usize,
+    /// The delay that the control service requested before the connection was closed.
     retry_after: Option<Span>,
     draining: bool,
-    /// The report that a trial ended in a crash, sent once connected.
+    /// The report that a trial ended in a crash; sent on the first connection after the start.
     unreported_trial_end: Option<SubscriberMessage>,
 }
 
 impl Subscriber {
-    /// A subscriber of a node that has just started. The first action applies the document that the node serves by.
+    /// Creates the subscriber of a node that has just started. The first action applies the document that is in effect
+    /// from the start.
     pub fn start(now: Time, config: SubscriberConfig, actions: &mut Vec<Action>) -> Subscriber {
         let mut stored = config.stored;
         if config.lineage.is_some() && config.lineage != stored.lineage {
-            // Version numbers of another lineage don't apply to this one.
+            // Version numbers of different lineages can't be compared.
             stored.lineage = config.lineage.clone();
             stored.latest_known = None;
             stored.last_failed = None;
@@ -106,9 +111,9 @@
             kind: config.kind,
             node: config.node,
             program: config.program,
-            lineage: config.lineage,
+            configured_lineage: config.lineage,
             trial_rules: config.trial_rules,
-            control_services: config.control_services.max(1),
+            control_service_count: config.control_services.max(1),
             random: config.random,
             backoff: config.backoff,
             stored,
@@ -120,7 +125,7 @@
             baseline: Baseline::new(config.trial_rules.span),
             connection: Connection::Closed,
             connection_count: 0,
-            control_service: 0,
+            control_service_index: 0,
             retry_after: None,
             draining: false,
             unreported_trial_end: None,
@@ -133,7 +138,7 @@
         subscriber
     }
 
-    /// What the node serves by.
+    /// The configuration that is in effect on the node.
     pub fn in_effect(&self) -> InEffect {
         if let Some(candidate) = self.candidate.as_ref().filter(|candidate| candidate.is_in_effect()) {
             return InEffect::OnTrial(candidate.version);
@@ -145,24 +150,26 @@
         }
     }
 
-    /// Time between samples.
+    /// The time between two [`Event::Sampled`].
     pub fn sample_interval(&self) -> Span {
         self.trial_rules.span * (1.0 / SAMPLES_PER_SPAN)
     }
 
-    /// When [`Event::TimerFired`] is due at the latest.
+    /// The latest time at which [`Event::TimerFired`] is due.
     pub fn next_timer(&self) -> Option<Time> {
         self.silence_deadline().into_iter().chain(self.writes.retry_at()).min()
     }
 
-    /// Handles an event; the resulting actions are added to `actions`, in order.
+    /// Handles an event and appends the resulting actions to `actions`, in order.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Connected => self.on_connected(now, actions),
             Event::Disconnected => self.on_disconnected(now, actions),
             Event::Received(message) => self.on_message(now, message, actions),
             Event::Undecodable(reason) => {
-                actions.push(Action::Log(format!("the control service sent a malformed message: {reason}")));
+                actions.push(Action::Log(format!(
+                    "closing the connection: the control service sent a malformed message: {reason}"
+                )));
                 actions.push(Action::Disconnect);
             }
             Event::Stored { ticket, result } => self.on_stored(now, ticket, result, actions),
@@ -175,8 +182,8 @@
         self.retry_storing(now, actions);
     }
 
-    /// Stops applying versions. The version in effect stays. One on trial neither passes nor fails; it is no longer
-    /// stored as on trial, so that the coming stop does not count as a crash.
+    /// Stops applying versions. The version in effect stays in effect. A version on trial neither passes nor fails, and
+    /// is no longer stored as on trial, so that the node's stop after the drain does not count as a crash.
     fn on_drain_started(&mut self, actions: &mut Vec<Action>) {
         self.draining = true;
         self.reject_waiting_as_draining(actions);
@@ -190,13 +197,13 @@
         }
     }
 
-    /// What the node serves by without the candidate.
+    /// The document that is in effect without the candidate: the last good version's or the local one.
     fn fallback_document(&self) -> Option<Arc<Document>> {
         let last_good = self.last_good.as_ref().map(|good| good.document.clone());
         last_good.or_else(|| self.local_document.clone())
     }
 
-    /// The version in effect with its document; `None` while the node serves by its local document or not at all.
+    /// The version in effect with its document; `None` while the local document or no document is in effect.
     fn version_in_effect(&self) -> Option<VersionedDocument> {
         match &self.candidate {
             Some(candidate) if candidate.is_in_effect() => Some(candidate.versioned_document()),
--- a/crates/hazelgrade-stream/src/subscriber/offers.rs
+++ b/crates/hazelgrade-stream/src/subscriber/offers.rs
@@ -1,4 +1,4 @@
-//! Which offers a node accepts, and how it answers the others.
+//! The checks of offers: which versions a node begins to apply, and how it answers the other offers.
 
 use super::Subscriber;
 use super::event::Action;
@@ -8,23 +8,23 @@
 use hazelgrade_config::{ConfigError, Document, Version, error_summary};
 use std::sync::Arc;
 
-/// The most errors of a document that a rejection names.
+/// The maximum number of errors that a rejection of an invalid document names.
 const MAX_ERRORS_NAMED: usize = 5;
 
-/// The reason for a rollback when the good document is published again during a trial.
+/// The reason that is reported for a rollback when the last good document is published again during a trial.
 const ROLLED_BACK_BY_PUBLISHER: &str = "a later version takes it back";
 
 impl Subscriber {
-    /// The only lineage whose versions the node takes.
+    /// The only lineage whose versions the node applies; `None` until the node has applied a first version.
     pub(super) fn followed_lineage(&self) -> Option<String> {
-        self.lineage.clone().or_else(|| self.stored.lineage.clone())
+        self.configured_lineage.clone().or_else(|| self.stored.lineage.clone())
     }
 
     pub(super) fn on_offer(&mut self, offer: Offer, actions: &mut Vec<Action>) {
         let Offer { nonce, version, .. } = offer;
         match self.check(&offer) {
             Ok(Some(document)) => self.start_candidate(offer, document, actions),
-            // The version is in effect already: the offer came twice, or its answer was lost.
+            // The version is in effect already: the offer was received twice, or the answer to it was lost.
             Ok(None) => {
                 let on_trial = self.candidate.is_some();
                 let staged = Vec::new();
@@ -41,7 +41,7 @@
         self.send_on(self.connection_count, message, actions);
     }
 
-    /// The document to apply; `None` if the version is in effect already.
+    /// Checks an offer. Returns the document to apply, or `None` if the version is in effect already.
     fn check(&self, offer: &Offer) -> Result<Option<Document>, Rejection> {
         if self.draining {
             return Err(Rejection::Draining);
@@ -56,7 +56,7 @@
         self.read_document(offer).map(Some)
     }
 
-    /// Checks a version against what the node knows of earlier ones.
+    /// Checks a version against the crashes, failed trials and version numbers that the node knows of.
     fn check_history(&self, version: Version) -> Result<(), Rejection> {
         if self.stored.crashes_of(version.digest) >= MAX_CRASHES_ON_TRIAL {
             return Err(Rejection::CrashedOnTrial);
@@ -74,7 +74,7 @@
         Ok(())
     }
 
-    /// The document of an offer, checked against its digest.
+    /// Reads the document of an offer, from its full text or from a difference, and checks its digest.
     fn read_document(&self, offer: &Offer) -> Result<Document, Rejection> {
         let version = offer.version;
         let name = format!("version {version}");
@@ -99,10 +99,10 @@
         }
     }
 
-    /// Begins to apply a version, or lets it wait until the candidate is done.
+    /// Makes the version of an offer the candidate, or queues the offer if there is a candidate already.
     fn start_candidate(&mut self, offer: Offer, document: Document, actions: &mut Vec<Action>) {
         if let Some(candidate) = &self.candidate {
-            // Publishing the good document again means that the version on trial is to be rolled back at once.
+            // An operator who publishes the last good document again wants the version on trial rolled back at once.
             if matches!(candidate.stage, Stage::OnTrial(_)) && self.is_last_good(offer.version) {
                 self.roll_back(ROLLED_BACK_BY_PUBLISHER.into(), actions);
             } else {
@@ -119,7 +119,7 @@
             return;
         }
         self.stored.on_trial = Some(VersionOnTrial { version, text: document.to_toml() });
-        // The write is tried at once, without the delay after a failed one: the control service waits for the answer.
+        // The write begins without the delay after a failed write, because the control service waits for the answer.
         self.writes.cancel_delay();
         let ticket = self.store(actions);
         self.candidate = Some(Candidate {
@@ -134,7 +134,7 @@
         self.last_good.as_ref().is_some_and(|good| good.version.digest == version.digest)
     }
 
-    /// Gives the last good document a new number; it needs no trial.
+    /// Gives the last good document a new version number. The document needs no trial, as it passed one before.
     fn renumber_last_good(
         &mut self,
         nonce: u64,
@@ -151,7 +151,7 @@
         self.send_on(self.connection_count, message, actions);
     }
 
-    /// Replaces the waiting offer by a later one.
+    /// Queues an offer, and rejects the one that waited before as superseded.
     fn queue_offer(&mut self, offer: Offer, actions: &mut Vec<Action>) {
         let by = offer.version;
         let replaced = self.waiting_offer.replace(offer).filter(|replaced| replaced.version != by);
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Handles the waiting offer, if there is no candidate.
+    /// Handles the waiting offer if there is no candidate.
     pub(super) fn handle_waiting_offer(&mut self, actions: &mut Vec<Action>) {
         if self.candidate.is_none()
             && let Some(offer) = self.waiting_offer.take()
--- a/crates/hazelgrade-stream/src/subscriber/state.rs
+++ b/crates/hazelgrade-stream/src/subscriber/state.rs
@@ -1,4 +1,4 @@
-//! The parts of a subscriber's state: the connection, and the version that is being applied.
+//! Types of a subscriber's state: the connection and the candidate.
 
 use crate::stored::StoredVersion;
 use crate::trial::Trial;
@@ -6,7 +6,8 @@
 use hazelgrade_config::{Document, Version};
 use std::sync::Arc;
 
-/// A connection without any message for this long is dead, in milliseconds. A ping is due every third of it.
+/// The time without a message after which a connection counts as dead, in milliseconds: three times the interval of the
+/// control service's pings.
 pub const SILENCE_TIMEOUT_MS: f64 = 15_000.0;
 
 /// The state of the connection.
@@ -30,28 +31,28 @@
     }
 }
 
-/// The offer to answer.
+/// Identifies the offer that is to be answered, and its connection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReplyTo {
     pub nonce: u64,
-    /// The count of the connection that the offer came on.
+    /// The number of the connection that carried the offer.
     pub connection: u64,
 }
 
-/// The stage of a candidate.
+/// The stages of a candidate, in order.
 #[derive(Clone, Debug)]
 pub(super) enum Stage {
-    /// Waiting for the write with this ticket, which stores it as on trial.
+    /// Waiting for the write with this ticket, which stores the version as on trial.
     Storing(u64),
-    /// Waiting until it is in effect.
+    /// Waiting until the document is in effect.
     Applying,
-    /// In effect, on trial.
+    /// In effect and on trial.
     OnTrial(Box<Trial>),
-    /// In effect, the trial is passed; waiting for the write with this ticket, which stores it as good.
+    /// In effect with its trial passed; waiting for the write with this ticket, which stores the version as good.
     StoringAsGood(u64),
 }
 
-/// The version that is being applied.
+/// A version that is being applied or is on trial.
 #[derive(Clone, Debug)]
 pub(super) struct Candidate {
     pub version: Version,
@@ -62,7 +63,7 @@
 }
 
 impl Candidate {
-    /// Whether the node serves by it.
+    /// Whether the candidate's document is in effect on the node.
     pub fn is_in_effect(&self) -> bool {
         matches!(self.stage, Stage::OnTrial(_) | Stage::StoringAsGood(_))
     }
--- a/crates/hazelgrade-stream/src/subscriber/storage.rs
+++ b/crates/hazelgrade-stream/src/subscriber/storage.rs
@@ -1,4 +1,4 @@
-//! Writes of the node's state.
+//! Requests and results of the writes of the node's state.
 
 use super::Subscriber;
 use super::event::Action;
@@ -7,8 +7,8 @@
 use hazelgrade::time::Time;
 
 impl Subscriber {
-    /// Writes the state now, or after the write in progress or the delay. Returns a ticket: every write with this
-    /// ticket or a later one contains the state.
+    /// Requests a write of the state, which begins now, or after the write in progress, or after the delay that follows a
+    /// failed write. Returns a ticket: every write with this ticket or a greater one contains the state.
     pub(super) fn store(&mut self, actions: &mut Vec<Action>) -> u64 {
         let write = self.writes.request();
         if write.begins_now {
@@ -40,17 +40,17 @@
     }
 
     fn on_store_failed(&mut self, now: Time, reason: String, actions: &mut Vec<Action>) {
-        actions.push(Action::Log(format!("the configuration can't be stored: {reason}")));
+        actions.push(Action::Log(format!("can't store the state of the configuration: {reason}")));
         self.writes.delay_retry(now);
         if let Some(Candidate { stage: Stage::Storing(_), .. }) = &self.candidate {
-            // It is not known to be stored as on trial, so a crash with it might not be recognized: it doesn't take
-            // effect.
+            // The candidate might not be stored as on trial, so the next start might not recognize a crash during the
+            // trial. The candidate therefore doesn't take effect.
             self.reject_candidate(Rejection::NotStored(reason), actions);
             self.handle_waiting_offer(actions);
         }
     }
 
-    /// Writes again once the delay after a failure is over.
+    /// Begins another write once the delay after a failed write has passed.
     pub(super) fn retry_storing(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.writes.retry_at().is_some_and(|at| at <= now) {
             self.writes.cancel_delay();
