--- a/crates/hazelgrade-stream/src/publisher/node.rs
+++ b/crates/hazelgrade-stream/src/publisher/node.rs
@@ -1,33 +1,33 @@
-//! What a publisher knows of a node.
+//! A publisher's record of a node.
 
 use super::event::ConnectionId;
 use crate::protocol::Rejection;
 use hazelgrade::time::Time;
 use hazelgrade_config::Version;
 
-/// What became of the offered version at a node.
+/// The state of the offered version on a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeStatus {
-    /// Not offered or not answered yet.
+    /// The version is not offered yet, or the node has not answered yet.
     Pending,
-    /// In effect, on trial.
+    /// The version is in effect and on trial.
     OnTrial {
         /// Fields that take effect at the node's next start only.
         staged: Vec<String>,
     },
-    /// In effect, the trial is passed.
+    /// The version is in effect and passed its trial.
     Good {
         /// Fields that take effect at the node's next start only.
         staged: Vec<String>,
     },
-    /// The trial failed for this reason, and the node went back to the version before.
+    /// The trial failed for this reason, and the node rolled back to the configuration before.
     RolledBack(String),
-    /// The node rejected it.
+    /// The node rejected the version.
     Rejected(Rejection),
 }
 
 impl NodeStatus {
-    /// Whether the version failed on the node, in this trial or an earlier one.
+    /// Whether the version failed its trial on the node, now or when it was offered before.
     pub(super) fn is_failure(&self) -> bool {
         match self {
             NodeStatus::RolledBack(_) => true,
@@ -39,21 +39,21 @@
     }
 }
 
-/// A node that subscribed in this run.
+/// A node that subscribed since the publisher started.
 #[derive(Clone, Debug)]
 pub struct Node {
     /// The node's name.
     pub name: String,
-    /// The version of its program.
+    /// The version of the node's program.
     pub program: String,
-    /// The connection that it is subscribed on; `None` while it is disconnected.
+    /// The connection that the node is subscribed on; `None` while the node is disconnected.
     pub connection: Option<ConnectionId>,
-    /// The version that it serves by, as it reported last.
+    /// The version in effect on the node, according to the node's last report.
     pub in_effect: Option<Version>,
-    /// The version that the status is about.
+    /// The version that `status` is about.
     pub offered: Option<Version>,
-    /// What became of the offered version.
+    /// The state of the offered version on the node.
     pub status: NodeStatus,
-    /// When the node last subscribed, answered or disconnected.
+    /// The time at which the node last subscribed, answered an offer, reported the end of a trial, or disconnected.
     pub since: Time,
 }
--- a/crates/hazelgrade-stream/src/publisher/offers.rs
+++ b/crates/hazelgrade-stream/src/publisher/offers.rs
@@ -1,4 +1,4 @@
-//! Offers to subscribers.
+//! Offers of the current version to subscribers.
 
 use super::Publisher;
 use super::event::{Action, ConnectionId};
@@ -6,10 +6,10 @@
 use super::state::{NumberedDocument, PendingOffer, PublishedVersion};
 use crate::protocol::{Content, Offer, PublisherMessage};
 
-/// A difference is sent if its length is less than this ratio of the full document's.
+/// The ratio of the full document's length below which a difference is offered in place of the document.
 const MAX_DELTA_RATIO: f64 = 0.5;
 
-/// The difference between two versions, or the full document if the difference saves too little.
+/// The difference from an earlier version to the current one, or the full document if the difference saves too little.
 fn delta_or_full(base: &NumberedDocument, current: &PublishedVersion) -> Content {
     let difference = base.document.fields().difference(current.document.fields());
     let delta_bytes = difference.to_json().to_string().len() as f64;
@@ -21,7 +21,8 @@
 }
 
 impl Publisher {
-    /// Offers the current version, unless an answer is awaited or the node has answered to it.
+    /// Offers the current version, unless an answer is pending on the connection or the node has already answered an
+    /// offer of this version.
     pub(super) fn offer(&mut self, connection: ConnectionId, actions: &mut Vec<Action>) {
         let Some(current) = &self.current else { return };
         let Some(session) = self.sessions.get_mut(&connection) else { return };
@@ -33,12 +34,12 @@
             return;
         }
         let base = node.in_effect.filter(|_| !session.full_only);
-        let base = base.and_then(|version| self.bases.iter().find(|base| base.version == version));
+        let base = base.and_then(|version| self.delta_bases.iter().find(|base| base.version == version));
         let content = match base {
             None => Content::Full(current.text.clone()),
             Some(base) => {
-                let made = self.contents.entry(base.version);
-                made.or_insert_with(|| delta_or_full(base, current)).clone()
+                let cached = self.content_by_base.entry(base.version);
+                cached.or_insert_with(|| delta_or_full(base, current)).clone()
             }
         };
         self.last_nonce += 1;
--- a/crates/hazelgrade-stream/src/publisher/sessions.rs
+++ b/crates/hazelgrade-stream/src/publisher/sessions.rs
@@ -1,4 +1,4 @@
-//! The connections of subscribers, and what comes on them.
+//! The connections of subscribers and the messages received on them.
 
 use super::Publisher;
 use super::event::{Action, ConnectionId};
@@ -8,12 +8,13 @@
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::Version;
 
-/// A connection without any message for this long is closed, in milliseconds: four pings went unanswered.
+/// The time without a message after which a connection is closed, in milliseconds: four pings without an answer.
 const SILENCE_TIMEOUT_MS: f64 = 20_000.0;
-/// The most nodes that are remembered; past that the one that has been disconnected longest is forgotten.
+/// The maximum number of nodes that are remembered. Past this number the node that has been disconnected longest is
+/// forgotten.
 const MAX_NODES: usize = 8192;
 
-/// What a node reports when it subscribes.
+/// The report of a node that subscribes.
 struct Subscription {
     name: String,
     program: String,
@@ -45,7 +46,7 @@
         let Some(session) = self.sessions.get_mut(&connection) else { return };
         session.last_received = now;
         match message {
-            // The lessor handles leases and budgets.
+            // The lessor handles messages about leases and budgets; a pong only shows that the connection works.
             SubscriberMessage::Pong
             | SubscriberMessage::LeaseRequest(_)
             | SubscriberMessage::SiteReport(_)
@@ -58,14 +59,14 @@
                 self.on_subscribe(now, connection, subscription, lineage, actions);
             }
             SubscriberMessage::Acknowledged { nonce, version, on_trial, staged } => {
-                let Some(name) = self.take_answer(now, connection, nonce) else { return };
+                let Some(name) = self.close_pending_offer(now, connection, nonce) else { return };
                 self.on_acknowledged(&name, version, on_trial, staged);
                 self.offer(connection, actions);
             }
             SubscriberMessage::Rejected { nonce, version, rejection } => {
                 let was_delta = session.pending_offer.is_some_and(|offer| offer.is_delta);
-                let Some(name) = self.take_answer(now, connection, nonce) else { return };
-                actions.push(Action::Log(format!("{name} rejected version {version}: {rejection}")));
+                let Some(name) = self.close_pending_offer(now, connection, nonce) else { return };
+                actions.push(Action::Log(format!("node {name} rejected version {version}: {rejection}")));
                 self.on_rejected(connection, &name, version, rejection, was_delta, actions);
             }
             SubscriberMessage::TrialEnded { version, failure } => {
@@ -83,8 +84,8 @@
         lineage: Option<String>,
         actions: &mut Vec<Action>,
     ) {
-        // Only subscribers are limited, as each costs a document. Connections cost little, and an operator's request
-        // for the status is always answered.
+        // Only subscriptions are rate-limited, because each may cause a document to be sent. Open connections cost
+        // little, and an operator's request for the status is always answered.
         if let Err(delay) = self.admission.admit(now) {
             actions.push(Action::Send { connection, message: PublisherMessage::RetryAfter(delay) });
             actions.push(Action::Close { connection });
@@ -94,27 +95,32 @@
         if let Some(session) = self.sessions.get_mut(&connection) {
             session.node = Some(subscription.name.clone());
         }
-        self.remember(now, connection, subscription);
+        self.remember_node(now, connection, subscription);
         if let Some(other) = lineage.filter(|lineage| *lineage != self.counter.lineage) {
-            actions.push(Action::Log(format!("a node follows another lineage, {other}")));
+            actions.push(Action::Log(format!(
+                "the node on connection {connection} follows another lineage, {other}"
+            )));
         }
         self.offer(connection, actions);
     }
 
-    /// Closes the connection on which a node of this name subscribed before: either that connection is dead, or two
-    /// nodes share the name and the later one is served.
+    /// Closes the connection on which a node of this name subscribed before. Either that connection is dead, or two
+    /// nodes have the same name and the one that subscribed last is served.
     fn close_earlier_session(&mut self, connection: ConnectionId, name: &str, actions: &mut Vec<Action>) {
         let Some(node) = self.nodes.get(name) else { return };
         let Some(earlier) = node.connection.filter(|earlier| *earlier != connection) else { return };
-        actions.push(Action::Log(format!("{name} subscribed again on another connection")));
+        actions.push(Action::Log(format!(
+            "node {name} subscribed on a new connection; closing its earlier connection"
+        )));
         actions.push(Action::Close { connection: earlier });
         self.sessions.remove(&earlier);
     }
 
-    /// Remembers a node with what it reported, and forgets another one if there are too many.
-    fn remember(&mut self, now: Time, connection: ConnectionId, subscription: Subscription) {
+    /// Records a node that subscribed. If too many nodes are remembered, forgets the one disconnected longest.
+    fn remember_node(&mut self, now: Time, connection: ConnectionId, subscription: Subscription) {
         let Subscription { name, program, in_effect, on_trial } = subscription;
-        // Only the version in effect decides what is offered; an offer that is repeated is answered again.
+        // Only the version in effect decides whether a node is offered the current version. A node that has answered an
+        // offer of that version before answers a repeated offer again.
         let has_current = in_effect.is_some() && in_effect == self.current_version();
         let staged = Vec::new();
         let status = match (has_current, on_trial) {
@@ -133,16 +139,17 @@
         };
         self.nodes.insert(name, node);
         if self.nodes.len() > MAX_NODES {
-            let away = self.nodes.values().filter(|node| node.connection.is_none());
-            let longest_away = away.min_by_key(|node| node.since).map(|node| node.name.clone());
-            if let Some(name) = longest_away {
+            let disconnected = self.nodes.values().filter(|node| node.connection.is_none());
+            let longest = disconnected.min_by_key(|node| node.since).map(|node| node.name.clone());
+            if let Some(name) = longest {
                 self.nodes.remove(&name);
             }
         }
     }
 
-    /// Notes that the pending offer of a connection was answered; returns the node's name.
-    fn take_answer(&mut self, now: Time, connection: ConnectionId, nonce: u64) -> Option<String> {
+    /// Records that the pending offer of a connection was answered. Returns the node's name, or `None` if the answer's
+    /// nonce is not that of the pending offer.
+    fn close_pending_offer(&mut self, now: Time, connection: ConnectionId, nonce: u64) -> Option<String> {
         let session = self.sessions.get_mut(&connection)?;
         session.pending_offer.take_if(|offer| offer.nonce == nonce)?;
         let name = session.node.clone()?;
@@ -153,7 +160,7 @@
     }
 
     fn on_acknowledged(&mut self, name: &str, version: Version, on_trial: bool, staged: Vec<String>) {
-        self.acknowledged = true;
+        self.any_acknowledged = true;
         let Some(node) = self.nodes.get_mut(name) else { return };
         node.in_effect = Some(version);
         if node.offered == Some(version) {
@@ -199,9 +206,10 @@
         let Some(node) = self.nodes.get_mut(name) else { return };
         node.since = now;
         if let Some(reason) = &failure {
-            actions.push(Action::Log(format!("{name} rolled back from version {version}: {reason}")));
+            actions.push(Action::Log(format!("node {name} rolled back from version {version}: {reason}")));
         }
-        // If the version was offered again meanwhile, the answer to that offer comes after this message.
+        // If the version was offered again meanwhile, the answer to that offer is received after this message and
+        // replaces the status.
         if node.offered == Some(version) {
             let staged = match &mut node.status {
                 NodeStatus::OnTrial { staged } => std::mem::take(staged),
@@ -211,7 +219,8 @@
         }
     }
 
-    /// Sends pings when they are due, and closes connections that have been silent for too long.
+    /// Sends a ping on each connection when pings are due, and closes connections on which no message was received for
+    /// the silence timeout.
     pub(super) fn ping(&mut self, now: Time, actions: &mut Vec<Action>) {
         let interval = Span::from_ms(PING_INTERVAL_MS);
         if self.last_ping.is_some_and(|last_ping| now.since(last_ping) < interval) {
--- a/crates/hazelgrade-stream/src/publisher/versions.rs
+++ b/crates/hazelgrade-stream/src/publisher/versions.rs
@@ -1,12 +1,12 @@
-//! The numbers of versions: each is stored before it is published.
+//! Numbering and publishing of versions: each number is stored before its version is published.
 
 use super::Publisher;
 use super::event::{Action, ConnectionId, Counter};
 use super::state::{NumberedDocument, PublishedVersion};
 use hazelgrade_config::{Document, Version};
 
-/// The most earlier versions that differences can be made against.
-const MAX_BASES: usize = 8;
+/// The maximum number of earlier versions that differences can be computed against.
+const MAX_DELTA_BASES: usize = 8;
 
 impl Publisher {
     pub(super) fn on_document_changed(&mut self, document: Document, actions: &mut Vec<Action>) {
@@ -20,7 +20,7 @@
             self.next_document = Some(document);
             return;
         }
-        // After a restart the folder usually has the document that was published last: it keeps its number.
+        // After a restart the folder usually contains the document that was published last, which keeps its number.
         let published_before = self.counter.last.filter(|last| last.digest == document.digest());
         match published_before {
             Some(version) if self.current.is_none() => self.publish(version, document, actions),
@@ -46,8 +46,10 @@
                 self.publish(version, document, actions);
             }
             Err(reason) => {
-                // No subscriber knows the number; the document is published when the folder changes again.
-                actions.push(Action::Log(format!("version {version} is not published: {reason}")));
+                // No subscriber knows the number. The document is published when the folder changes again.
+                actions.push(Action::Log(format!(
+                    "version {version} is not published, as its number could not be stored: {reason}"
+                )));
             }
         }
         if let Some(document) = self.next_document.take() {
@@ -58,12 +60,12 @@
     fn publish(&mut self, version: Version, document: Document, actions: &mut Vec<Action>) {
         if let Some(previous) = self.current.take() {
             let PublishedVersion { version, document, .. } = previous;
-            self.bases.push_back(NumberedDocument { version, document });
-            if self.bases.len() > MAX_BASES {
-                self.bases.pop_front();
+            self.delta_bases.push_back(NumberedDocument { version, document });
+            if self.delta_bases.len() > MAX_DELTA_BASES {
+                self.delta_bases.pop_front();
             }
         }
-        self.contents.clear();
+        self.content_by_base.clear();
         actions.push(Action::Log(format!("version {version} is published")));
         let text = document.to_toml();
         self.current = Some(PublishedVersion { version, document, text });
@@ -71,12 +73,15 @@
         connections.into_iter().for_each(|connection| self.offer(connection, actions));
     }
 
-    /// Handles that a subscriber knows a greater number, or the current one with another document. If the counter was
-    /// lost, the current document is published again under a greater number; returns whether it is or already was.
+    /// Handles that a subscriber knows a greater version number, or the current number with another document. If the
+    /// stored counter may have been lost, begins to publish the current document again under a greater number, unless
+    /// another number is being stored already. Returns whether a number is being stored.
     pub(super) fn skip_past(&mut self, known: Version, actions: &mut Vec<Action>) -> bool {
-        if self.acknowledged {
+        if self.any_acknowledged {
             let reason = "another control service publishes under this lineage";
-            actions.push(Action::Log(format!("version {known} is not from here: {reason}")));
+            actions.push(Action::Log(format!(
+                "a subscriber knows version {known}, which was not published here: {reason}"
+            )));
             return false;
         }
         if self.unconfirmed.is_some() {
@@ -84,7 +89,9 @@
         }
         let Some(current) = &self.current else { return false };
         let document = current.document.clone();
-        actions.push(Action::Log(format!("the stored counter is behind: subscribers know version {known}")));
+        actions.push(Action::Log(format!(
+            "skipping version numbers: the stored counter is behind version {known}, which a subscriber knows"
+        )));
         let last_number = self.counter.last.map_or(0, |last| last.number);
         self.store_number(known.number.max(last_number) + 1, document, actions);
         true
--- a/crates/hazelgrade-stream/src/subscriber/connection.rs
+++ b/crates/hazelgrade-stream/src/subscriber/connection.rs
@@ -80,9 +80,9 @@
     pub(super) fn check_silence(&mut self, now: Time, actions: &mut Vec<Action>) {
         let Connection::Open { last_received } = self.connection else { return };
         if now.since(last_received) >= Span::from_ms(SILENCE_TIMEOUT_MS) {
-            let reason = "no message from the control service";
-            actions
-                .push(Action::Log(format!("{reason} for {SILENCE_TIMEOUT_MS} ms; closing the connection")));
+            actions.push(Action::Log(format!(
+                "no message from the control service for {SILENCE_TIMEOUT_MS} ms; closing the connection"
+            )));
             actions.push(Action::Disconnect);
             // Prevents a second `Disconnect` before `Event::Disconnected` follows.
             self.connection = Connection::Closed;
--- a/crates/hazelgrade-stream/src/subscriber/event.rs
+++ b/crates/hazelgrade-stream/src/subscriber/event.rs
@@ -27,7 +27,8 @@
     },
     /// The document of [`Action::Apply`] is in effect, or can't be applied on this node, for this reason.
     Applied(Result<(), String>),
-    /// The outcomes of jobs since the previous sample; due every [`sample_interval`](super::Subscriber::sample_interval).
+    /// The outcomes of jobs since the previous sample; due every
+    /// [`sample_interval`](super::Subscriber::sample_interval).
     Sampled(Sample),
     /// The node began to drain.
     DrainStarted,
--- a/crates/hazelgrade-stream/src/subscriber/storage.rs
+++ b/crates/hazelgrade-stream/src/subscriber/storage.rs
@@ -7,7 +7,7 @@
 use hazelgrade::time::Time;
 
 impl Subscriber {
-    /// Requests a write of the state, which begins now, or after the write in progress, or after the delay that follows a
+    /// Requests a write of the state, which begins now, after the write in progress, or after the delay that follows a
     /// failed write. Returns a ticket: every write with this ticket or a greater one contains the state.
     pub(super) fn store(&mut self, actions: &mut Vec<Action>) -> u64 {
         let write = self.writes.request();
--- a/crates/hazelgrade-stream/src/subscriber/write_schedule.rs
+++ b/crates/hazelgrade-stream/src/subscriber/write_schedule.rs
@@ -64,8 +64,8 @@
         self.in_flight.take_if(|in_flight| *in_flight == ticket).is_some()
     }
 
-    /// Returns whether the state changed during the write that ended and no other write has begun, and clears the record
-    /// of the change.
+    /// Returns whether the state changed during the write that ended and no other write has begun. Clears the record of
+    /// the change.
     pub fn take_change(&mut self) -> bool {
         std::mem::take(&mut self.changed_in_flight) && self.in_flight.is_none()
     }
