--- a/crates/hazelgrade-stream/src/protocol/decode.rs
+++ b/crates/hazelgrade-stream/src/protocol/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes messages from lines.
+//! Decoding of messages from lines of JSON.
 
 use super::limits::{MAX_NAME_BYTES, truncate_reason};
 use super::message::{Content, Offer, PublisherMessage, SubscriberMessage};
@@ -8,10 +8,10 @@
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
 
-/// A delay stated by a control service is from 0 up to less than this, in milliseconds.
+/// The upper bound of a retry-after, in milliseconds; a retry-after must be less.
 const MAX_RETRY_AFTER_MS: f64 = 1e9;
 
-/// Why a line can't be decoded.
+/// The reason why a line can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// The line is not a JSON object.
@@ -22,18 +22,18 @@
     Field {
         /// The field's name.
         field: &'static str,
-        /// What was expected in it.
+        /// The value that was expected in the field.
         expected: &'static str,
     },
-    /// The parameters don't fit the message that the method names.
+    /// The parameters are not valid for the method.
     #[error("field params: expected {expected}: {reason}")]
     Params {
         /// The message that was expected.
         expected: &'static str,
-        /// What is wrong with it.
+        /// The error in the parameters.
         reason: String,
     },
-    /// The difference of an offer can't be read; the text names its field.
+    /// The difference of an offer can't be decoded; the text names the field.
     #[error("{0}")]
     Difference(String),
 }
@@ -42,8 +42,8 @@
     DecodeError::Field { field, expected }
 }
 
-/// A field's value; `None` if the field is missing or null.
-fn present<'a>(object: &'a Value, field: &str) -> Option<&'a Value> {
+/// Returns a field's value, or `None` if the field is missing or null.
+fn non_null_field<'a>(object: &'a Value, field: &str) -> Option<&'a Value> {
     object.get(field).filter(|value| !value.is_null())
 }
 
@@ -57,9 +57,9 @@
     }
 }
 
-fn parse_params<T: DeserializeOwned>(params: &Value, what: &'static str) -> Result<T, DecodeError> {
+fn parse_params<T: DeserializeOwned>(params: &Value, expected: &'static str) -> Result<T, DecodeError> {
     let parsed = T::deserialize(params);
-    parsed.map_err(|error| DecodeError::Params { expected: what, reason: error.to_string() })
+    parsed.map_err(|error| DecodeError::Params { expected, reason: error.to_string() })
 }
 
 fn parse_version(object: &Value, field: &'static str) -> Result<Version, DecodeError> {
@@ -74,7 +74,7 @@
 }
 
 fn parse_optional_version(object: &Value, field: &'static str) -> Result<Option<Version>, DecodeError> {
-    match present(object, field) {
+    match non_null_field(object, field) {
         None => Ok(None),
         Some(_) => parse_version(object, field).map(Some),
     }
@@ -82,14 +82,14 @@
 
 fn parse_name(object: &Value, field: &'static str) -> Result<String, DecodeError> {
     let name = object.get(field).and_then(Value::as_str);
-    let is_name = |name: &&str| {
+    let is_valid = |name: &&str| {
         (1..=MAX_NAME_BYTES).contains(&name.len()) && name.chars().all(|char| !char.is_control())
     };
-    name.filter(is_name).map(str::to_owned).ok_or(expected(field, "a word"))
+    name.filter(is_valid).map(str::to_owned).ok_or(expected(field, "a word"))
 }
 
 fn parse_kind(params: &Value) -> Result<Kind, DecodeError> {
-    match present(params, "kind") {
+    match non_null_field(params, "kind") {
         None => Ok(Kind::Serving),
         Some(kind) => kind.as_str().and_then(Kind::from_name).ok_or(expected("kind", "a kind of document")),
     }
@@ -100,7 +100,7 @@
 }
 
 impl PublisherMessage {
-    /// The message of a line, or what is wrong with it.
+    /// Decodes a line as a message, or returns the reason why the line is not one.
     pub fn decode(line: &[u8]) -> Result<PublisherMessage, DecodeError> {
         let mut message = parse_line(line)?;
         let params = message.remove("params").unwrap_or_default();
@@ -141,7 +141,7 @@
 }
 
 impl SubscriberMessage {
-    /// The message of a line, or what is wrong with it.
+    /// Decodes a line as a message, or returns the reason why the line is not one.
     pub fn decode(line: &[u8]) -> Result<SubscriberMessage, DecodeError> {
         let message = parse_line(line)?;
         if let Some(result) = message.get("result") {
@@ -172,7 +172,7 @@
         node: parse_name(params, "node")?,
         program: parse_name(params, "program")?,
         kind: parse_kind(params)?,
-        lineage: match present(params, "lineage") {
+        lineage: match non_null_field(params, "lineage") {
             None => None,
             Some(_) => Some(parse_name(params, "lineage")?),
         },
--- a/crates/hazelgrade-stream/src/protocol/encode.rs
+++ b/crates/hazelgrade-stream/src/protocol/encode.rs
@@ -1,4 +1,4 @@
-//! Encodes messages as lines. The keys of an object are written in alphabetical order.
+//! Encoding of messages as lines of JSON. The keys of an object are written in alphabetical order.
 
 use super::limits::truncate_reason;
 use super::message::{Content, Offer, PublisherMessage, SubscriberMessage};
@@ -26,7 +26,7 @@
 }
 
 impl PublisherMessage {
-    /// The message as one line, with its end.
+    /// Encodes the message as one line, including the newline.
     pub fn encode(&self) -> String {
         let message = match self {
             PublisherMessage::Offer(offer) => offer_to_json(offer),
@@ -54,7 +54,7 @@
 }
 
 impl SubscriberMessage {
-    /// The message as one line, with its end.
+    /// Encodes the message as one line, including the newline.
     pub fn encode(&self) -> String {
         let message = match self {
             SubscriberMessage::Subscribe {
@@ -103,7 +103,7 @@
     }
 }
 
-/// The code of a rejection on the wire.
+/// The code that identifies the reason of a rejection on the wire.
 fn rejection_code(rejection: &Rejection) -> &'static str {
     match rejection {
         Rejection::Draining => "leaving",
--- a/crates/hazelgrade-stream/src/protocol/message.rs
+++ b/crates/hazelgrade-stream/src/protocol/message.rs
@@ -1,55 +1,55 @@
-//! The types of the messages.
+//! The messages between a control service and its subscribers.
 
 use super::rejection::Rejection;
 use hazelgrade::time::Span;
 use hazelgrade_budget::protocol::{LeaseGrant, LeaseRequest, OperatorCommand, SiteReport};
 use hazelgrade_config::{Difference, Kind, Version};
 
-/// What an offer carries.
+/// The content of an offer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Content {
-    /// The document in TOML.
+    /// The full document in TOML.
     Full(String),
-    /// The difference from the document that the subscriber reported as in effect to the offered one.
+    /// The difference between the document that the subscriber reported as in effect and the offered document.
     Delta {
-        /// The version that the difference is against.
+        /// The version whose document the difference is applied to.
         base: Version,
         /// The fields to set and to remove.
         difference: Difference,
     },
 }
 
-/// A version offered to a subscriber.
+/// A version that is offered to a subscriber.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offer {
-    /// Identifies the offer on its connection; the answer carries it too.
+    /// Identifies the offer on its connection; the answer contains the same nonce.
     pub nonce: u64,
-    /// The sequence of versions that the number belongs to.
+    /// The lineage that the version number belongs to.
     pub lineage: String,
     /// The version's number and the digest of its document.
     pub version: Version,
-    /// The document, or how to make it from an earlier one.
+    /// The document, or its difference from an earlier one.
     pub content: Content,
 }
 
-/// A message from the control service.
+/// A message from a control service to a subscriber or to the lessor of another site.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PublisherMessage {
     /// Offers a version.
     Offer(Offer),
-    /// Shows that the connection is alive; the subscriber answers with a pong.
+    /// Checks that the connection works; the subscriber answers with a pong.
     Ping,
-    /// Asks the subscriber to connect again after this time; the control service closes the connection.
+    /// Requests that the subscriber connects again after this delay; the control service closes the connection.
     RetryAfter(Span),
-    /// Answers a request for leases of budgets.
+    /// Answers a lease request.
     LeaseGrant(LeaseGrant),
-    /// Asks the lease holder to request leases now.
+    /// Requests that the lease holder sends a lease request now.
     RequestLeases,
     /// Reports the state of another site's lessor.
     SiteReport(SiteReport),
 }
 
-/// A message from a subscriber, from the lessor of another site, or from an operator.
+/// A message to a control service: from a subscriber, from the lessor of another site, or from an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SubscriberMessage {
     /// Subscribes to a kind of document.
@@ -58,15 +58,16 @@
         node: String,
         /// The version of the node's program.
         program: String,
-        /// The kind of document that it follows on this connection.
+        /// The kind of document that the node subscribes to on this connection.
         kind: Kind,
-        /// The only lineage whose versions it takes, if it knows one.
+        /// The only lineage whose versions the node applies; `None` if none is configured and no version was applied
+        /// yet.
         lineage: Option<String>,
-        /// The version in effect, of which the node has the document.
+        /// The version in effect, which a difference can be applied to; `None` if no version is in effect.
         in_effect: Option<Version>,
-        /// Whether that version is on trial.
+        /// Whether a version is on trial or being applied.
         on_trial: bool,
-        /// The latest version that the node ever began to apply.
+        /// The latest version that the node began to apply, whether it passed its trial or not.
         latest_known: Option<Version>,
     },
     /// The offered version is in effect.
@@ -75,9 +76,9 @@
         nonce: u64,
         /// The offered version.
         version: Version,
-        /// Whether it is on trial; it is not if the node knew its document as good before.
+        /// Whether the version is on trial; not if its document is that of the last good version.
         on_trial: bool,
-        /// Fields that differ and take effect at the next start only.
+        /// Changed fields that take effect only at the node's next start.
         staged: Vec<String>,
     },
     /// The offered version is rejected.
@@ -86,28 +87,28 @@
         nonce: u64,
         /// The offered version.
         version: Version,
-        /// The reason.
+        /// The reason of the rejection.
         rejection: Rejection,
     },
-    /// The trial of a version is over.
+    /// The trial of a version ended.
     TrialEnded {
         /// The version that was on trial.
         version: Version,
-        /// Why the node rolled back; `None` if the version is good.
+        /// The reason of the rollback; `None` if the version passed its trial.
         failure: Option<String>,
     },
     /// Answers a ping.
     Pong,
-    /// An operator asks which node runs which version.
+    /// An operator's request for the status of all nodes and their versions.
     Status {
         /// The id of the JSON-RPC request.
         request_id: u64,
     },
-    /// A lease holder requests leases of budgets, and reports what it holds.
+    /// A lease holder's request for leases, which also reports the leases that it holds.
     LeaseRequest(LeaseRequest),
     /// Reports the state of another site's lessor.
     SiteReport(SiteReport),
-    /// An operator's command on budgets.
+    /// An operator's command about budgets.
     BudgetCommand {
         /// The id of the JSON-RPC request.
         request_id: u64,
--- a/crates/hazelgrade-stream/src/protocol/mod.rs
+++ b/crates/hazelgrade-stream/src/protocol/mod.rs
@@ -1,11 +1,11 @@
-//! The messages between a control service and its subscribers: JSON-RPC 2.0, one message a line.
+//! The messages between a control service and its subscribers: JSON-RPC 2.0, one message per line.
 //!
-//! It works like the xDS transport protocol: a subscriber reports which version it has, an offer carries a nonce, and
-//! the answer to that nonce either acknowledges the version or rejects it with a reason; a node that rejects stays with
-//! the version it had.
+//! The protocol follows the xDS transport protocol. A subscriber reports the version that it has in effect, and an
+//! offer contains a nonce. The answer with that nonce either acknowledges the version or rejects it with a reason. A
+//! node that rejects a version keeps the configuration that is in effect.
 //!
-//! Names and values on the wire are fixed, as programs in service use them. Only the encoder and the decoder use
-//! them; they map them to the names used here.
+//! Names and values on the wire are fixed, because programs in service use them. Only the encoder and the decoder
+//! contain these names, and map them to the names of the types in this module.
 
 mod decode;
 mod encode;
--- a/crates/hazelgrade-stream/src/protocol/rejection.rs
+++ b/crates/hazelgrade-stream/src/protocol/rejection.rs
@@ -1,53 +1,53 @@
-//! Why a node rejects a version.
+//! The reasons for which a node rejects a version.
 
 use hazelgrade_config::Version;
 
-/// Why a version is rejected. The text is the message on the wire.
+/// The reason for which a node rejects a version. Its text is sent as the message on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// The node drains and applies no further version.
+    /// The node is draining and applies no further version.
     #[error("the node is leaving")]
     Draining,
     /// The node follows another lineage.
     #[error("the node follows the lineage {own}")]
     OtherLineage {
-        /// The lineage that it follows.
+        /// The lineage that the node follows.
         own: String,
     },
     /// The node knows a later version.
     #[error("the node knows version {known}, which is later")]
     Outdated {
-        /// The latest version that it knows.
+        /// The latest version that the node knows.
         known: Version,
     },
     /// The node knows another document under the same number.
     #[error("the node knows this number as {known}")]
     Conflict {
-        /// The version that it knows.
+        /// The version that the node knows under this number.
         known: Version,
     },
-    /// The node doesn't have the document that the difference is against.
+    /// The node doesn't have the document that the difference is to be applied to.
     #[error("the node doesn't have the base of the difference")]
     UnknownBase,
-    /// The document doesn't have the digest that was announced.
+    /// The document doesn't have the digest that the offer states.
     #[error("the contents don't have the digest that was announced")]
     DigestMismatch,
-    /// The document is invalid; the text names its errors, one a line.
+    /// The document is invalid; the text names its errors, one per line.
     #[error("{0}")]
     Invalid(String),
     /// The node crashed too often with this document on trial.
     #[error("the node died twice with it on trial")]
     CrashedOnTrial,
-    /// The version failed its trial on this node before, for this reason.
+    /// The version failed on this node before, for this reason.
     #[error("{0}")]
     FailedTrial(String),
-    /// The node could not store the version, for this reason.
+    /// The node could not store the version as on trial, for this reason.
     #[error("{0}")]
     NotStored(String),
-    /// The node can't apply the version, for this reason.
+    /// The version can't be applied on this node, for this reason.
     #[error("{0}")]
     NotApplicable(String),
-    /// A later version came while this one waited.
+    /// A later version was offered while this version waited to be applied.
     #[error("version {by} came before its turn")]
     Superseded {
         /// The later version.
--- a/crates/hazelgrade-stream/src/stored.rs
+++ b/crates/hazelgrade-stream/src/stored.rs
@@ -1,18 +1,18 @@
-//! What a node stores about its configuration, so that it survives a restart.
+//! The state that a node stores about its configuration, so that the configuration survives a restart.
 
 use hazelgrade_config::{Digest, Document, Kind, Version, error_summary};
 use serde_json::{Value, json};
 
-/// The most documents whose crashes are remembered; past that the oldest is forgotten.
+/// The maximum number of documents whose crashes are remembered. Past this number the oldest count is dropped.
 const MAX_CRASH_COUNTS: usize = 16;
 
-/// The most errors of the stored document that are named.
+/// The maximum number of errors of the stored document that [`StoredStateError::InvalidDocument`] names.
 const MAX_ERRORS_NAMED: usize = 3;
 
-/// Crashes on trial after which a document is rejected for good.
+/// The number of crashes on trial after which a document is always rejected.
 pub const MAX_CRASHES_ON_TRIAL: u32 = 2;
 
-/// The key that a node's state about a kind of document is stored under.
+/// The key under which the node's state for a kind of document is stored.
 pub fn store_key(kind: Kind) -> &'static str {
     match kind {
         Kind::Serving => "configuration",
@@ -21,19 +21,20 @@
     }
 }
 
-/// A version with its document.
+/// A version and its document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredVersion {
-    /// Number and digest.
+    /// The version's number and the digest of its document.
     pub version: Version,
-    /// The document that has this digest.
+    /// The version's document.
     pub document: Document,
 }
 
-/// The version on trial, with its text: storing it shows whether the store has room before the version takes effect.
+/// The version on trial and its text. Storing the text shows, before the version takes effect, whether the store has
+/// room for the document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionOnTrial {
-    /// Number and digest.
+    /// The version's number and the digest of its document.
     pub version: Version,
     /// The document in TOML.
     pub text: String,
@@ -42,68 +43,68 @@
 /// A version that failed its trial.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FailedVersion {
-    /// Number and digest.
+    /// The version's number and the digest of its document.
     pub version: Version,
-    /// Why it failed.
+    /// The reason of the failure.
     pub reason: String,
 }
 
-/// How often the node crashed with a document on trial.
+/// The number of crashes of the node while a document was on trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashCount {
     /// The document's digest.
     pub digest: Digest,
-    /// Crashes, from 1.
+    /// The number of crashes; at least 1.
     pub count: u32,
 }
 
-/// What a node stores about one kind of document. Each write replaces all of it.
+/// The state that a node stores for one kind of document. Each write replaces the whole state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredState {
-    /// The lineage whose versions the node takes.
+    /// The lineage whose versions the node applies.
     pub lineage: Option<String>,
     /// The last version that passed its trial.
     pub last_good: Option<StoredVersion>,
-    /// The latest version that the node began to apply, whatever became of it.
+    /// The latest version that the node began to apply, whether it passed its trial or not.
     pub latest_known: Option<Version>,
-    /// The version on trial. If there is one at a start, the node crashed with it.
+    /// The version on trial. A version that is found here at a start was on trial when the node crashed.
     pub on_trial: Option<VersionOnTrial>,
     /// The last version that failed its trial.
     pub last_failed: Option<FailedVersion>,
-    /// Crashes on trial by document, the latest last; at most 16.
+    /// The crashes on trial of at most 16 documents, the one that crashed last at the end.
     pub crashes: Vec<CrashCount>,
 }
 
-/// Why stored bytes can't be decoded as the state of a node.
+/// The reason why stored bytes can't be decoded as the state of a node.
 #[derive(Debug, thiserror::Error)]
 pub enum StoredStateError {
-    /// They are not JSON.
+    /// The bytes are not JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A version lacks a field.
+    /// A version lacks its number or its digest, or one of them is invalid.
     #[error("a version lacks its number or digest")]
     IncompleteVersion,
-    /// The last good version lacks its document.
+    /// The last good version lacks the text of its document.
     #[error("the last good version lacks its text")]
     MissingDocument,
-    /// The document of the last good version doesn't pass the checks of this program; the text names its errors.
+    /// The document of the last good version doesn't pass this program's checks; the text names the errors.
     #[error("{0}")]
     InvalidDocument(String),
-    /// The document of the last good version has another digest.
+    /// The document of the last good version has another digest than the version.
     #[error("the last good version doesn't have its digest")]
     DigestMismatch,
-    /// A count of crashes lacks a field.
+    /// A crash count lacks its digest or its count, or one of them is invalid.
     #[error("a death lacks its digest or count")]
     IncompleteCrashCount,
 }
 
 impl StoredState {
-    /// How often the node crashed with this document on trial.
+    /// The number of crashes of the node while this document was on trial.
     pub fn crashes_of(&self, digest: Digest) -> u32 {
         self.crashes.iter().find(|crash| crash.digest == digest).map_or(0, |crash| crash.count)
     }
 
-    /// Counts a crash with this document on trial; returns the count including this one.
+    /// Records a crash while this document was on trial. Returns the number of such crashes, this one included.
     pub fn record_crash(&mut self, digest: Digest) -> u32 {
         let count = self.crashes_of(digest) + 1;
         self.crashes.retain(|crash| crash.digest != digest);
@@ -114,7 +115,7 @@
         count
     }
 
-    /// The bytes to store.
+    /// Encodes the state as the bytes to store.
     pub fn encode(&self) -> Vec<u8> {
         let crashes = self.crashes.iter().map(|crash| json!([crash.digest.to_string(), crash.count]));
         let stored = json!({
@@ -137,11 +138,11 @@
         stored.to_string().into_bytes()
     }
 
-    /// The state that was stored about this kind of document.
+    /// Decodes the stored state for a kind of document.
     ///
     /// # Errors
     ///
-    /// What is wrong with the bytes, if they can't be read or the document no longer passes the checks.
+    /// Fails if the bytes can't be decoded, or if the last good document no longer passes this program's checks.
     pub fn decode(kind: Kind, bytes: &[u8]) -> Result<StoredState, StoredStateError> {
         let stored: Value = serde_json::from_slice(bytes)?;
         Ok(StoredState {
--- a/crates/hazelgrade-stream/src/trial.rs
+++ b/crates/hazelgrade-stream/src/trial.rs
@@ -1,33 +1,34 @@
-//! Whether a version on trial does well: the executor stays connected, and the ratio of jobs that succeed doesn't fall
-//! compared with the time before the trial.
+//! The decision whether a version passes its trial: the executor must stay connected, and the ratio of jobs that
+//! succeed must not fall compared with the time before the trial.
 
 use hazelgrade::time::{Span, Time};
 use hazelgrade_config::operator;
 use std::collections::VecDeque;
 
-/// Samples in the span of a trial: a failing version shows after a few of them.
+/// The number of samples in the span of a trial. A failing version is detected after a few of them.
 pub const SAMPLES_PER_SPAN: f64 = 20.0;
-/// The most samples that a baseline holds.
+/// The maximum number of samples that a baseline holds.
 const MAX_BASELINE_SAMPLES: usize = 4 * SAMPLES_PER_SPAN as usize;
-/// A fall counts once it exceeds this many standard errors of the difference. As a trial is judged at each of its
-/// twenty samples, three would roll back one in some hundreds of the versions that do as well as the one before.
+/// The number of standard errors of the difference that a drop in the success ratio must exceed to fail the trial. A
+/// trial is judged at each of its twenty samples: with three standard errors, one in some hundreds of the versions that
+/// do as well as their predecessor would be rolled back.
 const SIGNIFICANT_STANDARD_ERRORS: f64 = 4.0;
-/// A trial fails after this many samples in a row without a connection to the executor: broken connections come back
-/// within one or two.
+/// The number of samples in a row without a connection to the executor after which a trial fails. A broken connection
+/// is re-established within one or two samples.
 const MAX_DISCONNECTED_SAMPLES: u32 = 4;
 
-/// How jobs fared since the sample before.
+/// The outcomes of jobs since the previous sample.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sample {
-    /// Jobs that were answered, including those of a job class that the version doesn't know.
+    /// Jobs that were answered, including jobs of a job class that the version doesn't define.
     pub answered: f64,
-    /// Those of them that succeeded.
+    /// Answered jobs that succeeded.
     pub succeeded: f64,
     /// Whether the executor is connected now.
     pub executor_connected: bool,
 }
 
-/// Sums over several samples.
+/// The sums over several samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Totals {
     answered: f64,
@@ -45,7 +46,7 @@
     }
 }
 
-/// How jobs fared recently, with no version on trial: what the next trial is compared with.
+/// The recent samples taken while no version was on trial, which the next trial is compared with.
 #[derive(Clone, Debug)]
 pub struct Baseline {
     span: Span,
@@ -53,12 +54,12 @@
 }
 
 impl Baseline {
-    /// A baseline without samples; it holds those of the last `span`.
+    /// Creates a baseline that holds the samples of the last `span`; empty at first.
     pub fn new(span: Span) -> Baseline {
         Baseline { span, samples: VecDeque::new() }
     }
 
-    /// Adds a sample, and drops those that are too old.
+    /// Adds a sample, and drops samples that are older than the span or exceed the maximum number.
     pub fn record(&mut self, now: Time, sample: Sample) {
         self.samples.push_back((now, sample));
         while self.samples.front().is_some_and(|(at, _)| now.since(*at) > self.span)
@@ -79,18 +80,18 @@
     }
 }
 
-/// The result of a trial by the samples so far.
+/// The result of a trial according to the samples so far.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// The trial goes on.
+    /// The trial continues.
     Undecided,
-    /// The version did well for the span of the trial.
+    /// The version did not fail within the span of the trial.
     Passed,
     /// The version failed, for this reason.
     Failed(String),
 }
 
-/// A version's trial.
+/// The trial of a version.
 #[derive(Clone, Debug)]
 pub struct Trial {
     rules: operator::Trial,
@@ -114,27 +115,27 @@
         }
     }
 
-    /// When the trial is passed, unless it fails before.
+    /// The time at which the trial is passed unless it fails before.
     pub fn ends_at(&self) -> Time {
         self.started_at + self.rules.span
     }
 
-    /// Takes a sample into account.
+    /// Adds a sample and returns the result of the trial so far.
     pub fn record(&mut self, now: Time, sample: &Sample) -> Verdict {
         self.during.add(sample);
         self.disconnected_samples = if sample.executor_connected { 0 } else { self.disconnected_samples + 1 };
         if self.executor_connected_before && self.disconnected_samples >= MAX_DISCONNECTED_SAMPLES {
             return Verdict::Failed("the link to the executor went and did not come back".into());
         }
-        if let Some(failure) = self.fall_in_success() {
+        if let Some(failure) = self.success_ratio_drop() {
             return Verdict::Failed(failure);
         }
         if now >= self.ends_at() { Verdict::Passed } else { Verdict::Undecided }
     }
 
-    /// How the ratio of jobs that succeed fell, if it fell by more than the rules allow and by more than chance
-    /// explains.
-    fn fall_in_success(&self) -> Option<String> {
+    /// Describes the drop in the ratio of jobs that succeed, if the drop is greater than the rules allow and greater
+    /// than chance explains. Returns `None` while either side has fewer jobs than the rules require.
+    fn success_ratio_drop(&self) -> Option<String> {
         let before = self.before;
         let during = self.during;
         if before.answered < self.rules.min_jobs || during.answered < self.rules.min_jobs {
@@ -145,9 +146,9 @@
         let pooled_ratio = (before.succeeded + during.succeeded) / (before.answered + during.answered);
         let variance = pooled_ratio * (1.0 - pooled_ratio) * (1.0 / before.answered + 1.0 / during.answered);
         let standard_error = variance.max(0.0).sqrt();
-        let falls_past_rules = ratio_during < ratio_before * (1.0 - self.rules.max_success_drop_ratio);
-        let falls_past_chance = ratio_before - ratio_during > SIGNIFICANT_STANDARD_ERRORS * standard_error;
-        (falls_past_rules && falls_past_chance).then(|| {
+        let exceeds_rules = ratio_during < ratio_before * (1.0 - self.rules.max_success_drop_ratio);
+        let exceeds_chance = ratio_before - ratio_during > SIGNIFICANT_STANDARD_ERRORS * standard_error;
+        (exceeds_rules && exceeds_chance).then(|| {
             let percent = |ratio: f64| (ratio * 100.0).round();
             format!("{} of 100 jobs were satisfied, {} before", percent(ratio_during), percent(ratio_before))
         })
