--- a/crates/hazelgrade-stream/src/subscriber/candidate.rs
+++ b/crates/hazelgrade-stream/src/subscriber/candidate.rs
@@ -1,4 +1,5 @@
-//! The candidate's way from taking effect, through its trial, to the last good version or a rollback.
+//! The stages of a candidate after it is stored: taking effect, the trial, and the end as the last good version or by a
+//! rollback.
 
 use super::Subscriber;
 use super::event::Action;
--- a/crates/hazelgrade-stream/src/subscriber/event.rs
+++ b/crates/hazelgrade-stream/src/subscriber/event.rs
@@ -71,7 +71,7 @@
 /// The configuration that is in effect on the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InEffect {
-    /// None: the node is not ready.
+    /// No configuration: the node is not ready.
     Nothing,
     /// The local document that the node was started with.
     LocalDocument,
--- a/crates/hazelgrade-stream/src/subscriber/offers.rs
+++ b/crates/hazelgrade-stream/src/subscriber/offers.rs
@@ -15,7 +15,7 @@
 const ROLLED_BACK_BY_PUBLISHER: &str = "a later version takes it back";
 
 impl Subscriber {
-    /// The only lineage whose versions the node applies; `None` until the node has applied a first version.
+    /// The only lineage whose versions the node applies; `None` if none is configured and no version was applied yet.
     pub(super) fn followed_lineage(&self) -> Option<String> {
         self.configured_lineage.clone().or_else(|| self.stored.lineage.clone())
     }
--- a/crates/hazelgrade-stream/tests/common/mod.rs
+++ b/crates/hazelgrade-stream/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Documents and a subscriber to start from, for all tests.
+//! Documents, offers and a subscriber for the tests of this package.
 #![allow(dead_code)]
 
 use hazelgrade::random::MultiplyWithCarry;
@@ -17,22 +17,24 @@
     Time::from_ms(ms)
 }
 
-/// A document that differs from the others by its number.
+/// Returns a valid document; different numbers give documents with different digests.
 pub fn document(number: u64) -> Document {
     let text = format!("[use_case.a]\ngoal_ms = {}\ncut_off_ms = 9000\n", 100 + number);
     Document::read(&text, "a test").expect("it is right")
 }
 
-pub fn version(number: u64, says: u64) -> Version {
-    Version { number, digest: document(says).digest() }
+/// Returns the version with this number and the digest of the document with `document_number`.
+pub fn version(number: u64, document_number: u64) -> Version {
+    Version { number, digest: document(document_number).digest() }
 }
 
-pub fn full_offer(nonce: u64, number: u64, says: u64) -> Event {
-    let content = Content::Full(document(says).to_toml());
+/// Returns the event of an offer that contains the full document with `document_number`.
+pub fn full_offer(nonce: u64, number: u64, document_number: u64) -> Event {
+    let content = Content::Full(document(document_number).to_toml());
     Event::Received(PublisherMessage::Offer(Offer {
         nonce,
         lineage: LINEAGE.into(),
-        version: version(number, says),
+        version: version(number, document_number),
         content,
     }))
 }
@@ -43,6 +45,7 @@
     Trial { span: Span::from_ms(1000.0), ..RULES }
 }
 
+/// Starts a subscriber that has two control services. Returns the actions of its start, too.
 pub fn start(now: Time, stored: StoredState, local_document: Option<Document>) -> (Subscriber, Vec<Action>) {
     let mut actions = Vec::new();
     let config = SubscriberConfig {
@@ -61,13 +64,14 @@
     (subscriber, actions)
 }
 
+/// Handles an event and returns the resulting actions.
 pub fn handle(subscriber: &mut Subscriber, now: Time, event: Event) -> Vec<Action> {
     let mut actions = Vec::new();
     subscriber.handle(now, event, &mut actions);
     actions
 }
 
-/// So many jobs were answered, and this part of them succeeded.
-pub fn sampled(answered: f64, part: f64) -> Event {
-    Event::Sampled(Sample { answered, succeeded: answered * part, executor_connected: true })
+/// Returns the event of a sample in which this ratio of the answered jobs succeeded.
+pub fn sampled(answered: f64, success_ratio: f64) -> Event {
+    Event::Sampled(Sample { answered, succeeded: answered * success_ratio, executor_connected: true })
 }
--- a/crates/hazelgrade-stream/tests/histories.rs
+++ b/crates/hazelgrade-stream/tests/histories.rs
@@ -1,4 +1,5 @@
-//! Generated histories of a node, against a plain model of what it may serve and what it must answer.
+//! Generated histories of a subscriber's events, compared with a reference model of which document may be in effect and
+//! which answers are required.
 
 #![allow(clippy::expect_used, clippy::too_many_lines)]
 
@@ -13,14 +14,14 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::{BTreeSet, VecDeque};
 
-/// What happens to a node.
+/// An event in the history of a node.
 #[derive(Clone, Debug)]
 enum Step {
-    /// A version of this number with this document, announced with the digest of that one.
+    /// An offer of the document `document_number` that states the digest of the document `announced_document`.
     Offer {
         number: u64,
-        says: u64,
-        announced: u64,
+        document_number: u64,
+        announced_document: u64,
     },
     Invalid {
         number: u64,
@@ -28,44 +29,44 @@
     Delta {
         number: u64,
         base: u64,
-        says: u64,
+        document_number: u64,
     },
     OtherLineage {
         number: u64,
     },
     Sampled {
-        well: bool,
+        succeeds: bool,
     },
-    Later,
-    LinkBreaks,
+    TrialSpanPasses,
+    Disconnects,
     /// The next write fails.
-    DiskFails,
+    NextWriteFails,
     /// The next document can't be applied on this node.
-    NotApplicable,
+    NextApplyFails,
     Crashes,
-    /// Drains, and starts again.
+    /// The node drains, and then starts again.
     Drains,
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
-        let mut small = |most: u64| u64::arbitrary(g) % most;
-        let (number, says, other) = (1 + small(8), 1 + small(5), 1 + small(5));
-        match small(20) {
-            0..7 => Step::Offer { number, says, announced: says },
-            7 => Step::Offer { number, says, announced: other },
+        let mut below = |bound: u64| u64::arbitrary(g) % bound;
+        let (number, document_number, other) = (1 + below(8), 1 + below(5), 1 + below(5));
+        match below(20) {
+            0..7 => Step::Offer { number, document_number, announced_document: document_number },
+            7 => Step::Offer { number, document_number, announced_document: other },
             8 => Step::Invalid { number },
-            9..11 => Step::Delta { number, base: other, says },
+            9..11 => Step::Delta { number, base: other, document_number },
             11 => Step::OtherLineage { number },
-            12..14 => Step::Sampled { well: true },
-            14 => Step::Sampled { well: false },
-            15 => Step::Later,
-            16 => Step::LinkBreaks,
+            12..14 => Step::Sampled { succeeds: true },
+            14 => Step::Sampled { succeeds: false },
+            15 => Step::TrialSpanPasses,
+            16 => Step::Disconnects,
             17 => {
-                if small(2) == 0 {
-                    Step::DiskFails
+                if below(2) == 0 {
+                    Step::NextWriteFails
                 } else {
-                    Step::NotApplicable
+                    Step::NextApplyFails
                 }
             }
             18 => Step::Crashes,
@@ -74,163 +75,176 @@
     }
 }
 
-/// The reference model: what the node reported decides what it may serve.
+/// The reference model, which derives from the node's messages what may be in effect.
 #[derive(Default)]
-struct Plain {
-    disk: StoredState,
-    /// Ever reported as good.
-    good: BTreeSet<Version>,
+struct ReferenceModel {
+    /// The state on the node's disk.
+    stored: StoredState,
+    /// The versions that were ever reported as good.
+    reported_good: BTreeSet<Version>,
     acknowledged: BTreeSet<Version>,
-    /// Acknowledged, its trial not yet ended.
-    trying: Option<Version>,
-    /// The last that was reported as good.
-    last: Option<Version>,
-    deaths: Vec<(Version, u32)>,
+    /// The version that was acknowledged and whose trial has not ended.
+    on_trial_version: Option<Version>,
+    /// The version that was reported as good last.
+    last_reported_good: Option<Version>,
+    /// The crashes on trial of each document, under the version that crashed first.
+    crashes: Vec<(Version, u32)>,
 }
 
 fn local_document_digest() -> hazelgrade_config::Digest {
     document(0).digest()
 }
 
-struct World {
+struct System {
     node: Subscriber,
-    plain: Plain,
+    model: ReferenceModel,
     now: Time,
-    up: bool,
+    connected: bool,
     nonce: u64,
-    disk_fails: bool,
-    not_applicable: bool,
-    /// The contents in effect.
-    effect: Option<hazelgrade_config::Digest>,
-    said: Vec<SubscriberMessage>,
-    todo: VecDeque<Action>,
-    busy: bool,
+    next_write_fails: bool,
+    next_apply_fails: bool,
+    /// The digest of the document in effect.
+    digest_in_effect: Option<hazelgrade_config::Digest>,
+    sent: Vec<SubscriberMessage>,
+    pending_actions: VecDeque<Action>,
+    performing: bool,
 }
 
-impl World {
-    fn new() -> World {
+impl System {
+    fn new() -> System {
         let now = at(1_000_000.0);
-        let (node, first) = start(now, StoredState::default(), Some(document(0)));
-        let mut world = World {
+        let (node, actions) = start(now, StoredState::default(), Some(document(0)));
+        let mut system = System {
             node,
-            plain: Plain::default(),
+            model: ReferenceModel::default(),
             now,
-            up: false,
+            connected: false,
             nonce: 0,
-            disk_fails: false,
-            not_applicable: false,
-            effect: None,
-            said: Vec::new(),
-            todo: VecDeque::new(),
-            busy: false,
+            next_write_fails: false,
+            next_apply_fails: false,
+            digest_in_effect: None,
+            sent: Vec::new(),
+            pending_actions: VecDeque::new(),
+            performing: false,
         };
-        world.perform(first);
-        world
+        system.perform(actions);
+        system
     }
 
-    /// Performs the actions and all that follows, writes included, before anything else happens.
+    /// Performs the actions and all actions that result from them, writes included, before the next event.
     fn perform(&mut self, actions: Vec<Action>) {
-        self.todo.extend(actions);
-        if std::mem::replace(&mut self.busy, true) {
+        self.pending_actions.extend(actions);
+        if std::mem::replace(&mut self.performing, true) {
             return;
         }
-        while let Some(action) = self.todo.pop_front() {
+        while let Some(action) = self.pending_actions.pop_front() {
             match action {
                 Action::Connect { at, .. } => {
-                    assert!(at.since(self.now) <= Span::from_ms(5_000.0), "it stays away too long");
+                    assert!(
+                        at.since(self.now) <= Span::from_ms(5_000.0),
+                        "the delay before the next attempt to connect is too long"
+                    );
                     self.now = self.now.max(at);
-                    self.up = true;
-                    self.tell(Event::Connected);
+                    self.connected = true;
+                    self.handle_event(Event::Connected);
                 }
                 Action::Disconnect => {
-                    self.up = false;
-                    self.tell(Event::Disconnected);
+                    self.connected = false;
+                    self.handle_event(Event::Disconnected);
                 }
                 Action::Store { ticket, state } => {
-                    let result =
-                        if std::mem::take(&mut self.disk_fails) { Err("full".to_owned()) } else { Ok(()) };
+                    let result = if std::mem::take(&mut self.next_write_fails) {
+                        Err("full".to_owned())
+                    } else {
+                        Ok(())
+                    };
                     if result.is_ok() {
-                        self.plain.disk = StoredState::decode(Kind::Serving, &state.encode())
+                        self.model.stored = StoredState::decode(Kind::Serving, &state.encode())
                             .expect("it reads what it wrote");
-                        assert_eq!(self.plain.disk, state);
+                        assert_eq!(self.model.stored, state);
                     }
-                    self.tell(Event::Stored { ticket, result });
+                    self.handle_event(Event::Stored { ticket, result });
                 }
                 Action::Apply { document, .. } => {
-                    // What was in effect before can always be applied.
-                    let good = self.plain.disk.last_good.as_ref().map(|good| good.version.digest);
+                    // The local document and the last good one were in effect before, so they can always be applied.
+                    let good = self.model.stored.last_good.as_ref().map(|good| good.version.digest);
                     let digest = document.as_ref().map(|document| document.digest());
-                    let before = [good, Some(local_document_digest())].contains(&digest);
-                    let fails = !before && std::mem::take(&mut self.not_applicable);
+                    let was_in_effect = [good, Some(local_document_digest())].contains(&digest);
+                    let fails = !was_in_effect && std::mem::take(&mut self.next_apply_fails);
                     if !fails {
-                        self.effect = document.map(|document| document.digest());
+                        self.digest_in_effect = document.map(|document| document.digest());
                     }
-                    self.tell(Event::Applied(if fails { Err("no".into()) } else { Ok(()) }));
+                    self.handle_event(Event::Applied(if fails { Err("no".into()) } else { Ok(()) }));
                 }
-                Action::Send(said) => {
-                    assert!(self.up, "said on no connection");
-                    self.hear(&said);
-                    self.said.push(said);
+                Action::Send(message) => {
+                    assert!(self.connected, "a message was sent without a connection");
+                    self.record_sent(&message);
+                    self.sent.push(message);
                 }
                 Action::Log(_) => {}
             }
         }
-        self.busy = false;
+        self.performing = false;
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let actions = handle(&mut self.node, self.now, event);
         self.perform(actions);
     }
 
-    fn hear(&mut self, said: &SubscriberMessage) {
-        let text = said.encode();
-        assert_eq!(SubscriberMessage::decode(text.as_bytes()).as_ref(), Ok(said), "{text}");
-        match said {
+    fn record_sent(&mut self, message: &SubscriberMessage) {
+        let text = message.encode();
+        assert_eq!(SubscriberMessage::decode(text.as_bytes()).as_ref(), Ok(message), "{text}");
+        match message {
             SubscriberMessage::Acknowledged { version, on_trial, .. } => {
-                self.plain.acknowledged.insert(*version);
+                self.model.acknowledged.insert(*version);
                 if *on_trial {
-                    self.plain.trying = Some(*version);
+                    self.model.on_trial_version = Some(*version);
                 } else {
-                    self.plain.good.insert(*version);
-                    self.plain.last = Some(*version);
+                    self.model.reported_good.insert(*version);
+                    self.model.last_reported_good = Some(*version);
                 }
             }
             SubscriberMessage::TrialEnded { version, failure: None } => {
-                assert_eq!(self.plain.trying.take(), Some(*version), "good without a trial");
-                self.plain.good.insert(*version);
-                self.plain.last = Some(*version);
+                assert_eq!(
+                    self.model.on_trial_version.take(),
+                    Some(*version),
+                    "reported as good without a trial"
+                );
+                self.model.reported_good.insert(*version);
+                self.model.last_reported_good = Some(*version);
             }
-            SubscriberMessage::TrialEnded { failure: Some(_), .. } => self.plain.trying = None,
+            SubscriberMessage::TrialEnded { failure: Some(_), .. } => self.model.on_trial_version = None,
             _ => {}
         }
     }
 
-    /// Crashes, or drains and stops; then starts from what is on the disk.
+    /// Restarts the node from the state on its disk, after a crash or after a drain.
     fn restart(&mut self, crashed: bool) {
-        let stored = self.plain.disk.clone();
-        if let Some(version) = self.plain.trying.filter(|_| crashed) {
-            let of = self.plain.deaths.iter_mut().find(|(of, _)| of.digest == version.digest);
-            match of {
+        let stored = self.model.stored.clone();
+        if let Some(version) = self.model.on_trial_version.filter(|_| crashed) {
+            let recorded =
+                self.model.crashes.iter_mut().find(|(candidate, _)| candidate.digest == version.digest);
+            match recorded {
                 Some((_, count)) => *count += 1,
-                None => self.plain.deaths.push((version, 1)),
+                None => self.model.crashes.push((version, 1)),
             }
         }
-        self.plain.trying = None;
-        self.up = false;
-        let (node, first) = start(self.now, stored, Some(document(0)));
+        self.model.on_trial_version = None;
+        self.connected = false;
+        let (node, actions) = start(self.now, stored, Some(document(0)));
         self.node = node;
-        self.perform(first);
-        // A good version that the disk has is served from the first moment on, before any control service is connected.
-        let good = self.plain.disk.last_good.as_ref().map(|good: &StoredVersion| good.version);
+        self.perform(actions);
+        // A good version on the disk is in effect from the start, before the node is connected to a control service.
+        let good = self.model.stored.last_good.as_ref().map(|good: &StoredVersion| good.version);
         assert_eq!(self.node.in_effect(), good.map_or(InEffect::LocalDocument, InEffect::Good));
     }
 
     fn step(&mut self, step: &Step) {
         self.nonce += 1;
-        let (nonce, before, said) = (self.nonce, self.node.in_effect(), self.said.len());
-        let offer = |number, says, lineage: &str, content| {
-            let version = version(number, says);
+        let (nonce, before, sent_before) = (self.nonce, self.node.in_effect(), self.sent.len());
+        let offer = |number, document_number, lineage: &str, content| {
+            let version = version(number, document_number);
             Event::Received(PublisherMessage::Offer(Offer {
                 nonce,
                 lineage: lineage.into(),
@@ -239,71 +253,72 @@
             }))
         };
         match step {
-            Step::Offer { number, says, announced } => {
-                let content = Content::Full(document(*says).to_toml());
-                self.tell(offer(*number, *announced, LINEAGE, content));
-                if says != announced {
-                    self.assert_rejected(&before, said);
+            Step::Offer { number, document_number, announced_document } => {
+                let content = Content::Full(document(*document_number).to_toml());
+                self.handle_event(offer(*number, *announced_document, LINEAGE, content));
+                if document_number != announced_document {
+                    self.assert_not_applied(&before, sent_before);
                 }
             }
             Step::Invalid { number } => {
                 let content = Content::Full("[use_case.a]\ngoal_ms = \"soon\"".into());
-                self.tell(offer(*number, 9, LINEAGE, content));
-                self.assert_rejected(&before, said);
+                self.handle_event(offer(*number, 9, LINEAGE, content));
+                self.assert_not_applied(&before, sent_before);
             }
-            Step::Delta { number, base, says } => {
-                let difference = document(*base).fields().difference(document(*says).fields());
+            Step::Delta { number, base, document_number } => {
+                let difference = document(*base).fields().difference(document(*document_number).fields());
                 let content = Content::Delta { base: version(*base, *base), difference };
-                self.tell(offer(*number, *says, LINEAGE, content));
+                self.handle_event(offer(*number, *document_number, LINEAGE, content));
             }
             Step::OtherLineage { number } => {
-                let known = self.plain.disk.lineage.is_some();
+                let known = self.model.stored.lineage.is_some();
                 if known {
                     let content = Content::Full(document(1).to_toml());
-                    self.tell(offer(*number, 1, "other", content));
-                    self.assert_rejected(&before, said);
+                    self.handle_event(offer(*number, 1, "other", content));
+                    self.assert_not_applied(&before, sent_before);
                 }
             }
-            Step::Sampled { well } => {
+            Step::Sampled { succeeds } => {
                 for _ in 0..3 {
                     self.now = self.now + Span::from_ms(100.0);
-                    self.tell(sampled(20.0, if *well { 1.0 } else { 0.1 }));
+                    self.handle_event(sampled(20.0, if *succeeds { 1.0 } else { 0.1 }));
                 }
             }
-            Step::Later => {
+            Step::TrialSpanPasses => {
                 self.now = self.now + Span::from_ms(1001.0);
-                self.tell(sampled(0.0, 1.0));
+                self.handle_event(sampled(0.0, 1.0));
             }
-            Step::LinkBreaks => {
-                self.up = false;
-                self.tell(Event::Disconnected);
+            Step::Disconnects => {
+                self.connected = false;
+                self.handle_event(Event::Disconnected);
             }
-            Step::DiskFails => self.disk_fails = true,
-            Step::NotApplicable => self.not_applicable = true,
+            Step::NextWriteFails => self.next_write_fails = true,
+            Step::NextApplyFails => self.next_apply_fails = true,
             Step::Crashes => self.restart(true),
             Step::Drains => {
-                self.tell(Event::DrainStarted);
-                let (before, said) = (self.node.in_effect(), self.said.len());
-                self.tell(offer(20, 4, LINEAGE, Content::Full(document(4).to_toml())));
-                self.assert_rejected(&before, said);
+                self.handle_event(Event::DrainStarted);
+                let (before, sent_before) = (self.node.in_effect(), self.sent.len());
+                self.handle_event(offer(20, 4, LINEAGE, Content::Full(document(4).to_toml())));
+                self.assert_not_applied(&before, sent_before);
                 assert!(matches!(
-                    self.said.last(),
+                    self.sent.last(),
                     Some(SubscriberMessage::Rejected { rejection: Rejection::Draining, .. })
                 ));
-                // A write that failed is retried after its delay: the drain lasts longer here.
+                // Lets a failed write be retried: here the drain lasts longer than the longest delay of a retry.
                 self.now = self.now + Span::from_ms(60_000.0);
-                self.tell(Event::TimerFired);
+                self.handle_event(Event::TimerFired);
                 self.restart(false);
             }
         }
         self.check();
     }
 
-    /// An offer that can't be taken up is rejected, and what is in effect stays.
-    fn assert_rejected(&self, before: &InEffect, said: usize) {
+    /// Asserts that the offer was answered, and that the configuration in effect has not changed.
+    fn assert_not_applied(&self, before: &InEffect, sent_before: usize) {
         assert_eq!(self.node.in_effect(), *before);
-        let answer =
-            self.said[said..].iter().find(|said| !matches!(said, SubscriberMessage::TrialEnded { .. }));
+        let answer = self.sent[sent_before..]
+            .iter()
+            .find(|sent| !matches!(sent, SubscriberMessage::TrialEnded { .. }));
         assert!(
             matches!(
                 answer,
@@ -319,26 +334,35 @@
             InEffect::Nothing => None,
             InEffect::LocalDocument => Some(document(0).digest()),
             InEffect::Good(version) => {
-                // It is stored before it is reported, and there may be no connection to report it on.
-                let stored = self.plain.disk.last_good.as_ref().is_some_and(|good| good.version == version);
-                let known = stored && self.plain.acknowledged.contains(&version);
-                assert!(known || self.plain.good.contains(&version), "{version} was never good");
+                // A version is stored as good before it is reported, and there may be no connection for the report.
+                let stored = self.model.stored.last_good.as_ref().is_some_and(|good| good.version == version);
+                let known = stored && self.model.acknowledged.contains(&version);
+                assert!(known || self.model.reported_good.contains(&version), "{version} was never good");
                 Some(version.digest)
             }
             InEffect::OnTrial(version) => {
-                assert_eq!(self.plain.trying, Some(version), "in effect without having been acknowledged");
+                assert_eq!(
+                    self.model.on_trial_version,
+                    Some(version),
+                    "in effect without having been acknowledged"
+                );
                 Some(version.digest)
             }
         };
-        assert_eq!(self.effect, digest, "what is in effect is not what it says");
-        // Once something was good there is always something good to start by.
-        if self.plain.last.is_some() {
-            assert!(self.plain.disk.last_good.is_some(), "the last good version is lost");
+        assert_eq!(
+            self.digest_in_effect, digest,
+            "the node reports another document in effect than was applied"
+        );
+        // Once a version was good, the disk always has a good version to start with.
+        if self.model.last_reported_good.is_some() {
+            assert!(self.model.stored.last_good.is_some(), "the last good version is lost");
         }
-        for (version, deaths) in &self.plain.deaths {
-            let in_effect = self.effect == Some(version.digest);
+        for (version, crashes) in &self.model.crashes {
+            let in_effect = self.digest_in_effect == Some(version.digest);
             assert!(
-                *deaths < 2 || !in_effect || self.plain.good.iter().any(|good| good.digest == version.digest)
+                *crashes < 2
+                    || !in_effect
+                    || self.model.reported_good.iter().any(|good| good.digest == version.digest)
             );
         }
     }
@@ -346,59 +370,61 @@
 
 #[test]
 fn a_node_serves_by_its_local_document_a_good_version_or_one_that_it_acknowledged() {
-    fn holds(steps: Vec<Step>) -> bool {
-        let mut world = World::new();
-        steps.iter().for_each(|step| world.step(step));
+    fn satisfies_model(steps: Vec<Step>) -> bool {
+        let mut system = System::new();
+        steps.iter().for_each(|step| system.step(step));
         true
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 16))
         .tests(2000)
-        .quickcheck(holds as fn(Vec<Step>) -> bool);
+        .quickcheck(satisfies_model as fn(Vec<Step>) -> bool);
 }
 
 #[test]
 fn during_a_trial_the_latest_version_waits_and_the_good_document_rolls_back_at_once() {
-    let mut world = World::new();
-    let offer = |world: &mut World, number, says| world.step(&Step::Offer { number, says, announced: says });
-    offer(&mut world, 1, 1);
-    world.step(&Step::Later);
-    assert_eq!(world.node.in_effect(), InEffect::Good(version(1, 1)));
-    offer(&mut world, 2, 2);
-    offer(&mut world, 3, 3);
-    offer(&mut world, 4, 4);
-    assert_eq!(world.node.in_effect(), InEffect::OnTrial(version(2, 2)));
+    let mut system = System::new();
+    let offer = |system: &mut System, number, document_number| {
+        system.step(&Step::Offer { number, document_number, announced_document: document_number })
+    };
+    offer(&mut system, 1, 1);
+    system.step(&Step::TrialSpanPasses);
+    assert_eq!(system.node.in_effect(), InEffect::Good(version(1, 1)));
+    offer(&mut system, 2, 2);
+    offer(&mut system, 3, 3);
+    offer(&mut system, 4, 4);
+    assert_eq!(system.node.in_effect(), InEffect::OnTrial(version(2, 2)));
     let superseded = Rejection::Superseded { by: version(4, 4) };
-    assert!(world.said.iter().any(
-        |said| matches!(said, SubscriberMessage::Rejected { rejection, .. } if *rejection == superseded)
+    assert!(system.sent.iter().any(
+        |sent| matches!(sent, SubscriberMessage::Rejected { rejection, .. } if *rejection == superseded)
     ));
-    world.step(&Step::Later);
-    assert_eq!(world.node.in_effect(), InEffect::OnTrial(version(4, 4)));
-    // What was good before the trial, published anew, is in effect at once.
-    offer(&mut world, 5, 2);
-    assert_eq!(world.node.in_effect(), InEffect::Good(version(5, 2)));
+    system.step(&Step::TrialSpanPasses);
+    assert_eq!(system.node.in_effect(), InEffect::OnTrial(version(4, 4)));
+    // The document that was good before the trial is published again and takes effect at once.
+    offer(&mut system, 5, 2);
+    assert_eq!(system.node.in_effect(), InEffect::Good(version(5, 2)));
 }
 
 #[test]
 fn a_difference_with_another_digest_than_announced_is_rejected() {
-    let mut world = World::new();
-    world.step(&Step::Offer { number: 1, says: 1, announced: 1 });
-    world.step(&Step::Later);
+    let mut system = System::new();
+    system.step(&Step::Offer { number: 1, document_number: 1, announced_document: 1 });
+    system.step(&Step::TrialSpanPasses);
     let difference = document(1).fields().difference(document(2).fields());
     let content = Content::Delta { base: version(1, 1), difference };
     let offer = Offer { nonce: 99, lineage: LINEAGE.into(), version: version(2, 3), content };
-    world.tell(Event::Received(PublisherMessage::Offer(offer)));
+    system.handle_event(Event::Received(PublisherMessage::Offer(offer)));
     assert!(matches!(
-        world.said.last(),
+        system.sent.last(),
         Some(SubscriberMessage::Rejected { rejection: Rejection::DigestMismatch, .. })
     ));
-    assert_eq!(world.node.in_effect(), InEffect::Good(version(1, 1)));
+    assert_eq!(system.node.in_effect(), InEffect::Good(version(1, 1)));
 }
 
 #[test]
 fn a_silent_control_service_is_replaced_by_the_next_and_retry_after_is_respected() {
-    let (mut node, first) = start(at(0.0), StoredState::default(), None);
-    assert!(first.contains(&Action::Apply { document: None, is_rollback: false }), "nothing to serve by");
+    let (mut node, actions) = start(at(0.0), StoredState::default(), None);
+    assert!(actions.contains(&Action::Apply { document: None, is_rollback: false }), "nothing to serve by");
     handle(&mut node, at(10.0), Event::Connected);
     let next_timer = node.next_timer().expect("it has a timer");
     assert!(!handle(&mut node, at(11.0), Event::TimerFired).contains(&Action::Disconnect));
--- a/crates/hazelgrade-stream/tests/recorded_messages.rs
+++ b/crates/hazelgrade-stream/tests/recorded_messages.rs
@@ -1,5 +1,6 @@
-//! Each message on the wire, the stored state of a node and the counter file of a publisher, compared byte for byte with
-//! recorded text, and read back from it. Nodes and control services of other builds read and write these bytes.
+//! Compares each message on the wire, the stored state of a node and the counter file of a publisher byte for byte with
+//! recorded text, and decodes the recorded text again. Guards against changes of a format that nodes and control
+//! services of other builds read and write.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -34,30 +35,30 @@
     hex.parse().expect("64 hex digits")
 }
 
-fn a() -> Version {
+fn version_a() -> Version {
     Version { number: 7, digest: digest(A) }
 }
 
-fn b() -> Version {
+fn version_b() -> Version {
     Version { number: 6, digest: digest(B) }
 }
 
-fn read<T: DeserializeOwned>(json: &str) -> T {
+fn parse<T: DeserializeOwned>(json: &str) -> T {
     serde_json::from_str(json).expect("a message about budgets")
 }
 
-/// Puts the digests in place of `A` and `B` in quotes, and ends the line.
+/// Replaces `"A"` and `"B"` by the digests, and appends a newline.
 fn line(text: &str) -> String {
     text.replace("\"A\"", &format!("\"{A}\"")).replace("\"B\"", &format!("\"{B}\"")) + "\n"
 }
 
-fn from_publisher(message: &PublisherMessage, text: &str) {
+fn assert_publisher_message(message: &PublisherMessage, text: &str) {
     let text = line(text);
     assert_eq!(message.encode(), text);
     assert_eq!(PublisherMessage::decode(text.as_bytes()).as_ref(), Ok(message));
 }
 
-fn from_subscriber(message: &SubscriberMessage, text: &str) {
+fn assert_subscriber_message(message: &SubscriberMessage, text: &str) {
     let text = line(text);
     assert_eq!(message.encode(), text);
     assert_eq!(SubscriberMessage::decode(text.as_bytes()).as_ref(), Ok(message));
@@ -65,80 +66,81 @@
 
 #[test]
 fn messages_of_a_publisher_have_their_recorded_bytes() {
-    let offer =
-        |content| PublisherMessage::Offer(Offer { nonce: 5, lineage: "l".into(), version: a(), content });
-    from_publisher(
+    let offer = |content| {
+        PublisherMessage::Offer(Offer { nonce: 5, lineage: "l".into(), version: version_a(), content })
+    };
+    assert_publisher_message(
         &offer(Content::Full("x = \"1\"\n".into())),
         r#"{"id":5,"jsonrpc":"2.0","method":"offer","params":{"lineage":"l","version":{"digest":"A","number":7},"whole":"x = \"1\"\n"}}"#,
     );
     let difference = document(1).fields().difference(document(2).fields());
-    from_publisher(
-        &offer(Content::Delta { base: b(), difference }),
+    assert_publisher_message(
+        &offer(Content::Delta { base: version_b(), difference }),
         r#"{"id":5,"jsonrpc":"2.0","method":"offer","params":{"base":{"digest":"B","number":6},"difference":{"gone":[],"set":{"use_case/a/goal_ms":102.0}},"lineage":"l","version":{"digest":"A","number":7}}}"#,
     );
-    from_publisher(&PublisherMessage::Ping, r#"{"jsonrpc":"2.0","method":"ping"}"#);
-    from_publisher(
+    assert_publisher_message(&PublisherMessage::Ping, r#"{"jsonrpc":"2.0","method":"ping"}"#);
+    assert_publisher_message(
         &PublisherMessage::RetryAfter(Span::from_ms(1234.5)),
         r#"{"jsonrpc":"2.0","method":"retry","params":{"after_ms":1234.5}}"#,
     );
-    from_publisher(
-        &PublisherMessage::LeaseGrant(read::<LeaseGrant>(GRANT)),
+    assert_publisher_message(
+        &PublisherMessage::LeaseGrant(parse::<LeaseGrant>(GRANT)),
         &format!(r#"{{"jsonrpc":"2.0","method":"grant","params":{GRANT}}}"#),
     );
-    from_publisher(&PublisherMessage::RequestLeases, r#"{"jsonrpc":"2.0","method":"nudge"}"#);
-    from_publisher(
-        &PublisherMessage::SiteReport(read::<SiteReport>(PARTS)),
+    assert_publisher_message(&PublisherMessage::RequestLeases, r#"{"jsonrpc":"2.0","method":"nudge"}"#);
+    assert_publisher_message(
+        &PublisherMessage::SiteReport(parse::<SiteReport>(PARTS)),
         &format!(r#"{{"jsonrpc":"2.0","method":"parts","params":{PARTS}}}"#),
     );
 }
 
 #[test]
 fn messages_of_a_subscriber_have_their_recorded_bytes() {
-    let subscribe = |kind, lineage, have, trial, known| SubscriberMessage::Subscribe {
+    let subscribe = |kind, lineage, in_effect, on_trial, latest_known| SubscriberMessage::Subscribe {
         node: "n1".into(),
         program: "1.2.3".into(),
         kind,
         lineage,
-        in_effect: have,
-        on_trial: trial,
-        latest_known: known,
+        in_effect,
+        on_trial,
+        latest_known,
     };
-    from_subscriber(
-        &subscribe(Kind::Identity, Some("l".into()), Some(b()), true, Some(a())),
+    assert_subscriber_message(
+        &subscribe(Kind::Identity, Some("l".into()), Some(version_b()), true, Some(version_a())),
         r#"{"jsonrpc":"2.0","method":"subscribe","params":{"have":{"digest":"B","number":6},"kind":"identity","known":{"digest":"A","number":7},"lineage":"l","node":"n1","program":"1.2.3","trial":true}}"#,
     );
-    from_subscriber(
+    assert_subscriber_message(
         &subscribe(Kind::Serving, None, None, false, None),
         r#"{"jsonrpc":"2.0","method":"subscribe","params":{"have":null,"kind":"serving","known":null,"lineage":null,"node":"n1","program":"1.2.3","trial":false}}"#,
     );
-    from_subscriber(
+    assert_subscriber_message(
         &SubscriberMessage::Acknowledged {
             nonce: 5,
-            version: a(),
+            version: version_a(),
             on_trial: true,
             staged: vec!["limits.memory_mb".into()],
         },
         r#"{"id":5,"jsonrpc":"2.0","result":{"staged":["limits.memory_mb"],"trial":true,"version":{"digest":"A","number":7}}}"#,
     );
-    from_subscriber(
-        &SubscriberMessage::TrialEnded { version: a(), failure: None },
+    assert_subscriber_message(
+        &SubscriberMessage::TrialEnded { version: version_a(), failure: None },
         r#"{"jsonrpc":"2.0","method":"settled","params":{"failed":null,"version":{"digest":"A","number":7}}}"#,
     );
-    from_subscriber(
-        &SubscriberMessage::TrialEnded { version: a(), failure: Some("why".into()) },
+    assert_subscriber_message(
+        &SubscriberMessage::TrialEnded { version: version_a(), failure: Some("why".into()) },
         r#"{"jsonrpc":"2.0","method":"settled","params":{"failed":"why","version":{"digest":"A","number":7}}}"#,
     );
-    from_subscriber(&SubscriberMessage::Pong, r#"{"jsonrpc":"2.0","method":"pong"}"#);
-    from_subscriber(
+    assert_subscriber_message(&SubscriberMessage::Pong, r#"{"jsonrpc":"2.0","method":"pong"}"#);
+    assert_subscriber_message(
         &SubscriberMessage::Status { request_id: 3 },
         r#"{"id":3,"jsonrpc":"2.0","method":"status"}"#,
     );
-    from_subscriber(
-        &SubscriberMessage::LeaseRequest(read::<LeaseRequest>(ASK)),
+    assert_subscriber_message(
+        &SubscriberMessage::LeaseRequest(parse::<LeaseRequest>(ASK)),
         &format!(r#"{{"jsonrpc":"2.0","method":"ask","params":{ASK}}}"#),
     );
-    from_subscriber(
-        &SubscriberMessage::SiteReport(read::<SiteReport>(PARTS)),
+    assert_subscriber_message(
+        &SubscriberMessage::SiteReport(parse::<SiteReport>(PARTS)),
         &format!(r#"{{"jsonrpc":"2.0","method":"parts","params":{PARTS}}}"#),
     );
     for word in [
@@ -148,8 +150,8 @@
         r#"{"retire":{"id":"i","site":"north"}}"#,
         r#""open""#,
     ] {
-        from_subscriber(
-            &SubscriberMessage::BudgetCommand { request_id: 4, command: read::<OperatorCommand>(word) },
+        assert_subscriber_message(
+            &SubscriberMessage::BudgetCommand { request_id: 4, command: parse::<OperatorCommand>(word) },
             &format!(r#"{{"id":4,"jsonrpc":"2.0","method":"budget","params":{word}}}"#),
         );
     }
@@ -165,12 +167,12 @@
             "the node follows the lineage m",
         ),
         (
-            Rejection::Outdated { known: b() },
+            Rejection::Outdated { known: version_b() },
             r#"{"known":W,"version":V,"why":"behind"}"#,
             "the node knows version 6 (ffeeddcc), which is later",
         ),
         (
-            Rejection::Conflict { known: b() },
+            Rejection::Conflict { known: version_b() },
             r#"{"known":W,"version":V,"why":"conflict"}"#,
             "the node knows this number as 6 (ffeeddcc)",
         ),
@@ -194,7 +196,7 @@
         (Rejection::NotStored("k".into()), r#"{"version":V,"why":"not-kept"}"#, "k"),
         (Rejection::NotApplicable("h".into()), r#"{"version":V,"why":"not-here"}"#, "h"),
         (
-            Rejection::Superseded { by: b() },
+            Rejection::Superseded { by: version_b() },
             r#"{"known":W,"version":V,"why":"superseded"}"#,
             "version 6 (ffeeddcc) came before its turn",
         ),
@@ -202,16 +204,16 @@
     for (rejection, data, message) in recorded {
         let data =
             data.replace('V', r#"{"digest":"A","number":7}"#).replace('W', r#"{"digest":"B","number":6}"#);
-        from_subscriber(
-            &SubscriberMessage::Rejected { nonce: 5, version: a(), rejection },
+        assert_subscriber_message(
+            &SubscriberMessage::Rejected { nonce: 5, version: version_a(), rejection },
             &format!(
                 r#"{{"error":{{"code":-32010,"data":{data},"message":"{message}"}},"id":5,"jsonrpc":"2.0"}}"#
             ),
         );
     }
-    // A reason is cut at 2000 bytes, between two characters.
+    // A reason is truncated to 2000 bytes at a character boundary.
     let long = Rejection::Invalid("é".repeat(1500) + "x");
-    let text = SubscriberMessage::Rejected { nonce: 5, version: a(), rejection: long }.encode();
+    let text = SubscriberMessage::Rejected { nonce: 5, version: version_a(), rejection: long }.encode();
     let data = r#"{"version":{"digest":"A","number":7},"why":"malformed"}"#;
     let message = "é".repeat(1000);
     let expected = format!(
@@ -221,52 +223,56 @@
 }
 
 #[test]
-fn what_is_no_message_is_named_as_recorded() {
-    let of_subscriber = |text: &str| SubscriberMessage::decode(text.as_bytes()).expect_err(text).to_string();
-    let of_publisher = |text: &str| PublisherMessage::decode(text.as_bytes()).expect_err(text).to_string();
-    assert_eq!(of_subscriber("7"), "expected a JSON object");
-    assert_eq!(of_publisher("{}"), "field jsonrpc: expected \"2.0\"");
+fn undecodable_messages_have_their_recorded_errors() {
+    let subscriber_error =
+        |text: &str| SubscriberMessage::decode(text.as_bytes()).expect_err(text).to_string();
+    let publisher_error = |text: &str| PublisherMessage::decode(text.as_bytes()).expect_err(text).to_string();
+    assert_eq!(subscriber_error("7"), "expected a JSON object");
+    assert_eq!(publisher_error("{}"), "field jsonrpc: expected \"2.0\"");
     assert_eq!(
-        of_subscriber(r#"{"jsonrpc":"2.0"}"#),
+        subscriber_error(r#"{"jsonrpc":"2.0"}"#),
         "field method: expected subscribe, settled, pong, status, ask, parts or budget"
     );
     assert_eq!(
-        of_publisher(r#"{"jsonrpc":"2.0"}"#),
+        publisher_error(r#"{"jsonrpc":"2.0"}"#),
         "field method: expected offer, ping, retry, grant, nudge or parts"
     );
-    assert_eq!(of_subscriber(r#"{"jsonrpc":"2.0","method":"status"}"#), "field id: expected a whole number");
     assert_eq!(
-        of_subscriber(r#"{"jsonrpc":"2.0","method":"subscribe","params":{"node":""}}"#),
+        subscriber_error(r#"{"jsonrpc":"2.0","method":"status"}"#),
+        "field id: expected a whole number"
+    );
+    assert_eq!(
+        subscriber_error(r#"{"jsonrpc":"2.0","method":"subscribe","params":{"node":""}}"#),
         "field node: expected a word"
     );
     assert_eq!(
-        of_subscriber(
+        subscriber_error(
             r#"{"jsonrpc":"2.0","method":"subscribe","params":{"node":"n","program":"p","kind":"x"}}"#
         ),
         "field kind: expected a kind of document"
     );
     assert_eq!(
-        of_subscriber(r#"{"jsonrpc":"2.0","method":"settled","params":{"version":{"number":1}}}"#),
+        subscriber_error(r#"{"jsonrpc":"2.0","method":"settled","params":{"version":{"number":1}}}"#),
         "field version: expected a number and a digest"
     );
     assert_eq!(
-        of_subscriber(r#"{"id":1,"jsonrpc":"2.0","error":{"data":{"why":"x"}}}"#),
+        subscriber_error(r#"{"id":1,"jsonrpc":"2.0","error":{"data":{"why":"x"}}}"#),
         "field why: expected a reason's word"
     );
     assert_eq!(
-        of_subscriber(r#"{"jsonrpc":"2.0","method":"ask","params":{}}"#),
+        subscriber_error(r#"{"jsonrpc":"2.0","method":"ask","params":{}}"#),
         "field params: expected an ask: missing field `holder`"
     );
     assert_eq!(
-        of_publisher(r#"{"jsonrpc":"2.0","method":"retry","params":{"after_ms":-1}}"#),
+        publisher_error(r#"{"jsonrpc":"2.0","method":"retry","params":{"after_ms":-1}}"#),
         "field after_ms: expected milliseconds"
     );
     assert_eq!(
-        of_publisher(r#"{"jsonrpc":"2.0","method":"offer","params":{"whole":1}}"#),
+        publisher_error(r#"{"jsonrpc":"2.0","method":"offer","params":{"whole":1}}"#),
         "field whole: expected a document"
     );
     assert_eq!(
-        of_publisher(r#"{"id":1,"jsonrpc":"2.0","method":"offer","params":{"base":{}}}"#),
+        publisher_error(r#"{"id":1,"jsonrpc":"2.0","method":"offer","params":{"base":{}}}"#),
         "field base: expected a number and a digest"
     );
 }
@@ -285,9 +291,9 @@
     let all = StoredState {
         lineage: Some("l".into()),
         last_good: Some(good),
-        latest_known: Some(a()),
-        on_trial: Some(VersionOnTrial { version: a(), text: "t".into() }),
-        last_failed: Some(FailedVersion { version: b(), reason: "it fell".into() }),
+        latest_known: Some(version_a()),
+        on_trial: Some(VersionOnTrial { version: version_a(), text: "t".into() }),
+        last_failed: Some(FailedVersion { version: version_b(), reason: "it fell".into() }),
         crashes: vec![CrashCount { digest: digest(A), count: 1 }, CrashCount { digest: digest(B), count: 2 }],
     };
     for (state, text) in [(all, STORED), (StoredState::default(), STORED_NOTHING)] {
@@ -299,19 +305,20 @@
 }
 
 #[test]
-fn a_stored_state_that_is_wrong_is_named_as_recorded() {
-    let wrong = |text: &str| StoredState::decode(Kind::Serving, text.as_bytes()).expect_err(text).to_string();
-    assert_eq!(wrong("{"), "EOF while parsing an object at line 1 column 1");
-    assert_eq!(wrong(r#"{"known":{"number":1}}"#), "a version lacks its number or digest");
-    assert_eq!(wrong(r#"{"deaths":[[1,2]]}"#), "a death lacks its digest or count");
+fn invalid_stored_states_have_their_recorded_errors() {
+    let decode_error =
+        |text: &str| StoredState::decode(Kind::Serving, text.as_bytes()).expect_err(text).to_string();
+    assert_eq!(decode_error("{"), "EOF while parsing an object at line 1 column 1");
+    assert_eq!(decode_error(r#"{"known":{"number":1}}"#), "a version lacks its number or digest");
+    assert_eq!(decode_error(r#"{"deaths":[[1,2]]}"#), "a death lacks its digest or count");
     let good = |text: &str| line(&format!(r#"{{"good":{{"version":{{"number":1,"digest":"A"}}{text}}}}}"#));
-    assert_eq!(wrong(&good("")), "the last good version lacks its text");
+    assert_eq!(decode_error(&good("")), "the last good version lacks its text");
     let text = r#","text":"[use_case.a]\ngoal_ms = 101\ncut_off_ms = 9000\n""#;
-    assert_eq!(wrong(&good(text)), "the last good version doesn't have its digest");
-    assert!(wrong(&good(r#","text":"x = 1""#)).starts_with("the last good version:1:1: "));
+    assert_eq!(decode_error(&good(text)), "the last good version doesn't have its digest");
+    assert!(decode_error(&good(r#","text":"x = 1""#)).starts_with("the last good version:1:1: "));
 }
 
-fn setup(documents: &Path, listen: SocketAddr, lineage: Option<&str>) -> ControlServiceConfig {
+fn service_config(documents: &Path, listen: SocketAddr, lineage: Option<&str>) -> ControlServiceConfig {
     ControlServiceConfig {
         documents: documents.into(),
         listen,
@@ -325,22 +332,22 @@
 fn the_counter_file_has_its_recorded_bytes() {
     let folder = tempfile::tempdir().expect("a folder");
     let files = [".published.json", ".published-identity.json", ".published-budgets.json"];
-    let counted = line(r#"{"last":{"digest":"A","number":7},"lineage":"l"}"#);
-    std::fs::write(folder.path().join(files[0]), counted.trim_end()).expect("a file");
-    let counter = Counter { lineage: "l".into(), last: Some(a()) };
+    let stored_counter = line(r#"{"last":{"digest":"A","number":7},"lineage":"l"}"#);
+    std::fs::write(folder.path().join(files[0]), stored_counter.trim_end()).expect("a file");
+    let counter = Counter { lineage: "l".into(), last: Some(version_a()) };
     let read = |kind| control_service::read_counter(folder.path(), kind).expect("it can be read");
     assert_eq!(read(Kind::Serving), Some(counter));
     assert_eq!(read(Kind::Budgets), None);
-    // A start writes them all anew.
+    // A control service writes all counter files when it starts.
     let listen = "127.0.0.1:0".parse().expect("an address");
     let mut serving = Box::pin(control_service::serve(
         Rc::new(LocalExecutor::new()),
-        setup(folder.path(), listen, None),
+        service_config(folder.path(), listen, None),
         Box::new(|_| {}),
     ));
     assert!(block_on(poll_once(&mut serving)).is_none(), "it serves");
-    let nothing = r#"{"last":null,"lineage":"l"}"#;
-    for (file, text) in files.iter().zip([counted.trim_end(), nothing, nothing]) {
+    let empty_counter = r#"{"last":null,"lineage":"l"}"#;
+    for (file, text) in files.iter().zip([stored_counter.trim_end(), empty_counter, empty_counter]) {
         assert_eq!(std::fs::read_to_string(folder.path().join(file)).as_deref().ok(), Some(text), "{file}");
     }
     std::fs::write(folder.path().join(files[0]), r#"{"lineage":"l","last":7}"#).expect("a file");
@@ -350,27 +357,27 @@
     assert_eq!(wrong, format!("{shown}: field last: expected it as this program writes it"));
 }
 
-/// A connection that says recorded lines and hears some.
-struct Peer(BufReader<TcpStream>);
+/// A client connection that sends and receives lines.
+struct ClientConnection(BufReader<TcpStream>);
 
-impl Peer {
-    fn connect(address: SocketAddr) -> Peer {
+impl ClientConnection {
+    fn connect(address: SocketAddr) -> ClientConnection {
         for _ in 0..500 {
             if let Ok(stream) = TcpStream::connect(address) {
                 stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a time");
-                return Peer(BufReader::new(stream));
+                return ClientConnection(BufReader::new(stream));
             }
             std::thread::sleep(Duration::from_millis(10));
         }
         panic!("nobody listens at {address}");
     }
 
-    fn say(&mut self, text: &str) {
+    fn send(&mut self, text: &str) {
         self.0.get_mut().write_all(text.as_bytes()).expect("it takes a line");
     }
 
-    /// The next line that is no ping.
-    fn hear(&mut self) -> String {
+    /// Receives the next line that is not a ping.
+    fn receive(&mut self) -> String {
         loop {
             let mut line = String::new();
             self.0.read_line(&mut line).expect("a line");
@@ -386,16 +393,16 @@
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("serving.toml"), document(1).to_toml()).expect("a file");
     std::fs::write(folder.path().join("identity.toml"), "x = 1\n").expect("a file");
-    let free = TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
-    let address = free.expect("a free port");
-    let setup = setup(folder.path(), address, Some("l"));
+    let free_address = TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
+    let address = free_address.expect("a free port");
+    let config = service_config(folder.path(), address, Some("l"));
     std::thread::spawn(move || {
         let tasks = Rc::new(LocalExecutor::new());
-        block_on(tasks.run(control_service::serve(tasks.clone(), setup, Box::new(|_| {}))))
+        block_on(tasks.run(control_service::serve(tasks.clone(), config, Box::new(|_| {}))))
             .expect("it serves");
     });
-    let mut node = Peer::connect(address);
-    node.say(
+    let mut node = ClientConnection::connect(address);
+    node.send(
         "{\"jsonrpc\":\"2.0\",\"method\":\"subscribe\",\"params\":{\"node\":\"n1\",\"program\":\"p\"}}\n",
     );
     let text = "\\n[use_case.a]\\ncut_off_ms = 9000\\ngoal_ms = 101\\n";
@@ -403,22 +410,23 @@
     let offer = format!(
         r#"{{"id":1,"jsonrpc":"2.0","method":"offer","params":{{"lineage":"l","version":{version},"whole":"{text}"}}}}"#
     );
-    assert_eq!(node.hear(), offer + "\n");
-    node.say(&format!(
+    assert_eq!(node.receive(), offer + "\n");
+    node.send(&format!(
         "{{\"id\":1,\"jsonrpc\":\"2.0\",\"result\":{{\"staged\":[\"limits.memory_mb\"],\"trial\":true,\"version\":{version}}}}}\n"
     ));
-    let mut other = Peer::connect(address);
-    other.say(
+    let mut other = ClientConnection::connect(address);
+    other.send(
         "{\"jsonrpc\":\"2.0\",\"method\":\"subscribe\",\"params\":{\"node\":\"n2\",\"program\":\"p\"}}\n",
     );
-    other.hear();
-    other.say(&format!(
+    other.receive();
+    other.send(&format!(
         "{{\"id\":2,\"jsonrpc\":\"2.0\",\"error\":{{\"message\":\"no\",\"data\":{{\"version\":{version},\"why\":\"not-kept\"}}}}}}\n"
     ));
-    // Both answers were heard before this is asked on the same connections.
+    // The control service handles the lines of a connection in order: once it has answered these requests, it has
+    // handled the answers that were sent before them.
     for peer in [&mut node, &mut other] {
-        peer.say("{\"id\":8,\"jsonrpc\":\"2.0\",\"method\":\"status\"}\n");
-        peer.hear();
+        peer.send("{\"id\":8,\"jsonrpc\":\"2.0\",\"method\":\"status\"}\n");
+        peer.receive();
     }
     let shown = format!("1 ({})", &D[..8]);
     let n1 = format!(
@@ -439,9 +447,9 @@
     let status = format!(
         r#"{{"id":9,"jsonrpc":"2.0","result":{{"budgets":{budgets},"folder":null,"identity":{identity},"lineage":"l","nodes":[{n1},{n2}],"version":"{shown}"}}}}"#
     );
-    node.say("{\"id\":9,\"jsonrpc\":\"2.0\",\"method\":\"status\"}\n");
-    assert_eq!(node.hear(), status + "\n");
-    node.say("{\"id\":10,\"jsonrpc\":\"2.0\",\"method\":\"budget\",\"params\":\"show\"}\n");
-    let refused = r#"{"error":{"code":-32011,"message":"no budgets are kept here"},"id":10,"jsonrpc":"2.0"}"#;
-    assert_eq!(node.hear(), refused.to_owned() + "\n");
+    node.send("{\"id\":9,\"jsonrpc\":\"2.0\",\"method\":\"status\"}\n");
+    assert_eq!(node.receive(), status + "\n");
+    node.send("{\"id\":10,\"jsonrpc\":\"2.0\",\"method\":\"budget\",\"params\":\"show\"}\n");
+    let error = r#"{"error":{"code":-32011,"message":"no budgets are kept here"},"id":10,"jsonrpc":"2.0"}"#;
+    assert_eq!(node.receive(), error.to_owned() + "\n");
 }
--- a/crates/hazelgrade-stream/tests/states.rs
+++ b/crates/hazelgrade-stream/tests/states.rs
@@ -1,5 +1,6 @@
-//! All states, within bounds, of a publisher and a node over a channel that loses, doubles and reorders messages, while
-//! connections break, both sides crash and start again, and writes fail.
+//! Model check of a publisher and a node: explores every reachable state within bounds on the number of faults.
+//! Messages are lost and reordered, connections break, both sides restart, and the node's writes fail. Guards against
+//! interleavings in which a node puts a version into effect that is neither good nor stored as on trial.
 
 #![allow(clippy::expect_used, clippy::too_many_lines)]
 
@@ -16,52 +17,56 @@
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 
-/// How often each kind of fault may come.
+/// How many more events of each kind may occur.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Left {
+struct RemainingEvents {
     publishes: u64,
-    breaks: u8,
-    losses: u8,
-    deaths: u8,
-    restarts: u8,
-    disk_faults: u8,
-    trials: u8,
+    disconnections: u8,
+    message_losses: u8,
+    node_crashes: u8,
+    publisher_restarts: u8,
+    write_failures: u8,
+    trial_ends: u8,
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct System {
     node: Subscriber,
     publisher: Publisher,
-    /// What each side has on its disk.
+    /// The state on the node's disk.
     stored: StoredState,
+    /// The counter on the publisher's disk.
     counter: Counter,
-    /// A write of the node that is under way.
-    writing: Option<(u64, StoredState)>,
+    /// The node's write in progress.
+    write_in_flight: Option<(u64, StoredState)>,
     connection: u64,
-    up: bool,
+    connected: bool,
     to_node: Vec<PublisherMessage>,
     to_publisher: Vec<SubscriberMessage>,
-    left: Left,
+    remaining: RemainingEvents,
     now: Time,
-    effect: Option<Digest>,
+    /// The digest of the document in effect on the node.
+    digest_in_effect: Option<Digest>,
     acknowledged: Vec<Digest>,
-    /// Reported as good, and as failed.
-    good: Vec<Digest>,
-    failed: Vec<Digest>,
-    broken: Option<String>,
-    /// What tells this state from others: all of it but times and random numbers.
+    /// The documents that the node reported as good.
+    reported_good: Vec<Digest>,
+    /// The documents that the node reported as failed.
+    reported_failed: Vec<Digest>,
+    /// The violated rule, if any.
+    violation: Option<String>,
+    /// Identifies the state: the Debug text of all its parts except times and random numbers.
     key: String,
 }
 
-impl PartialEq for World {
-    fn eq(&self, other: &World) -> bool {
+impl PartialEq for System {
+    fn eq(&self, other: &System) -> bool {
         self.key == other.key
     }
 }
 
-impl Eq for World {}
+impl Eq for System {}
 
-impl Hash for World {
+impl Hash for System {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.key.hash(state);
     }
@@ -70,20 +75,20 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Publish,
-    ToNode(usize),
-    ToPublisher(usize),
-    LoseToNode(usize),
-    LoseToPublisher(usize),
-    Break,
+    DeliverToNode(usize),
+    DeliverToPublisher(usize),
+    LoseMessageToNode(usize),
+    LoseMessageToPublisher(usize),
+    Disconnect,
     Connect,
-    Written,
+    WriteSucceeds,
     WriteFails,
-    NodeCrashes { written: bool },
-    PublisherRestarts { forgets: bool },
-    TrialEnds { well: bool },
+    NodeCrashes { write_completes: bool },
+    PublisherRestarts { loses_counter: bool },
+    TrialEnds { passes: bool },
 }
 
-/// A text without what differs between states that are the same.
+/// Removes times and random numbers from a Debug text, as states that differ only in these count as the same state.
 fn without_time(text: &str) -> String {
     let mut rest = text;
     let mut key = String::new();
@@ -99,17 +104,35 @@
     key + rest
 }
 
-impl World {
-    fn keyed(mut self) -> World {
+impl System {
+    fn with_key(mut self) -> System {
         self.key.clear();
-        let World { node, publisher, stored, counter, writing, to_node, to_publisher, left, .. } = &self;
-        let parts = (node, publisher, stored, counter, writing);
-        let rest = (to_node, to_publisher, left, self.up, &self.good, &self.failed, &self.acknowledged);
-        self.key = without_time(&format!("{parts:?}{rest:?}{:?}{:?}", self.effect, self.broken));
+        let System {
+            node,
+            publisher,
+            stored,
+            counter,
+            write_in_flight,
+            to_node,
+            to_publisher,
+            remaining,
+            ..
+        } = &self;
+        let parts = (node, publisher, stored, counter, write_in_flight);
+        let rest = (
+            to_node,
+            to_publisher,
+            remaining,
+            self.connected,
+            &self.reported_good,
+            &self.reported_failed,
+            &self.acknowledged,
+        );
+        self.key = without_time(&format!("{parts:?}{rest:?}{:?}{:?}", self.digest_in_effect, self.violation));
         self
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle_at_node(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.node.handle(self.now, event, &mut actions);
         self.perform(actions);
@@ -124,43 +147,44 @@
                             self.acknowledged.push(version.digest)
                         }
                         SubscriberMessage::TrialEnded { version, failure: None } => {
-                            self.good.push(version.digest)
+                            self.reported_good.push(version.digest)
                         }
                         SubscriberMessage::TrialEnded { version, failure: Some(_) } => {
-                            self.failed.push(version.digest)
+                            self.reported_failed.push(version.digest)
                         }
                         _ => {}
                     }
                     self.to_publisher.push(message);
                 }
-                Action::Store { ticket, state } => self.writing = Some((ticket, state)),
+                Action::Store { ticket, state } => self.write_in_flight = Some((ticket, state)),
                 Action::Apply { document, .. } => {
-                    self.effect = document.map(|document| document.digest());
-                    self.tell(Event::Applied(Ok(())));
+                    self.digest_in_effect = document.map(|document| document.digest());
+                    self.handle_at_node(Event::Applied(Ok(())));
                 }
                 Action::Disconnect => {
-                    self.up = false;
-                    self.tell(Event::Disconnected);
+                    self.connected = false;
+                    self.handle_at_node(Event::Disconnected);
                 }
                 Action::Connect { .. } | Action::Log(_) => {}
             }
         }
     }
 
-    fn publisher(&mut self, event: publisher::Event) {
+    fn handle_at_publisher(&mut self, event: publisher::Event) {
         let mut actions = Vec::new();
         self.publisher.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 publisher::Action::Send { connection, message }
-                    if connection == self.connection && self.up =>
+                    if connection == self.connection && self.connected =>
                 {
                     self.to_node.push(message);
                 }
                 publisher::Action::StoreCounter(counter) => {
-                    // No number stands for two documents, whatever was lost.
+                    // The counter is stored before the publisher continues, so that no number is used for two
+                    // documents.
                     self.counter = counter;
-                    self.publisher(publisher::Event::CounterStored(Ok(())));
+                    self.handle_at_publisher(publisher::Event::CounterStored(Ok(())));
                 }
                 _ => {}
             }
@@ -169,240 +193,255 @@
 
     fn connect(&mut self) {
         self.connection += 1;
-        self.up = true;
+        self.connected = true;
         (self.to_node, self.to_publisher) = (Vec::new(), Vec::new());
-        self.publisher(publisher::Event::Connected { connection: self.connection });
-        self.tell(Event::Connected);
+        self.handle_at_publisher(publisher::Event::Connected { connection: self.connection });
+        self.handle_at_node(Event::Connected);
     }
 
     fn disconnect(&mut self) {
-        self.up = false;
+        self.connected = false;
         (self.to_node, self.to_publisher) = (Vec::new(), Vec::new());
-        self.publisher(publisher::Event::Disconnected { connection: self.connection });
+        self.handle_at_publisher(publisher::Event::Disconnected { connection: self.connection });
     }
 
     fn restart_node(&mut self) {
-        self.writing = None;
-        let (node, first) = start(self.now, self.stored.clone(), Some(document(0)));
+        self.write_in_flight = None;
+        let (node, actions) = start(self.now, self.stored.clone(), Some(document(0)));
         self.node = node;
-        self.perform(first);
-        self.tell(sampled(100.0, 1.0));
+        self.perform(actions);
+        self.handle_at_node(sampled(100.0, 1.0));
     }
 
     fn check(&mut self) {
-        let file = document(0).digest();
-        let serves = match self.node.in_effect() {
-            InEffect::Nothing => self.effect.is_none(),
-            InEffect::LocalDocument => self.effect == Some(file),
-            // Good versions may be known only to the disk: the node crashed before it could report them.
+        let local_digest = document(0).digest();
+        let is_allowed = match self.node.in_effect() {
+            InEffect::Nothing => self.digest_in_effect.is_none(),
+            InEffect::LocalDocument => self.digest_in_effect == Some(local_digest),
+            // A good version may be known only from the disk, if the node crashed before it could report the version.
             InEffect::Good(version) => {
                 let known =
                     self.stored.last_good.as_ref().is_some_and(|good| good.version.digest == version.digest)
-                        || self.good.contains(&version.digest);
-                known && self.effect == Some(version.digest)
+                        || self.reported_good.contains(&version.digest);
+                known && self.digest_in_effect == Some(version.digest)
             }
             InEffect::OnTrial(version) => {
-                self.effect == Some(version.digest)
+                self.digest_in_effect == Some(version.digest)
                     && self.stored.on_trial.as_ref().is_some_and(|on_trial| on_trial.version == version)
                     || self.stored.last_good.as_ref().is_some_and(|good| good.version == version)
             }
         };
-        if !serves {
-            self.broken =
-                Some(format!("serves {:?} with {:?} in effect", self.node.in_effect(), self.effect));
+        if !is_allowed {
+            self.violation = Some(format!(
+                "the node reports {:?} in effect, but {:?} was applied",
+                self.node.in_effect(),
+                self.digest_in_effect
+            ));
         }
-        if !self.good.is_empty() && self.stored.last_good.is_none() {
-            self.broken = Some("what was said to be good is not stored".into());
+        if !self.reported_good.is_empty() && self.stored.last_good.is_none() {
+            self.violation = Some("a version was reported as good, but no good version is stored".into());
         }
     }
 }
 
-struct Bounds(Left);
+struct BoundedModel(RemainingEvents);
 
-impl Model for Bounds {
-    type State = World;
+impl Model for BoundedModel {
+    type State = System;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<System> {
         let now = at(1_000_000.0);
-        let (node, first) = start(now, StoredState::default(), Some(document(0)));
+        let (node, actions) = start(now, StoredState::default(), Some(document(0)));
         let counter = Counter { lineage: LINEAGE.into(), last: None };
         let publisher = Publisher::new(counter.clone(), Admission::new(1000.0, 1000.0));
-        let mut world = World {
+        let mut system = System {
             node,
             publisher,
             stored: StoredState::default(),
             counter,
-            writing: None,
+            write_in_flight: None,
             connection: 0,
-            up: false,
+            connected: false,
             to_node: Vec::new(),
             to_publisher: Vec::new(),
-            left: self.0,
+            remaining: self.0,
             now,
-            effect: None,
+            digest_in_effect: None,
             acknowledged: Vec::new(),
-            good: Vec::new(),
-            failed: Vec::new(),
-            broken: None,
+            reported_good: Vec::new(),
+            reported_failed: Vec::new(),
+            violation: None,
             key: String::new(),
         };
-        world.perform(first);
-        world.tell(sampled(100.0, 1.0));
-        world.publisher(publisher::Event::DocumentChanged(document(1)));
-        world.connect();
-        vec![world.keyed()]
+        system.perform(actions);
+        system.handle_at_node(sampled(100.0, 1.0));
+        system.handle_at_publisher(publisher::Event::DocumentChanged(document(1)));
+        system.connect();
+        vec![system.with_key()]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        let left = &world.left;
-        if left.publishes > 0 {
+    fn actions(&self, system: &System, steps: &mut Vec<Step>) {
+        let remaining = &system.remaining;
+        if remaining.publishes > 0 {
             steps.push(Step::Publish);
         }
-        if world.up {
-            steps.extend((0..world.to_node.len()).map(Step::ToNode));
-            steps.extend((0..world.to_publisher.len()).map(Step::ToPublisher));
-            if left.losses > 0 {
-                steps.extend((0..world.to_node.len()).map(Step::LoseToNode));
-                steps.extend((0..world.to_publisher.len()).map(Step::LoseToPublisher));
+        if system.connected {
+            steps.extend((0..system.to_node.len()).map(Step::DeliverToNode));
+            steps.extend((0..system.to_publisher.len()).map(Step::DeliverToPublisher));
+            if remaining.message_losses > 0 {
+                steps.extend((0..system.to_node.len()).map(Step::LoseMessageToNode));
+                steps.extend((0..system.to_publisher.len()).map(Step::LoseMessageToPublisher));
             }
-            if left.breaks > 0 {
-                steps.push(Step::Break);
+            if remaining.disconnections > 0 {
+                steps.push(Step::Disconnect);
             }
         } else {
             steps.push(Step::Connect);
         }
-        if world.writing.is_some() {
-            steps.push(Step::Written);
-            if left.disk_faults > 0 {
+        if system.write_in_flight.is_some() {
+            steps.push(Step::WriteSucceeds);
+            if remaining.write_failures > 0 {
                 steps.push(Step::WriteFails);
             }
         }
-        if left.deaths > 0 {
-            steps.push(Step::NodeCrashes { written: false });
-            if world.writing.is_some() {
-                steps.push(Step::NodeCrashes { written: true });
+        if remaining.node_crashes > 0 {
+            steps.push(Step::NodeCrashes { write_completes: false });
+            if system.write_in_flight.is_some() {
+                steps.push(Step::NodeCrashes { write_completes: true });
             }
         }
-        if left.restarts > 0 {
-            steps.extend([false, true].map(|forgets| Step::PublisherRestarts { forgets }));
+        if remaining.publisher_restarts > 0 {
+            steps.extend([false, true].map(|loses_counter| Step::PublisherRestarts { loses_counter }));
         }
-        if left.trials > 0 && matches!(world.node.in_effect(), InEffect::OnTrial(_)) {
-            steps.extend([false, true].map(|well| Step::TrialEnds { well }));
+        if remaining.trial_ends > 0 && matches!(system.node.in_effect(), InEffect::OnTrial(_)) {
+            steps.extend([false, true].map(|passes| Step::TrialEnds { passes }));
         }
     }
 
-    fn next_state(&self, last: &World, step: Step) -> Option<World> {
-        let mut world = last.clone();
+    fn next_state(&self, previous: &System, step: Step) -> Option<System> {
+        let mut system = previous.clone();
         match step {
             Step::Publish => {
-                world.left.publishes -= 1;
-                let says = 1 + self.0.publishes - world.left.publishes;
-                world.publisher(publisher::Event::DocumentChanged(document(says)));
+                system.remaining.publishes -= 1;
+                let document_number = 1 + self.0.publishes - system.remaining.publishes;
+                system.handle_at_publisher(publisher::Event::DocumentChanged(document(document_number)));
             }
-            Step::ToNode(place) => {
-                let message = world.to_node.remove(place);
-                world.tell(Event::Received(message));
+            Step::DeliverToNode(index) => {
+                let message = system.to_node.remove(index);
+                system.handle_at_node(Event::Received(message));
             }
-            Step::ToPublisher(place) => {
-                let message = world.to_publisher.remove(place);
-                let connection = world.connection;
-                world.publisher(publisher::Event::Received { connection, message });
+            Step::DeliverToPublisher(index) => {
+                let message = system.to_publisher.remove(index);
+                let connection = system.connection;
+                system.handle_at_publisher(publisher::Event::Received { connection, message });
             }
-            Step::LoseToNode(place) => {
-                world.left.losses -= 1;
-                world.to_node.remove(place);
+            Step::LoseMessageToNode(index) => {
+                system.remaining.message_losses -= 1;
+                system.to_node.remove(index);
             }
-            Step::LoseToPublisher(place) => {
-                world.left.losses -= 1;
-                world.to_publisher.remove(place);
+            Step::LoseMessageToPublisher(index) => {
+                system.remaining.message_losses -= 1;
+                system.to_publisher.remove(index);
             }
-            Step::Break => {
-                world.left.breaks -= 1;
-                world.disconnect();
-                world.tell(Event::Disconnected);
+            Step::Disconnect => {
+                system.remaining.disconnections -= 1;
+                system.disconnect();
+                system.handle_at_node(Event::Disconnected);
             }
-            Step::Connect => world.connect(),
-            Step::Written => {
-                let (ticket, state) = world.writing.take()?;
-                world.stored = state;
-                world.tell(Event::Stored { ticket, result: Ok(()) });
+            Step::Connect => system.connect(),
+            Step::WriteSucceeds => {
+                let (ticket, state) = system.write_in_flight.take()?;
+                system.stored = state;
+                system.handle_at_node(Event::Stored { ticket, result: Ok(()) });
             }
             Step::WriteFails => {
-                world.left.disk_faults -= 1;
-                let (ticket, _) = world.writing.take()?;
-                world.tell(Event::Stored { ticket, result: Err("full".into()) });
-                // And the delay until it is retried.
-                world.now = world.now + Span::from_ms(60_000.0);
-                world.tell(Event::TimerFired);
+                system.remaining.write_failures -= 1;
+                let (ticket, _) = system.write_in_flight.take()?;
+                system.handle_at_node(Event::Stored { ticket, result: Err("full".into()) });
+                // The longest delay before the write is retried.
+                system.now = system.now + Span::from_ms(60_000.0);
+                system.handle_at_node(Event::TimerFired);
             }
-            Step::NodeCrashes { written } => {
-                world.left.deaths -= 1;
-                if let Some((_, state)) = world.writing.take().filter(|_| written) {
-                    world.stored = state;
+            Step::NodeCrashes { write_completes } => {
+                system.remaining.node_crashes -= 1;
+                if let Some((_, state)) = system.write_in_flight.take().filter(|_| write_completes) {
+                    system.stored = state;
                 }
-                world.disconnect();
-                world.restart_node();
+                system.disconnect();
+                system.restart_node();
             }
-            Step::PublisherRestarts { forgets } => {
-                world.left.restarts -= 1;
-                world.disconnect();
-                if forgets {
-                    world.counter.last = None;
+            Step::PublisherRestarts { loses_counter } => {
+                system.remaining.publisher_restarts -= 1;
+                system.disconnect();
+                if loses_counter {
+                    system.counter.last = None;
                 }
-                world.publisher = Publisher::new(world.counter.clone(), Admission::new(1000.0, 1000.0));
-                let says = 1 + self.0.publishes - world.left.publishes;
-                world.publisher(publisher::Event::DocumentChanged(document(says)));
-                world.tell(Event::Disconnected);
+                system.publisher = Publisher::new(system.counter.clone(), Admission::new(1000.0, 1000.0));
+                let document_number = 1 + self.0.publishes - system.remaining.publishes;
+                system.handle_at_publisher(publisher::Event::DocumentChanged(document(document_number)));
+                system.handle_at_node(Event::Disconnected);
             }
-            Step::TrialEnds { well } => {
-                world.left.trials -= 1;
-                if well {
-                    world.now = world.now + Span::from_ms(1001.0);
-                    world.tell(sampled(0.0, 1.0));
+            Step::TrialEnds { passes } => {
+                system.remaining.trial_ends -= 1;
+                if passes {
+                    system.now = system.now + Span::from_ms(1001.0);
+                    system.handle_at_node(sampled(0.0, 1.0));
                 } else {
-                    world.tell(sampled(100.0, 0.0));
+                    system.handle_at_node(sampled(100.0, 0.0));
                 }
-                world.tell(sampled(100.0, 1.0));
+                system.handle_at_node(sampled(100.0, 1.0));
             }
         }
-        world.check();
-        Some(world.keyed())
+        system.check();
+        Some(system.with_key())
     }
 
-    fn properties(&self) -> Vec<Property<Bounds>> {
+    fn properties(&self) -> Vec<Property<BoundedModel>> {
         vec![
-            Property::always("serves what is good, acknowledged or its file", |_, world: &World| {
-                world.broken.is_none()
-            }),
-            Property::sometimes("the last one published becomes good", |model: &Bounds, world: &World| {
-                let last = document(1 + model.0.publishes).digest();
-                world.good.contains(&last)
-            }),
-            Property::sometimes("a version fails", |_, world: &World| !world.failed.is_empty()),
+            Property::always(
+                "the document in effect is the local one, good or stored as on trial",
+                |_, system: &System| system.violation.is_none(),
+            ),
+            Property::sometimes(
+                "the version published last becomes good",
+                |model: &BoundedModel, system: &System| {
+                    let last = document(1 + model.0.publishes).digest();
+                    system.reported_good.contains(&last)
+                },
+            ),
+            Property::sometimes("a version fails", |_, system: &System| !system.reported_failed.is_empty()),
         ]
     }
 }
 
-fn explore(left: Left) -> usize {
-    let checker = Bounds(left).checker().threads(4).spawn_bfs().join();
+fn explore(remaining: RemainingEvents) -> usize {
+    let checker = BoundedModel(remaining).checker().threads(4).spawn_bfs().join();
     checker.assert_properties();
     checker.unique_state_count()
 }
 
 #[test]
 fn in_no_state_a_node_serves_by_a_version_that_is_neither_good_nor_acknowledged() {
-    let calm = Left { publishes: 1, breaks: 0, losses: 0, deaths: 0, restarts: 0, disk_faults: 0, trials: 2 };
+    let without_faults = RemainingEvents {
+        publishes: 1,
+        disconnections: 0,
+        message_losses: 0,
+        node_crashes: 0,
+        publisher_restarts: 0,
+        write_failures: 0,
+        trial_ends: 2,
+    };
     let faults = [
-        Left { deaths: 2, ..calm },
-        Left { deaths: 1, breaks: 1, ..calm },
-        Left { restarts: 2, ..calm },
-        Left { losses: 1, breaks: 1, restarts: 1, ..calm },
-        Left { disk_faults: 2, deaths: 1, ..calm },
+        RemainingEvents { node_crashes: 2, ..without_faults },
+        RemainingEvents { node_crashes: 1, disconnections: 1, ..without_faults },
+        RemainingEvents { publisher_restarts: 2, ..without_faults },
+        RemainingEvents { message_losses: 1, disconnections: 1, publisher_restarts: 1, ..without_faults },
+        RemainingEvents { write_failures: 2, node_crashes: 1, ..without_faults },
     ];
-    for left in faults {
-        let states = explore(left);
-        println!("{left:?}: {states} states");
-        assert!(states > 100, "{states} states are too few to have been through it");
+    for remaining in faults {
+        let states = explore(remaining);
+        println!("{remaining:?}: {states} states");
+        assert!(states > 100, "only {states} states were explored");
     }
 }
