--- a/crates/hazelgrade-stream/src/client/connection.rs
+++ b/crates/hazelgrade-stream/src/client/connection.rs
@@ -1,6 +1,6 @@
-//! A connection to a control service.
+//! Opens and reads a subscriber's connection to a control service.
 
-use super::notification::{ConnectionCount, ConnectionEvent, Notification};
+use super::notification::{ConnectionEvent, ConnectionNumber, Notification};
 use crate::line_reader::read_bounded_line;
 use crate::protocol::{MAX_LINE_BYTES, MAX_SUBSCRIBER_LINE_BYTES, PublisherMessage};
 use async_channel::{SendError, Sender};
@@ -15,30 +15,32 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A message must be complete within this time from its first byte: the longest takes a second on a slow line.
+/// The time limit for a message, from its first byte to its end. The longest message takes about one second on a slow
+/// network link.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Bytes that may wait to be written. A node sends little; a control service that reads none of it is silent as well.
+/// The most bytes that may be queued for writing. A small limit suffices: a node sends little, and a control service
+/// that reads nothing sends nothing either.
 const WRITE_QUEUE_BYTES: usize = 8 * MAX_SUBSCRIBER_LINE_BYTES;
 
-/// Reports the events of one connection.
+/// Sends the events of one connection to the client.
 struct Notifier {
-    connection: ConnectionCount,
+    connection: ConnectionNumber,
     notifications: Sender<Notification>,
 }
 
 impl Notifier {
-    /// Fails only once the client is dropped.
+    /// Sends an event to the client; fails only if the client was dropped.
     async fn notify(&self, event: ConnectionEvent) -> Result<(), SendError<Notification>> {
         self.notifications.send(Notification::Connection { connection: self.connection, event }).await
     }
 }
 
-/// Connects after a delay and reads until the connection ends.
+/// Connects to a control service after a delay and reads messages until the connection ends.
 pub(super) async fn open(
     address: SocketAddr,
     delay: Duration,
-    connection: ConnectionCount,
+    connection: ConnectionNumber,
     notifications: Sender<Notification>,
     executor: Rc<LocalExecutor<'static>>,
 ) {
@@ -56,10 +58,11 @@
         }
         Err(_) => ConnectionEnd::Unreachable,
     };
-    tracing::debug!(%address, ?end, "the connection to the control service ended");
+    tracing::debug!(%address, ?end, "connection to the control service ended");
     let _ = notifier.notify(ConnectionEvent::Closed).await;
 }
 
+/// Reads messages and passes them to the client; returns how the connection ended.
 async fn read(stream: &Async<TcpStream>, notifier: &Notifier) -> ConnectionEnd {
     let mut reader = BufReader::new(stream);
     let mut line = Vec::new();
@@ -67,7 +70,7 @@
         match read_bounded_line(&mut reader, &mut line, MAX_LINE_BYTES, MESSAGE_TIMEOUT).await {
             Ok(()) => {}
             Err(ConnectionEnd::TooLong) => {
-                let reason = "a message longer than any document".into();
+                let reason = "the message is longer than the longest possible document".into();
                 let _ = notifier.notify(ConnectionEvent::Undecodable(reason)).await;
                 return ConnectionEnd::TooLong;
             }
--- a/crates/hazelgrade-stream/src/client/mod.rs
+++ b/crates/hazelgrade-stream/src/client/mod.rs
@@ -1,4 +1,5 @@
-//! A node's side on a socket: performs the actions of a [`Subscriber`] and passes events to it.
+//! The node's side of a configuration stream on a socket: performs the actions of a [`Subscriber`] and passes events to
+//! the subscriber.
 
 mod connection;
 mod host;
@@ -18,44 +19,44 @@
 use hazelgrade_config::Document;
 use hazelgrade_net::notify::Notify;
 use hazelgrade_net::write_queue::WriteQueue;
-use notification::{ConnectionCount, ConnectionEvent, Notification};
+use notification::{ConnectionEvent, ConnectionNumber, Notification};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Notifications that may be queued; the reader of the connection waits for room.
+/// The most notifications that may be queued. While the queue is full, the reader of the connection waits.
 const MAX_QUEUED_NOTIFICATIONS: usize = 16;
 
 /// Keeps a subscriber connected to one of its control services.
 pub struct SubscriberClient<H> {
-    /// The node.
+    /// The node that the subscriber configures.
     pub host: Rc<H>,
-    /// The addresses of the control services, in the order of their numbers.
+    /// The addresses of the control services; the subscriber names a control service by its index in this list.
     pub control_services: Vec<SocketAddr>,
-    /// Runs the tasks of connections and writes.
+    /// Runs the tasks that connect, read, write and store.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// Notified when the node drains.
+    /// Notified when the node begins to drain.
     pub drain_started: Rc<Notify>,
 }
 
-/// The connection that is open or being opened.
+/// A connection that is open or being opened.
 struct Connection {
-    count: ConnectionCount,
-    /// `None` until it is open.
+    number: ConnectionNumber,
+    /// `None` until the connection is open.
     write_queue: Option<Rc<WriteQueue>>,
-    /// Connects and reads; dropping it closes the connection.
+    /// The task that connects and reads. Dropping the task closes the connection.
     _task: Task<()>,
 }
 
-/// A subscriber that is being served, and its actions that are still to be performed.
-struct Run<'a, H> {
+/// The state of a running client: the subscriber, its queued actions, and its connection.
+struct Session<'a, H> {
     client: &'a SubscriberClient<H>,
     subscriber: Subscriber,
     actions: VecDeque<Action>,
     connection: Option<Connection>,
-    connection_count: ConnectionCount,
-    notifier: Sender<Notification>,
+    last_connection_number: ConnectionNumber,
+    notification_sender: Sender<Notification>,
 }
 
 fn to_duration(span: Span) -> Duration {
@@ -63,44 +64,45 @@
 }
 
 impl<H: Host + 'static> SubscriberClient<H> {
-    /// Serves a subscriber until the future is dropped. `first_actions` are those of the subscriber's start.
-    pub async fn run(&self, subscriber: Subscriber, first_actions: Vec<Action>) {
-        let (notifier, notifications) = bounded(MAX_QUEUED_NOTIFICATIONS);
+    /// Connects a subscriber and performs its actions until the future is dropped. `initial_actions` are the actions of
+    /// the subscriber's start.
+    pub async fn run(&self, subscriber: Subscriber, initial_actions: Vec<Action>) {
+        let (notification_sender, notifications) = bounded(MAX_QUEUED_NOTIFICATIONS);
         let mut next_sample = self.host.now() + subscriber.sample_interval();
-        let mut run = Run {
+        let mut session = Session {
             client: self,
             subscriber,
-            actions: first_actions.into(),
+            actions: initial_actions.into(),
             connection: None,
-            connection_count: 0,
-            notifier,
+            last_connection_number: 0,
+            notification_sender,
         };
         loop {
-            run.perform_actions();
+            session.perform_actions();
             let now = self.host.now();
             if next_sample <= now {
-                next_sample = now + run.subscriber.sample_interval();
-                run.handle(Event::Sampled(self.host.sample()));
+                next_sample = now + session.subscriber.sample_interval();
+                session.handle(Event::Sampled(self.host.sample()));
                 continue;
             }
-            if run.send_host_message() {
+            if session.send_host_message() {
                 continue;
             }
-            let Some(notification) = run.wait(&notifications, now, next_sample).await else { return };
-            run.on_notification(notification);
+            let Some(notification) = session.wait(&notifications, now, next_sample).await else { return };
+            session.on_notification(notification);
         }
     }
 }
 
-impl<H: Host + 'static> Run<'_, H> {
-    /// Passes an event to the subscriber; the resulting actions are queued.
+impl<H: Host + 'static> Session<'_, H> {
+    /// Passes an event to the subscriber and queues the resulting actions.
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.subscriber.handle(self.client.host.now(), event, &mut actions);
         self.actions.extend(actions);
     }
 
-    /// Performs all actions, and those that follow from them.
+    /// Performs all queued actions, including those that result from events of the performed actions.
     fn perform_actions(&mut self) {
         while let Some(action) = self.actions.pop_front() {
             if let Some(event) = self.perform(action) {
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Performs an action; returns the event that follows from it at once, if any.
+    /// Performs an action; returns the event that results from the action at once, if any.
     fn perform(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Connect { control_service, at } => {
@@ -137,13 +139,14 @@
     }
 
     fn connect(&mut self, control_service: usize, at: Time) {
-        self.connection_count += 1;
+        self.last_connection_number += 1;
         let Some(address) = self.client.control_services.get(control_service).copied() else { return };
         let delay = to_duration(at.since(self.client.host.now()));
         let executor = &self.client.executor;
-        let count = self.connection_count;
-        let task = executor.spawn(open(address, delay, count, self.notifier.clone(), executor.clone()));
-        self.connection = Some(Connection { count, write_queue: None, _task: task });
+        let number = self.last_connection_number;
+        let task =
+            executor.spawn(open(address, delay, number, self.notification_sender.clone(), executor.clone()));
+        self.connection = Some(Connection { number, write_queue: None, _task: task });
     }
 
     fn write_queue(&self) -> Option<&Rc<WriteQueue>> {
@@ -156,8 +159,8 @@
         }
     }
 
-    /// Sends the next message that the node itself has to send, if the connection is open. Returns whether there was
-    /// one.
+    /// Sends the next message of the node itself, if the connection is open and a message is due. Returns whether a
+    /// message was sent.
     fn send_host_message(&self) -> bool {
         let Some(write_queue) = self.write_queue() else { return false };
         let Some(message) = self.client.host.next_message() else { return false };
@@ -167,11 +170,11 @@
 
     fn store(&self, ticket: u64, state: &StoredState) {
         let write = self.client.host.store(state.encode());
-        let notifier = self.notifier.clone();
+        let notification_sender = self.notification_sender.clone();
         let task = async move {
             let result = write.await;
-            // Closed only once the client is dropped.
-            let _ = notifier.send(Notification::Event(Event::Stored { ticket, result })).await;
+            // The channel is closed only if the client was dropped; the result is then not needed.
+            let _ = notification_sender.send(Notification::Event(Event::Stored { ticket, result })).await;
         };
         self.client.executor.spawn(task).detach();
     }
@@ -179,12 +182,12 @@
     fn apply(&self, document: Option<&Document>, is_rollback: bool) -> Event {
         let result = self.client.host.apply(document, is_rollback);
         if let Err(reason) = &result {
-            tracing::error!(reason, "a configuration can't be applied on this node");
+            tracing::error!(reason, "configuration document can't be applied on this node");
         }
         Event::Applied(result)
     }
 
-    /// Waits for the next notification or timer; `None` once all notifiers are dropped.
+    /// Waits for the next notification or timer. Returns `None` once all senders of notifications are dropped.
     async fn wait(
         &self,
         notifications: &Receiver<Notification>,
@@ -214,8 +217,8 @@
     fn on_notification(&mut self, notification: Notification) {
         match notification {
             Notification::Connection { connection, event } => {
-                // Events of a connection that was replaced or closed are ignored.
-                if self.connection.as_ref().is_some_and(|current| current.count == connection) {
+                // A task may still report events of a connection that was replaced or closed; these are ignored.
+                if self.connection.as_ref().is_some_and(|current| current.number == connection) {
                     self.on_connection_event(event);
                 }
             }
--- a/crates/hazelgrade-stream/src/client/notification.rs
+++ b/crates/hazelgrade-stream/src/client/notification.rs
@@ -1,36 +1,36 @@
-//! Notifications from a client's tasks to the client.
+//! The notifications that the tasks of a client send to the client.
 
 use crate::protocol::PublisherMessage;
 use crate::subscriber::Event;
 use hazelgrade_net::write_queue::WriteQueue;
 use std::rc::Rc;
 
-/// The count of a connection, from 1.
-pub(super) type ConnectionCount = u64;
+/// The sequence number of a connection of the client, from 1.
+pub(super) type ConnectionNumber = u64;
 
 /// A notification from one of the client's tasks.
 pub(super) enum Notification {
-    /// Something happened on a connection.
+    /// An event of a connection.
     Connection {
-        /// The count of the connection; it may have been replaced since.
-        connection: ConnectionCount,
-        /// What happened.
+        /// The number of the connection, which may have been replaced since.
+        connection: ConnectionNumber,
+        /// The event.
         event: ConnectionEvent,
     },
     /// The node may have a message to send.
     HostMessage,
-    /// An event that belongs to no connection.
+    /// An event for the subscriber that belongs to no connection.
     Event(Event),
 }
 
-/// What happened on a connection.
+/// An event of a connection.
 pub(super) enum ConnectionEvent {
-    /// It is open; bytes pushed to the queue are written to it.
+    /// The connection was opened; bytes pushed to the queue are written to the connection.
     Opened(Rc<WriteQueue>),
-    /// A message came.
+    /// A message was received.
     Received(PublisherMessage),
-    /// A line came that could not be decoded, for this reason.
+    /// A line was received that could not be decoded, for this reason.
     Undecodable(String),
-    /// It ended, or could not be opened.
+    /// The connection ended, or could not be opened.
     Closed,
 }
--- a/crates/hazelgrade-stream/src/line_reader.rs
+++ b/crates/hazelgrade-stream/src/line_reader.rs
@@ -1,4 +1,4 @@
-//! Lines from a connection, bounded in length and time.
+//! Reads lines from a connection with limits on their length and on the time that they take to arrive.
 
 use async_io::{Async, Timer};
 use futures_lite::future::or;
@@ -8,12 +8,12 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Reads the next line into `line`. It may be at most `max_bytes` long and must be complete within `timeout` from its
-/// first byte; waiting for the first byte has no limit.
+/// Reads the next line into `line`. The line may be at most `max_bytes` long and must be complete within `timeout` of
+/// its first byte. The wait for the first byte has no time limit, since an idle connection is not an error.
 ///
 /// # Errors
 ///
-/// How the connection ended, or that the line is too long or too slow.
+/// Returns how the connection ended, or that the line is too long or was not complete in time.
 pub(crate) async fn read_bounded_line(
     reader: &mut BufReader<&Async<TcpStream>>,
     line: &mut Vec<u8>,
