--- a/crates/hazelgrade-stream/src/control_service/connections.rs
+++ b/crates/hazelgrade-stream/src/control_service/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of a control service.
+//! Accepts, reads, writes and closes the connections of a control service.
 
 use super::ControlService;
 use super::open_connection::OpenConnection;
@@ -15,51 +15,54 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A message must be complete within this time from its first byte; messages from subscribers are short.
+/// The time limit for a message from a subscriber, from its first byte to its end. Messages from subscribers are short.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The most connections at once. A further one is closed at once, and the subscriber comes back after a random delay.
+/// The most connections that may be open at the same time. A further connection is closed immediately, and the
+/// subscriber reconnects after a random delay.
 const MAX_CONNECTIONS: usize = 8192;
-/// Bytes that may wait to be written on a connection: two offers of the longest kind.
+/// The most bytes that may be queued for writing on a connection: two offers of the greatest length.
 const WRITE_QUEUE_BYTES: usize = 2 * MAX_LINE_BYTES;
-/// Data queued on a connection that is being closed must be written within this time.
+/// The time limit for writing the data that is queued on a connection that is being closed.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
-/// The pause after a connection could not be accepted.
+/// The delay before the next attempt after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 impl ControlService {
+    /// Accepts connections until the future is dropped.
     pub(super) async fn accept_connections(self: &Rc<Self>, listener: &Async<TcpListener>) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) if self.connections.borrow().len() < MAX_CONNECTIONS => self.open(stream),
                 Ok(_) => {}
                 Err(error) => {
-                    tracing::debug!(%error, "a connection could not be accepted");
+                    tracing::debug!(%error, "connection could not be accepted; trying again after a short delay");
                     Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Starts the tasks of a connection.
+    /// Starts the reader and writer tasks of a connection and reports the connection to the publisher.
     fn open(self: &Rc<Self>, stream: Async<TcpStream>) {
         if stream.get_ref().set_nodelay(true).is_err() {
             return;
         }
-        let connection = self.last_connection.get() + 1;
-        self.last_connection.set(connection);
+        let connection = self.last_connection_id.get() + 1;
+        self.last_connection_id.set(connection);
         let stream = Rc::new(stream);
         let write_queue = Rc::new(WriteQueue::new(WRITE_QUEUE_BYTES));
         let writer = write_queue.clone().spawn_writer(&self.executor, stream.clone());
         let service = self.clone();
         let reader = self.executor.spawn(async move {
             let end = service.read(connection, &stream).await;
-            tracing::debug!(connection, ?end, "a subscriber's connection ended");
+            tracing::debug!(connection, ?end, "connection of a subscriber ended");
             service.on_connection_ended(connection);
         });
         self.connections.borrow_mut().insert(connection, OpenConnection { write_queue, reader, writer });
         self.notify_publisher(Kind::Serving, Event::Connected { connection });
     }
 
+    /// Reads and handles messages; returns how the connection ended.
     async fn read(&self, connection: ConnectionId, stream: &Async<TcpStream>) -> ConnectionEnd {
         let mut reader = BufReader::new(stream);
         let mut line = Vec::new();
@@ -71,24 +74,26 @@
             match SubscriberMessage::decode(&line) {
                 Ok(message) => self.on_message(connection, message),
                 Err(error) => {
-                    tracing::warn!(%error, "a subscriber sent a malformed message");
+                    tracing::warn!(%error, "subscriber sent a malformed message; closing its connection");
                     return ConnectionEnd::Malformed;
                 }
             }
         }
     }
 
-    /// Called as the last step of the connection's reader.
+    /// Reports the end of a connection and removes the connection. The connection's reader task calls this function as
+    /// its last step.
     fn on_connection_ended(&self, connection: ConnectionId) {
         self.notify_publisher(self.followed_kind(connection), Event::Disconnected { connection });
         self.notify_lessor_of_end(connection);
         self.followed_kinds.borrow_mut().remove(&connection);
-        // The reader task runs this function: dropping it with the entry would cancel it here.
+        // The reader task is running this function: dropping the task with the removed entry would cancel the task.
         if let Some(open) = self.connections.borrow_mut().remove(&connection) {
             open.reader.detach();
         }
     }
 
+    /// Reports the end of a connection to the lessor, if there is one.
     fn notify_lessor_of_end(&self, connection: ConnectionId) {
         if let Some(lessor) = &self.lessor {
             lessor.on_disconnected(connection, &mut |to, message| self.send(to, message));
@@ -105,7 +110,7 @@
         }
     }
 
-    /// Closes a connection once the data queued on it is written.
+    /// Closes a connection once its queued data is written or [`FLUSH_TIMEOUT`] has passed.
     pub(super) fn close(&self, connection: ConnectionId) {
         let Some(open) = self.connections.borrow_mut().remove(&connection) else { return };
         let OpenConnection { write_queue, reader, writer } = open;
@@ -121,7 +126,7 @@
             let event = Event::Disconnected { connection };
             publisher.borrow_mut().handle(self.now(), event, &mut Vec::new());
         }
-        // Its reader is dropped, and notifies nobody.
+        // The reader task is dropped before its last step, so the lessor is notified here.
         self.notify_lessor_of_end(connection);
         self.followed_kinds.borrow_mut().remove(&connection);
     }
--- a/crates/hazelgrade-stream/src/control_service/counter_file.rs
+++ b/crates/hazelgrade-stream/src/control_service/counter_file.rs
@@ -1,4 +1,4 @@
-//! The stored counter of a publisher: a file in the folder of the documents.
+//! Reads and writes the stored counter of a publisher, which is a file in the folder of the documents.
 
 use super::file_names::counter_file;
 use crate::publisher::Counter;
@@ -7,7 +7,7 @@
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
 
-/// Why a stored counter can't be read.
+/// The reason why a stored counter can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum CounterFileError {
     /// The file can't be read.
@@ -23,10 +23,10 @@
     NotJson {
         /// The file.
         path: PathBuf,
-        /// What is wrong, and where.
+        /// The syntax error and its position.
         source: serde_json::Error,
     },
-    /// A field is missing or has an unexpected value.
+    /// A field is missing or has a value that a publisher doesn't write.
     #[error("{}: field {field}: expected it as this program writes it", path.display())]
     Field {
         /// The file.
@@ -36,11 +36,11 @@
     },
 }
 
-/// The counter of a kind of document as it is stored in the folder; `None` if there is no file yet.
+/// Reads the stored counter of a kind of document from the folder. Returns `None` if no counter has been stored yet.
 ///
 /// # Errors
 ///
-/// What is wrong with the file.
+/// Returns what is wrong with the file.
 pub fn read_counter(documents: &Path, kind: Kind) -> Result<Option<Counter>, CounterFileError> {
     let path = documents.join(counter_file(kind));
     let bytes = match std::fs::read(&path) {
@@ -58,7 +58,7 @@
     }
 }
 
-/// The counter, or the name of the field that is wrong.
+/// Parses a stored counter; fails with the name of the field that is missing or malformed.
 fn parse_counter(stored: &Value) -> Result<Counter, &'static str> {
     let lineage = stored["lineage"].as_str().ok_or("lineage")?.to_owned();
     let last = match &stored["last"] {
@@ -72,7 +72,7 @@
     Ok(Counter { lineage, last })
 }
 
-/// Replaces the stored counter atomically; returns once it is on the disk.
+/// Replaces the stored counter atomically; returns once the new counter is on the disk.
 pub(super) fn write_counter(documents: &Path, kind: Kind, counter: &Counter) -> io::Result<()> {
     let last = counter.last.map(|last| json!({"number": last.number, "digest": last.digest.to_string()}));
     let stored = json!({"lineage": counter.lineage, "last": last});
--- a/crates/hazelgrade-stream/src/control_service/dispatch.rs
+++ b/crates/hazelgrade-stream/src/control_service/dispatch.rs
@@ -1,4 +1,4 @@
-//! Passes messages to publishers and the lessor, and performs the publishers' actions.
+//! Passes received messages to the publishers and the lessor, and performs the actions of the publishers.
 
 use super::ControlService;
 use super::counter_file::write_counter;
@@ -10,15 +10,17 @@
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 
-/// The JSON-RPC error code of an operator's command that can't be carried out.
+/// The JSON-RPC error code of the answer to an operator's command that can't be carried out.
 const COMMAND_REJECTED_CODE: i64 = -32011;
 
 impl ControlService {
-    /// The kind of document that a connection follows; the serving document until it subscribes to another kind.
+    /// Returns the kind of document that a connection is subscribed to. A connection counts as subscribed to the
+    /// serving document until it subscribes to another kind.
     pub(super) fn followed_kind(&self, connection: ConnectionId) -> Kind {
         self.followed_kinds.borrow().get(&connection).copied().unwrap_or_default()
     }
 
+    /// Handles a message that was received on a connection.
     pub(super) fn on_message(&self, connection: ConnectionId, message: SubscriberMessage) {
         let mut send = |to, message: &PublisherMessage| self.send(to, message);
         match (message, &self.lessor) {
@@ -30,7 +32,7 @@
                     send(connection, &PublisherMessage::SiteReport(answer));
                 }
             }
-            // Without a lessor nothing is granted; nodes go on with the units that they may use without a lease.
+            // Without a lessor there are no grants; nodes continue with the units that they may use without a lease.
             (SubscriberMessage::LeaseRequest(_) | SubscriberMessage::SiteReport(_), None) => {}
             (SubscriberMessage::BudgetCommand { request_id, command }, _) => {
                 self.on_budget_command(connection, request_id, &command);
@@ -39,6 +41,7 @@
         }
     }
 
+    /// Carries out an operator's command on budgets and sends the result or the reason of the rejection.
     fn on_budget_command(&self, connection: ConnectionId, request_id: u64, command: &OperatorCommand) {
         let result = match &self.lessor {
             Some(lessor) => {
@@ -57,30 +60,33 @@
         }
     }
 
+    /// Sends the JSON-RPC answer to a request that succeeded.
     fn send_result(&self, connection: ConnectionId, request_id: u64, result: &Value) {
         let answer = json!({"jsonrpc": "2.0", "id": request_id, "result": result});
         self.send_line(connection, &format!("{answer}\n"));
     }
 
+    /// Passes a message on a document to the publisher of the document's kind.
     fn on_document_message(&self, connection: ConnectionId, message: SubscriberMessage) {
         if let SubscriberMessage::Subscribe { kind, .. } = &message {
-            self.follow(connection, *kind);
+            self.set_followed_kind(connection, *kind);
         }
         self.notify_publisher(self.followed_kind(connection), Event::Received { connection, message });
     }
 
-    /// Hands a connection over to the publisher of another kind.
-    fn follow(&self, connection: ConnectionId, kind: Kind) {
-        let before = self.followed_kind(connection);
-        if kind == before {
+    /// Assigns a connection to the publisher of the kind of document that the connection subscribes to.
+    fn set_followed_kind(&self, connection: ConnectionId, kind: Kind) {
+        let previous = self.followed_kind(connection);
+        if kind == previous {
             return;
         }
-        self.notify_publisher(before, Event::Disconnected { connection });
+        self.notify_publisher(previous, Event::Disconnected { connection });
         self.followed_kinds.borrow_mut().insert(connection, kind);
         self.notify_publisher(kind, Event::Connected { connection });
     }
 
-    /// Passes an event to a publisher, performs its actions, and passes on the events that follow from them.
+    /// Passes an event to a publisher, performs the publisher's actions, and passes the events that result from the
+    /// actions to the publisher as well.
     pub(super) fn notify_publisher(&self, kind: Kind, event: Event) {
         let Some(publisher) = self.publishers.get(&kind) else { return };
         let mut events = VecDeque::from([event]);
@@ -94,7 +100,7 @@
         }
     }
 
-    /// Passes the published budgets to the lessor.
+    /// Passes the published document of the budgets to the lessor.
     fn update_lessor(&self) {
         let Some(lessor) = &self.lessor else { return };
         let Some(publisher) = self.publishers.get(&Kind::Budgets) else { return };
@@ -105,13 +111,14 @@
         }
     }
 
-    /// Performs an action; returns the event that follows from it at once, if any.
+    /// Performs an action; returns the event that results from the action at once, if any.
     fn perform(&self, kind: Kind, action: Action) -> Option<Event> {
         match action {
             Action::Send { connection, message } => self.send(connection, &message),
             Action::Close { connection } => self.close(connection),
             Action::StoreCounter(counter) => {
-                // This blocks, but the file is small and written rarely, and publishing waits for the disk anyway.
+                // The write blocks the thread. The file is small and rarely written, and publishing has to wait for the
+                // disk in any case.
                 let result = write_counter(&self.config.documents, kind, &counter);
                 return Some(Event::CounterStored(result.map_err(|error| error.to_string())));
             }
--- a/crates/hazelgrade-stream/src/control_service/file_names.rs
+++ b/crates/hazelgrade-stream/src/control_service/file_names.rs
@@ -1,13 +1,13 @@
-//! The files in the folder of a control service.
+//! The names of the files in the folder of a control service.
 
 use hazelgrade_config::Kind;
 
-/// The file of the serving document.
+/// The name of the file with the serving document.
 pub const SERVING_DOCUMENT_FILE: &str = "serving.toml";
-/// The file of its counter.
+/// The name of the file with the stored counter of the serving document.
 pub const SERVING_COUNTER_FILE: &str = ".published.json";
 
-/// The file of the document of a kind.
+/// Returns the name of the file with the document of a kind.
 pub(super) fn document_file(kind: Kind) -> &'static str {
     match kind {
         Kind::Serving => SERVING_DOCUMENT_FILE,
@@ -16,7 +16,7 @@
     }
 }
 
-/// The file of the stored counter of a kind.
+/// Returns the name of the file with the stored counter of a kind.
 pub(super) fn counter_file(kind: Kind) -> &'static str {
     match kind {
         Kind::Serving => SERVING_COUNTER_FILE,
--- a/crates/hazelgrade-stream/src/control_service/folder.rs
+++ b/crates/hazelgrade-stream/src/control_service/folder.rs
@@ -1,4 +1,4 @@
-//! The folder with the documents that are published.
+//! Watches the folder with the documents to publish.
 
 use super::ControlService;
 use super::file_names::document_file;
@@ -10,15 +10,15 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime};
 
-/// How often the files' lengths and modification times are checked, which costs microseconds.
+/// The interval between two checks of the metadata of the documents' files. One check takes some microseconds.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// A file that has changed is read once more after this delay, as a second change within the resolution of the file
-/// system's clock may not show. The delay is longer than that resolution.
+/// The delay after which a changed file is read once more, because a second change within the resolution of the file
+/// system's clock may leave the fingerprint the same. The delay is longer than that resolution.
 const REREAD_DELAY: Duration = Duration::from_millis(50);
-/// The most errors of a document that are named in the log and the status.
+/// The most errors of a document that are listed in the log and in the status report.
 const MAX_ERRORS_NAMED: usize = 20;
 
-/// What changes when a file is replaced or written to.
+/// The metadata of a file by which a replaced or rewritten file is recognised.
 #[derive(Clone, Copy, PartialEq)]
 struct Fingerprint {
     modified: Option<SystemTime>,
@@ -27,6 +27,7 @@
 }
 
 impl Fingerprint {
+    /// Returns the fingerprint of a file; `None` if there is no such file or its metadata can't be read.
     fn of(path: &Path) -> Option<Fingerprint> {
         let metadata = std::fs::metadata(path).ok()?;
         let modified = metadata.modified().ok();
@@ -34,33 +35,35 @@
     }
 }
 
-/// What was last seen of a document's file.
+/// The state of watching one document's file.
 #[derive(Default)]
-struct Watched {
-    /// `None` before the first check; `Some(None)` while there is no file.
-    seen: Option<Option<Fingerprint>>,
+struct WatchedFile {
+    /// The result of the last check: `None` before the first check, `Some(None)` while there is no file.
+    last_fingerprint: Option<Option<Fingerprint>>,
+    /// When the file is to be read once more after a change.
     reread_at: Option<Instant>,
 }
 
-impl Watched {
-    /// Whether the file has changed since the last check and is to be read.
+impl WatchedFile {
+    /// Checks the file; returns whether the file has changed since the last check and is to be read.
     fn has_changed(&mut self, kind: Kind, path: &Path) -> bool {
         let fingerprint = Fingerprint::of(path);
-        let changed = self.seen.replace(fingerprint) != Some(fingerprint);
-        // Without a serving document there is nothing to publish, which is an error; the other kinds are optional.
+        let changed = self.last_fingerprint.replace(fingerprint) != Some(fingerprint);
+        // A missing serving document is read nevertheless, so that its absence is reported as an error. The documents
+        // of the other kinds are optional.
         changed && (fingerprint.is_some() || kind == Kind::Serving)
     }
 
-    /// Whether the file is to be read once more after a change.
+    /// Returns whether the file is to be read once more now after a change, and clears the time of the reading if so.
     fn is_reread_due(&mut self) -> bool {
         self.reread_at.take_if(|at| *at <= Instant::now()).is_some()
     }
 }
 
 impl ControlService {
-    /// Reads the documents when they change, and drives the publishers' timers.
+    /// Reads the documents whenever their files change, and triggers the timers of the publishers.
     pub(super) async fn watch_folder(&self) {
-        let mut watched: BTreeMap<Kind, Watched> = BTreeMap::new();
+        let mut watched: BTreeMap<Kind, WatchedFile> = BTreeMap::new();
         loop {
             for kind in Kind::ALL {
                 let path = self.config.documents.join(document_file(kind));
@@ -77,11 +80,13 @@
         }
     }
 
+    /// Reads a document and passes it to its publisher, or records and logs why the document can't be published.
     fn read_document(&self, kind: Kind, path: &Path) {
-        let shown = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"));
+        let displayed_path = path.display().to_string();
+        let text = std::fs::read_to_string(path).map_err(|error| format!("{displayed_path}: {error}"));
         let document = text.and_then(|text| {
-            Document::read_as(kind, &text, &shown).map_err(|errors| error_summary(&errors, MAX_ERRORS_NAMED))
+            Document::read_as(kind, &text, &displayed_path)
+                .map_err(|errors| error_summary(&errors, MAX_ERRORS_NAMED))
         });
         match document {
             Ok(document) => {
@@ -89,9 +94,9 @@
                 self.notify_publisher(kind, Event::DocumentChanged(document));
             }
             Err(error) => {
-                let before = self.document_errors.borrow_mut().insert(kind, error.clone());
-                if before.as_ref() != Some(&error) {
-                    tracing::error!("not published: {error}");
+                let previous = self.document_errors.borrow_mut().insert(kind, error.clone());
+                if previous.as_ref() != Some(&error) {
+                    tracing::error!("document is not published: {error}");
                 }
             }
         }
--- a/crates/hazelgrade-stream/src/control_service/mod.rs
+++ b/crates/hazelgrade-stream/src/control_service/mod.rs
@@ -1,5 +1,5 @@
-//! A small control service: watches a folder, publishes the documents in it, and reports which node runs which
-//! version.
+//! A control service that watches a folder, publishes the documents in the folder to subscribed nodes, and reports
+//! which version is in effect on which node.
 
 mod connections;
 mod counter_file;
@@ -33,37 +33,38 @@
 use std::rc::Rc;
 use std::time::{Instant, SystemTime};
 
-/// Connections that may wait to be accepted: room for a fleet that connects at once.
+/// The most connections that may wait to be accepted. The limit is high because a whole fleet may connect at the same
+/// time.
 const LISTEN_BACKLOG: i32 = 4096;
 
-/// How a control service is set up.
+/// The configuration of a control service.
 #[derive(Clone, Debug)]
 pub struct ControlServiceConfig {
-    /// The folder with the documents; the counters are stored in it too.
+    /// The folder with the documents, in which the counters are stored as well.
     pub documents: PathBuf,
     /// The address to listen on.
     pub listen: SocketAddr,
-    /// The lineage to publish under; by default the stored one, or a random one if none is stored.
+    /// The lineage to publish under. The default is the stored lineage, or a random one if none is stored.
     pub lineage: Option<String>,
-    /// The lessor of a site's budgets, if it runs one.
+    /// The configuration of the lessor of a site's budgets, if the control service runs one.
     pub lessor: Option<LessorConfig>,
-    /// How many subscribers are admitted.
+    /// The rate at which subscribers are admitted.
     pub admission: AdmissionRate,
 }
 
-/// How many subscribers a control service admits.
+/// The rate at which a control service admits subscribers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionRate {
-    /// Subscribers per second in the long run.
+    /// The long-term rate in subscribers per second.
     pub per_second: f64,
-    /// Subscribers at once after an idle time.
+    /// The number of subscribers that are admitted at the same time after an idle period.
     pub burst: f64,
 }
 
-/// Why a control service can't start.
+/// The reason why a control service can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlServiceError {
-    /// The address can't be listened on.
+    /// The control service can't listen on the address.
     #[error("--listen {address}: {source}")]
     Listen {
         /// The address.
@@ -92,22 +93,23 @@
     config: ControlServiceConfig,
     executor: Rc<LocalExecutor<'static>>,
     publishers: BTreeMap<Kind, RefCell<Publisher>>,
-    /// The kind that a connection follows, if it is not the serving document.
+    /// The kind of document that a connection is subscribed to. Connections without an entry count as subscribed to the
+    /// serving document.
     followed_kinds: RefCell<BTreeMap<ConnectionId, Kind>>,
     connections: RefCell<BTreeMap<ConnectionId, OpenConnection>>,
-    last_connection: Cell<ConnectionId>,
-    /// What is wrong with the document of a kind, if anything.
+    last_connection_id: Cell<ConnectionId>,
+    /// The errors of the documents that can't be published, by kind.
     document_errors: RefCell<BTreeMap<Kind, String>>,
     started_at: Instant,
     lessor: Option<Rc<LessorService>>,
 }
 
-/// Runs a control service until the future is dropped. If it runs a lessor, `metrics` is called with the reports of the
-/// budgets several times per second.
+/// Runs a control service until the future is dropped. If the control service runs a lessor, `metrics` is called with
+/// the reports on the budgets several times per second.
 ///
 /// # Errors
 ///
-/// Why it can't start.
+/// Returns why the control service can't start.
 pub async fn serve(
     executor: Rc<LocalExecutor<'static>>,
     config: ControlServiceConfig,
@@ -128,7 +130,7 @@
         publishers,
         followed_kinds: RefCell::default(),
         connections: RefCell::default(),
-        last_connection: Cell::new(0),
+        last_connection_id: Cell::new(0),
         document_errors: RefCell::default(),
         started_at: Instant::now(),
         lessor,
@@ -150,7 +152,7 @@
     format!("l{:016x}", RandomState::new().hash_one(SystemTime::now()))
 }
 
-/// A publisher for each kind of document, going on from its stored counter.
+/// Creates a publisher for each kind of document. Each publisher continues from its stored counter.
 fn start_publishers(
     config: &ControlServiceConfig,
 ) -> Result<BTreeMap<Kind, RefCell<Publisher>>, ControlServiceError> {
@@ -158,14 +160,14 @@
     let lineage = config.lineage.clone().or(stored_lineage).unwrap_or_else(random_lineage);
     let mut publishers = BTreeMap::new();
     for kind in Kind::ALL {
-        // Version numbers of another lineage don't apply to this one.
+        // A counter of another lineage is ignored: its version numbers have no meaning in this lineage.
         let stored = read_counter(&config.documents, kind)?.filter(|counter| counter.lineage == lineage);
         let last = stored.and_then(|counter| counter.last);
         let counter = Counter { lineage: lineage.clone(), last };
         write_counter(&config.documents, kind, &counter).map_err(|source| {
             ControlServiceError::StoreCounter { folder: config.documents.clone(), source }
         })?;
-        tracing::info!(listen = %config.listen, lineage, kind = kind.name(), ?last, "control service");
+        tracing::info!(listen = %config.listen, lineage, kind = kind.name(), ?last, "publisher started");
         let admission = Admission::new(config.admission.per_second, config.admission.burst);
         publishers.insert(kind, RefCell::new(Publisher::new(counter, admission)));
     }
@@ -173,11 +175,13 @@
 }
 
 impl ControlService {
+    /// Returns the time since the start of the control service.
     fn now(&self) -> Time {
         Time::from_ms(self.started_at.elapsed().as_secs_f64() * 1000.0)
     }
 
-    /// Starts the tasks of the lessor: its rounds, and a connection to the control service of each other site.
+    /// Starts the tasks of the lessor, if there is one: its rounds, and a connection to the control service of each
+    /// other site.
     fn spawn_lessor(self: &Rc<Self>) {
         let Some(lessor) = &self.lessor else { return };
         let rounds = lessor.clone();
--- a/crates/hazelgrade-stream/src/control_service/operator_client.rs
+++ b/crates/hazelgrade-stream/src/control_service/operator_client.rs
@@ -1,4 +1,4 @@
-//! An operator's requests to a control service, over a connection of their own.
+//! Sends an operator's requests to a control service, each on its own connection.
 
 use crate::protocol::SubscriberMessage;
 use hazelgrade_budget::protocol::OperatorCommand;
@@ -7,15 +7,15 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The id of the only request on a connection.
+/// The JSON-RPC id of the request; there is only one request on a connection.
 const REQUEST_ID: u64 = 1;
-/// The most lines that are read for the answer: a ping may come before it.
+/// The most lines that are read while waiting for the answer, since a ping may arrive before the answer.
 const MAX_LINES: usize = 4;
 
-/// Why a request has no result.
+/// The reason why a request has no result.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
-    /// The connection failed, or nothing came in time.
+    /// The connection failed, or no data arrived within the time limit.
     #[error("{control_service}: {source}")]
     Connection {
         /// The control service.
@@ -23,46 +23,47 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The answer is not JSON.
-    #[error("{control_service}: it does not answer as a control service")]
+    /// The server sent a line that is not JSON, or closed the connection without an answer.
+    #[error("{control_service}: expected a JSON message; the server may not be a control service")]
     NotAControlService {
         /// The address.
         control_service: SocketAddr,
     },
-    /// The control service can't carry it out, for this reason.
+    /// The control service rejected the request for this reason.
     #[error("{0}")]
     Rejected(String),
-    /// The control service asked to be contacted again later.
-    #[error("{control_service}: it is busy, try again in {retry_after_ms} ms")]
+    /// The control service is busy and asked the client to retry later.
+    #[error("{control_service}: the control service is busy; try again in {retry_after_ms} ms")]
     Busy {
         /// The control service.
         control_service: SocketAddr,
-        /// When to try again, in milliseconds, as the control service wrote it.
+        /// The delay before the next attempt in milliseconds, as the control service sent it.
         retry_after_ms: Value,
     },
-    /// Other messages came, but no answer.
-    #[error("{control_service}: no answer")]
+    /// The control service sent other messages, but no answer.
+    #[error("{control_service}: the control service sent other messages, but no answer to the request")]
     NoAnswer {
         /// The control service.
         control_service: SocketAddr,
     },
 }
 
-/// Asks a control service which node runs which version. Each step may take as long as `timeout`.
+/// Requests the report on which version is in effect on which node. `timeout` applies to connecting and to each read
+/// separately.
 ///
 /// # Errors
 ///
-/// Why there is no report.
+/// Returns why there is no report.
 pub fn request_status(control_service: SocketAddr, timeout: Duration) -> Result<Value, RequestError> {
     request(control_service, &SubscriberMessage::Status { request_id: REQUEST_ID }, timeout)
 }
 
-/// Sends an operator's command on budgets to the lessor of a control service. Each step may take as long as
-/// `timeout`.
+/// Sends an operator's command on budgets to the lessor of a control service. `timeout` applies to connecting and to
+/// each read separately.
 ///
 /// # Errors
 ///
-/// Why it is not known to be carried out.
+/// Returns why the command was not carried out, or may not have been.
 pub fn send_budget_command(
     control_service: SocketAddr,
     command: OperatorCommand,
@@ -92,7 +93,7 @@
     Err(RequestError::NoAnswer { control_service })
 }
 
-/// The result that a line carries; `None` if the line is not an answer.
+/// Returns the result in a line, or `None` if the line is not an answer.
 fn parse_answer(control_service: SocketAddr, line: &str) -> Result<Option<Value>, RequestError> {
     let mut answer: Value =
         serde_json::from_str(line).map_err(|_| RequestError::NotAControlService { control_service })?;
--- a/crates/hazelgrade-stream/src/control_service/status.rs
+++ b/crates/hazelgrade-stream/src/control_service/status.rs
@@ -1,4 +1,5 @@
-//! The report on which node runs which version. Its names are read by operators' tools and are mapped here.
+//! The report on which version is in effect on which node. Operators' tools read the report by its field names and
+//! status names, so this module maps the internal names to those.
 
 use crate::publisher::{Node, NodeStatus, Publisher};
 use hazelgrade_config::Kind;
@@ -7,27 +8,29 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// The state of one kind of document.
+/// The report on one kind of document.
 #[derive(Serialize)]
 struct KindReport<'a> {
     lineage: &'a str,
     /// The current version.
     #[serde(rename = "version")]
     current_version: Option<String>,
-    /// What is wrong with the document in the folder.
+    /// The errors of the document in the folder, if it can't be published.
     #[serde(rename = "folder")]
     document_error: Option<&'a String>,
     nodes: Vec<NodeReport<'a>>,
 }
 
-/// A node and its version.
+/// The report on one node and its version.
 #[derive(Serialize)]
 struct NodeReport<'a> {
     name: &'a str,
     program: &'a str,
     connected: bool,
+    /// The version in effect on the node.
     #[serde(rename = "has")]
     in_effect: Option<String>,
+    /// The offered version that the status is about.
     #[serde(rename = "of")]
     offered: Option<String>,
     #[serde(rename = "standing")]
@@ -37,6 +40,7 @@
     staged: Option<&'a [String]>,
 }
 
+/// Returns the name of a status in the report.
 fn status_name(status: &NodeStatus) -> &'static str {
     match status {
         NodeStatus::Pending => "open",
@@ -71,7 +75,7 @@
     }
 }
 
-/// The state of the serving document, with those of the other kinds under their names.
+/// Builds the report: the report on the serving document, with those on the other kinds nested under the kinds' names.
 pub(super) fn report(
     publishers: &BTreeMap<Kind, RefCell<Publisher>>,
     document_errors: &BTreeMap<Kind, String>,
