--- a/crates/hazelgrade-stream/src/lessor_service/commands.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/commands.rs
@@ -1,4 +1,4 @@
-//! Operators' commands on budgets. The names in their results are read by operators' tools.
+//! Carries out operators' commands on budgets. Operators' tools read the results by their field names.
 
 use super::LessorService;
 use super::error::BudgetCommandError;
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 
 impl LessorService {
-    /// Carries out a command; returns the answer to the operator.
+    /// Carries out a command; returns the result for the operator.
     pub(crate) fn on_command(
         &self,
         command: &OperatorCommand,
@@ -45,7 +45,7 @@
         result.map(Value::String).map_err(BudgetCommandError::Rejected)
     }
 
-    /// Past events, each as the milliseconds since and the text.
+    /// Returns the recorded events, each as its age in milliseconds and its text.
     fn history(&self) -> Value {
         let now = self.now();
         let lessor = self.lessor.borrow();
@@ -53,7 +53,7 @@
         Value::Array(entries.collect())
     }
 
-    /// The state of the budgets and their leases, and of the other sites.
+    /// Returns the state of the budgets, of their leases and of the other sites.
     fn status(&self) -> Value {
         let now = self.now();
         let lessor = self.lessor.borrow();
--- a/crates/hazelgrade-stream/src/lessor_service/mod.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/mod.rs
@@ -1,8 +1,10 @@
-//! The lessor of a site's budgets on the sockets of a control service: performs what the state machines of the
-//! budget crate decide, stores what has to survive, and exchanges reports with the lessors of other sites.
+//! The lessor of a site's budgets on the sockets of a control service: performs the actions of the state machines of
+//! the budget crate, stores the state that has to survive a restart, and exchanges reports with the lessors of other
+//! sites.
 //!
-//! What a site owns belongs to one store at one address. A store that was copied to another address is refused, and
-//! so is one in use; without a store there is no lessor. The store is created once, by an operator's command.
+//! The units that a site owns are recorded in one store, which belongs to one listening address. A lessor doesn't start
+//! without a store, with a store that was copied from another address, or with a store that is in use. An operator's
+//! command creates the store once.
 
 mod commands;
 mod config;
@@ -34,44 +36,45 @@
 use std::time::{Duration, Instant};
 use store::LessorStore;
 
-/// A ledger that could not be stored is written again after this time, in milliseconds.
+/// The interval between attempts to write a ledger that could not be stored, in milliseconds.
 const STORE_RETRY_INTERVAL_MS: f64 = 200.0;
-/// The shortest wait for a timer.
+/// The pause after a timer that was due, before the timers are checked again.
 const MIN_TIMER_DELAY: Duration = Duration::from_millis(1);
 
-/// Called with the reports of the budgets, by name, several times per second.
+/// A function that is called with the reports on the budgets, by budget name, several times per second.
 pub type Metrics = Box<dyn Fn(&BTreeMap<String, lessor::BudgetReport>)>;
 
-/// The lessor of a site's budgets.
+/// The running lessor of a site's budgets.
 pub struct LessorService {
     started_at: Instant,
     lessor: RefCell<Lessor>,
     ownership: RefCell<Ownership>,
     store: RefCell<LessorStore>,
-    /// Units that the site owns of each budget, by the ledger on the disk. While the current ledger is not stored, no
-    /// more than these are leased out, and nothing is reported to other sites.
+    /// The units of each budget that the site owns according to the ledger on the disk. While the current ledger is not
+    /// stored, no more than these units are leased out, and no reports are sent to other sites.
     stored_units: RefCell<BTreeMap<String, Units>>,
-    /// Whether the ledger is newer than the one on the disk.
+    /// Whether the current ledger differs from the ledger on the disk because it could not be stored.
     is_ledger_unsaved: Cell<bool>,
-    /// The current version of the budgets.
+    /// The current version of the budgets document.
     version: RefCell<Option<Version>>,
-    /// Whether the version before the current one is in effect, as nodes rolled back from the current one.
+    /// Whether the previous version is in effect because nodes rolled back from the current version.
     is_rolled_back: Cell<bool>,
-    /// The write queue of the connection to each other site that is connected.
+    /// The write queues of the connections to the other sites, by site name. Sites without a connection have no entry.
     site_connections: RefCell<BTreeMap<String, Rc<WriteQueue>>>,
-    /// Notified when timers may have changed.
+    /// Notified when the times of the lessor's timers may have changed.
     changed: Notify,
-    /// The longest time for which units of a lease may be in use, clock drift included.
+    /// The longest time for which units of a lease may be in use under the document in effect, clock drift included.
     max_lease_and_use: Cell<Span>,
+    /// Called in each round with the reports on the budgets.
     metrics: Metrics,
 }
 
 impl LessorService {
-    /// Starts a lessor with the store that was created for it.
+    /// Opens the store of a lessor, stores the generation of this start, and returns the lessor.
     ///
     /// # Errors
     ///
-    /// Why the store can't be used.
+    /// Returns why the store can't be used.
     pub fn open(
         config: &LessorConfig,
         documents: &Path,
@@ -82,7 +85,7 @@
         let record = store.read_record()?;
         let ledger = store.read_ledger()?;
         let started_at = Instant::now();
-        let (lessor, first_action) = Lessor::new(Time::from_ms(0.0), record);
+        let (lessor, initial_action) = Lessor::new(Time::from_ms(0.0), record);
         let ownership = Ownership::new(&config.site, lessor.generation(), ledger);
         let service = LessorService {
             started_at,
@@ -98,16 +101,17 @@
             max_lease_and_use: Cell::new(Span::ZERO),
             metrics,
         };
-        service.store_start(first_action)?;
+        service.store_generation(initial_action)?;
         Ok(service)
     }
 
-    /// Stores the generation of this start: without it this start can't be told from the one before.
-    fn store_start(&self, first_action: lessor::Action) -> Result<(), LessorError> {
-        let mut actions = VecDeque::from([first_action]);
+    /// Stores the generation of this start. Without a stored generation, lease holders could not distinguish this start
+    /// from the previous one.
+    fn store_generation(&self, initial_action: lessor::Action) -> Result<(), LessorError> {
+        let mut actions = VecDeque::from([initial_action]);
         while let Some(action) = actions.pop_front() {
             if let lessor::Action::Store(record) = action {
-                self.store.borrow_mut().write_first_record(&record)?;
+                self.store.borrow_mut().write_start_record(&record)?;
                 let mut next_actions = Vec::new();
                 let event = lessor::Event::Stored(Ok(()));
                 self.lessor.borrow_mut().handle(self.now(), event, &mut next_actions);
@@ -117,12 +121,12 @@
         Ok(())
     }
 
-    /// This machine's monotonic clock, from the start of the lessor.
+    /// Returns the time since the start of the lessor by the monotonic clock of the machine.
     fn now(&self) -> Time {
         Time::from_ms(self.started_at.elapsed().as_secs_f64() * 1000.0)
     }
 
-    /// Passes an event to the lessor and performs its actions.
+    /// Passes an event to the lessor and performs the resulting actions.
     fn notify_lessor(&self, event: lessor::Event, send: &mut impl FnMut(ConnectionId, &PublisherMessage)) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
@@ -132,8 +136,8 @@
                 match action {
                     lessor::Action::Grant(to, grant) => send(to, &PublisherMessage::LeaseGrant(grant)),
                     lessor::Action::Nudge(to) => send(to, &PublisherMessage::RequestLeases),
-                    // This blocks for some milliseconds, at a start and when terms change; the requests that need it
-                    // wait anyway.
+                    // The write blocks the thread for some milliseconds, at a start and when terms change. Requests
+                    // that need the record have to wait for the disk in any case.
                     lessor::Action::Store(record) => {
                         let result = self.store.borrow_mut().write_record(&record);
                         events.push_back(lessor::Event::Stored(result));
@@ -145,7 +149,8 @@
         self.changed.notify();
     }
 
-    /// Performs actions of the ownership, and passes to the lessor what the site owns then.
+    /// Performs actions of the ownership state machine, and passes the resulting terms, owned units and confirmations
+    /// to the lessor.
     fn perform_ownership_actions(
         &self,
         actions: Vec<ownership::Action>,
@@ -158,12 +163,14 @@
                     if let Err(reason) = &result {
                         tracing::error!(
                             reason,
-                            "the ledger can't be stored: nothing is reported to other sites"
+                            "ledger can't be stored; no reports are sent to other sites until it is stored"
                         );
                     }
                     self.is_ledger_unsaved.set(result.is_err());
                 }
-                ownership::Action::StaleStore(by) => self.notify_lessor(lessor::Event::StaleStore(by), send),
+                ownership::Action::StaleStore(witness) => {
+                    self.notify_lessor(lessor::Event::StaleStore(witness), send)
+                }
                 ownership::Action::Log(text) => tracing::info!("budgets: {text}"),
             }
         }
@@ -173,11 +180,11 @@
         };
         let owned = self.limit_to_stored(owned);
         self.notify_lessor(lessor::Event::TermsChanged { terms, owned }, send);
-        let agreed = self.ownership.borrow().confirmed();
-        self.notify_lessor(lessor::Event::OtherSites(agreed), send);
+        let confirmed = self.ownership.borrow().confirmed();
+        self.notify_lessor(lessor::Event::OtherSites(confirmed), send);
     }
 
-    /// Limits owned units to those of the ledger on the disk.
+    /// Limits the owned units of each budget to the units in the ledger on the disk.
     fn limit_to_stored(&self, mut owned: BTreeMap<String, Units>) -> BTreeMap<String, Units> {
         if !self.is_ledger_unsaved.get() {
             self.stored_units.replace(owned.clone());
@@ -190,7 +197,8 @@
         owned
     }
 
-    /// Puts the current version into effect, or the one before it if at least half of the nodes that answered failed.
+    /// Puts the current version of the budgets into effect, or the previous version if at least half of the nodes that
+    /// answered failed with the current version.
     pub(crate) fn on_document(
         &self,
         current: VersionedDocument<'_>,
@@ -209,7 +217,7 @@
         let Some(chosen) = (if is_rolled_back { previous } else { Some(current) }) else { return };
         let version = chosen.version;
         if is_rolled_back {
-            tracing::warn!(%version, "budgets: nodes rolled back from the current version, and so does the lessor");
+            tracing::warn!(%version, "budgets: nodes failed with the current version; the lessor rolls back");
         }
         let terms = terms::read_all(chosen.document);
         let longest = terms.values().map(|terms| terms.lease + terms.max_use_time).max();
@@ -220,7 +228,7 @@
         self.perform_ownership_actions(actions, send);
     }
 
-    /// A lease holder requests leases.
+    /// Handles the request of a lease holder for leases.
     pub(crate) fn on_lease_request(
         &self,
         connection: ConnectionId,
@@ -230,7 +238,7 @@
         self.notify_lessor(lessor::Event::Requested(connection, request), send);
     }
 
-    /// The connection of a lease holder ended.
+    /// Handles the end of the connection of a lease holder.
     pub(crate) fn on_disconnected(
         &self,
         connection: ConnectionId,
@@ -239,7 +247,7 @@
         self.notify_lessor(lessor::Event::Disconnected(connection), send);
     }
 
-    /// Runs rounds and timers until the future is dropped.
+    /// Runs the rounds and timers of the lessor until the future is dropped.
     pub(crate) async fn run(&self, mut send: impl FnMut(ConnectionId, &PublisherMessage)) {
         let interval = Span::from_ms(REPORT_INTERVAL_MS.min(STORE_RETRY_INTERVAL_MS));
         let mut next_round = self.now();
@@ -263,7 +271,7 @@
         }
     }
 
-    /// Sends units to other sites, reports to all sites, and updates the metrics.
+    /// Transfers units to other sites, sends reports to all connected sites, and updates the metrics.
     fn run_round(&self, send: &mut impl FnMut(ConnectionId, &PublisherMessage)) {
         let actions = self.send_units_to_sites();
         if !actions.is_empty() {
--- a/crates/hazelgrade-stream/src/lessor_service/sites.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/sites.rs
@@ -1,4 +1,5 @@
-//! The lessors of other sites: units and reports that are sent to them, and the connections to their control services.
+//! Communication with the lessors of other sites: transfers of units, reports, and the connections to their control
+//! services.
 
 use super::LessorService;
 use crate::line_reader::read_bounded_line;
@@ -18,15 +19,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The pause before a connection that ended is opened again.
+/// The delay before a new connection is opened after the previous one ended.
 const RECONNECT_DELAY: Duration = Duration::from_millis(300);
-/// A connection without any message for this long is dead: the other lessor answers each report.
+/// The time without a message after which a connection counts as broken. The other lessor answers each report, so a
+/// working connection is never silent for this long.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes that may wait to be written on a connection.
+/// The most bytes that may be queued for writing on a connection.
 const WRITE_QUEUE_BYTES: usize = 256 * 1024;
 
 impl LessorService {
-    /// Handles a report of another site's lessor; returns the report to answer with.
+    /// Handles a report from the lessor of another site; returns the report to send as the answer, or `None` while the
+    /// ledger is not stored.
     pub(crate) fn on_site_report(
         &self,
         report: &SiteReport,
@@ -38,7 +41,7 @@
         self.report_for(&report.from)
     }
 
-    /// This site's report to another; `None` while the ledger is not stored.
+    /// Returns this site's report to another site, or `None` while the ledger is not stored.
     fn report_for(&self, site: &str) -> Option<SiteReport> {
         if self.is_ledger_unsaved.get() {
             return None;
@@ -51,7 +54,7 @@
         Some(ownership.report_to(site, overcommitted, &shortfalls))
     }
 
-    /// Sends recalled and free units to other sites; the returned actions are still to be performed.
+    /// Transfers recalled units and free surplus units to other sites. The caller has to perform the returned actions.
     pub(super) fn send_units_to_sites(&self) -> Vec<ownership::Action> {
         let lessor = self.lessor.borrow();
         let now = self.now();
@@ -72,7 +75,7 @@
         actions
     }
 
-    /// Sends this site's report to all connected sites.
+    /// Sends reports of this site to all connected sites.
     pub(super) fn report_to_sites(&self) {
         for (site, write_queue) in &*self.site_connections.borrow() {
             if let Some(report) = self.report_for(site) {
@@ -81,8 +84,9 @@
         }
     }
 
-    /// When nothing that a site leased out can be in use any more, if the site is gone: counted from its last
-    /// report, or from the start of this lessor.
+    /// Returns the time from which no units that another site leased out can be in use, provided that the site no
+    /// longer runs. The time is counted from the site's last report, or from the start of this lessor if there was no
+    /// report.
     pub(super) fn safe_to_retire_at(&self, site: &str) -> Time {
         let longest = self.max_lease_and_use.get();
         let since_report = self.ownership.borrow().safe_to_retire_at(site, longest);
@@ -110,11 +114,12 @@
                 }
                 Err(_) => ConnectionEnd::Unreachable,
             };
-            tracing::debug!(site, ?end, "the connection to another site's lessor ended");
+            tracing::debug!(site, ?end, "connection to the lessor of another site ended");
             Timer::after(RECONNECT_DELAY).await;
         }
     }
 
+    /// Reads and handles messages from another site's control service; returns how the connection ended.
     async fn read_site(
         &self,
         stream: &Async<TcpStream>,
@@ -137,7 +142,7 @@
                 }
                 Ok(_) => {}
                 Err(error) => {
-                    tracing::warn!(%error, "another site's lessor sent a malformed message");
+                    tracing::warn!(%error, "lessor of another site sent a malformed message; closing the connection");
                     return ConnectionEnd::Malformed;
                 }
             }
