--- a/crates/hazelgrade-stream/tests/deaths.rs
+++ b/crates/hazelgrade-stream/tests/deaths.rs
@@ -1,4 +1,5 @@
-//! A node that crashes at each single write of its store, and starts again from what the disk has then.
+//! Tests of a node that crashes, fails a write or finds its disk full at each operation of its store, and restarts from
+//! what the disk then holds.
 
 #![allow(clippy::expect_used)]
 
@@ -14,43 +15,47 @@
 use hazelgrade_stream::stored::{self, StoredState};
 use hazelgrade_stream::subscriber::{Action, Event, InEffect, Subscriber};
 
-/// What the node reported before it crashed.
+/// The versions that the node reported before it crashed.
 #[derive(Default)]
-struct Run {
+struct Reported {
+    /// Versions whose trial was reported as passed.
     good: Vec<Version>,
-    /// In effect, on trial.
+    /// Versions that were reported as in effect, on trial.
     acknowledged: Vec<Version>,
 }
 
-struct World {
-    node: Subscriber,
+/// A subscriber with a store on a simulated disk.
+struct SimulatedNode {
+    subscriber: Subscriber,
     store: Store,
     now: Time,
-    run: Run,
+    reported: Reported,
 }
 
-impl World {
-    /// None once the disk is dead.
-    fn start(disk: &SimulatedDisk) -> Option<World> {
+impl SimulatedNode {
+    /// Starts the node and connects it. Returns `None` if the store can't be opened or the disk crashes.
+    fn start(disk: &SimulatedDisk) -> Option<SimulatedNode> {
         let storage = disk.clone();
         let mut store = Store::open_on(move || storage.clone(), "n").ok()?;
         let bytes = store.get(stored::store_key(Kind::Serving)).ok()?;
         let stored = bytes.map_or_else(StoredState::default, |bytes| {
-            StoredState::decode(Kind::Serving, &bytes).expect("what is stored can be read")
+            StoredState::decode(Kind::Serving, &bytes).expect("the stored state should be readable")
         });
         let now = at(1_000_000.0);
-        let (node, first) = start(now, stored, Some(document(0)));
-        let mut world = World { node, store, now, run: Run::default() };
-        world.perform(first, disk)?;
-        world.tell(Event::Connected, disk)?;
-        Some(world)
+        let (subscriber, initial_actions) = start(now, stored, Some(document(0)));
+        let mut node = SimulatedNode { subscriber, store, now, reported: Reported::default() };
+        node.perform(initial_actions, disk)?;
+        node.handle_event(Event::Connected, disk)?;
+        Some(node)
     }
 
-    fn tell(&mut self, event: Event, disk: &SimulatedDisk) -> Option<()> {
-        let actions = handle(&mut self.node, self.now, event);
+    /// Passes an event to the subscriber and performs the resulting actions. Returns `None` if the disk crashed.
+    fn handle_event(&mut self, event: Event, disk: &SimulatedDisk) -> Option<()> {
+        let actions = handle(&mut self.subscriber, self.now, event);
         self.perform(actions, disk)
     }
 
+    /// Performs actions and records the reports among them. Returns `None` if the disk crashed.
     fn perform(&mut self, actions: Vec<Action>, disk: &SimulatedDisk) -> Option<()> {
         for action in actions {
             match action {
@@ -61,14 +66,14 @@
                         return None;
                     }
                     let result = written.map_err(|error| error.to_string());
-                    self.tell(Event::Stored { ticket, result }, disk)?;
+                    self.handle_event(Event::Stored { ticket, result }, disk)?;
                 }
-                Action::Apply { .. } => self.tell(Event::Applied(Ok(())), disk)?,
+                Action::Apply { .. } => self.handle_event(Event::Applied(Ok(())), disk)?,
                 Action::Send(SubscriberMessage::TrialEnded { version, failure: None }) => {
-                    self.run.good.push(version)
+                    self.reported.good.push(version)
                 }
                 Action::Send(SubscriberMessage::Acknowledged { version, .. }) => {
-                    self.run.acknowledged.push(version)
+                    self.reported.acknowledged.push(version)
                 }
                 _ => {}
             }
@@ -76,125 +81,138 @@
         Some(())
     }
 
-    /// A good version, one that fails, a good one, and a clean stop in a trial.
-    fn play(&mut self, disk: &SimulatedDisk) -> Option<()> {
-        for (number, well) in [(1, true), (2, false), (3, true), (4, true)] {
-            self.tell(full_offer(number, number, number), disk)?;
-            if well {
+    /// Offers a good version, a failing version, two good versions, and a version whose trial is interrupted by a
+    /// drain. Returns `None` if the disk crashed.
+    fn run_scenario(&mut self, disk: &SimulatedDisk) -> Option<()> {
+        for (number, passes) in [(1, true), (2, false), (3, true), (4, true)] {
+            self.handle_event(full_offer(number, number, number), disk)?;
+            if passes {
                 self.now = self.now + Span::from_ms(1001.0);
-                self.tell(sampled(0.0, 1.0), disk)?;
+                self.handle_event(sampled(0.0, 1.0), disk)?;
             } else {
                 for _ in 0..4 {
-                    self.tell(Event::Sampled(hazelgrade_stream::trial::Sample::default()), disk)?;
+                    self.handle_event(Event::Sampled(hazelgrade_stream::trial::Sample::default()), disk)?;
                 }
             }
-            self.tell(sampled(50.0, 1.0), disk)?;
+            self.handle_event(sampled(50.0, 1.0), disk)?;
         }
-        self.tell(full_offer(9, 5, 5), disk)?;
-        self.tell(Event::DrainStarted, disk)
+        self.handle_event(full_offer(9, 5, 5), disk)?;
+        self.handle_event(Event::DrainStarted, disk)
     }
 }
 
 #[test]
-fn after_a_crash_at_any_write_a_node_starts_by_its_last_good_version() {
-    let made = SimulatedDisk::default();
-    drop(World::start(&made).expect("a new disk"));
-    let whole_run = made.after_crash(|| 1.0);
-    let mut world = World::start(&whole_run).expect("a store");
-    world.play(&whole_run).expect("nothing dies");
-    let (writes, all) = (whole_run.operations(), world.run.good.clone());
-    assert_eq!(all.iter().map(|version| version.number).collect::<Vec<_>>(), [1, 3, 4]);
-    drop(world);
-    let mut kills = 0;
-    for dies_at in 0..writes {
+fn a_node_restarts_with_its_last_good_version_after_a_crash_at_any_disk_operation() {
+    let initial_disk = SimulatedDisk::default();
+    drop(SimulatedNode::start(&initial_disk).expect("a node should start on a new disk"));
+    let complete_disk = initial_disk.after_crash(|| 1.0);
+    let mut node = SimulatedNode::start(&complete_disk).expect("the store should open");
+    node.run_scenario(&complete_disk).expect("the disk should not crash");
+    let (operations, good_versions) = (complete_disk.operations(), node.reported.good.clone());
+    assert_eq!(good_versions.iter().map(|version| version.number).collect::<Vec<_>>(), [1, 3, 4]);
+    drop(node);
+    let mut crashes = 0;
+    for crash_at in 0..operations {
         for seed in 0..4 {
-            let disk = made.after_crash(|| 1.0);
-            disk.set_plan(FaultPlan { crash_at: Some(dies_at), ..FaultPlan::default() });
-            let run = match World::start(&disk) {
-                Some(mut world) => {
-                    let _ = world.play(&disk);
-                    world.run
+            let disk = initial_disk.after_crash(|| 1.0);
+            disk.set_plan(FaultPlan { crash_at: Some(crash_at), ..FaultPlan::default() });
+            let reported = match SimulatedNode::start(&disk) {
+                Some(mut node) => {
+                    let _ = node.run_scenario(&disk);
+                    node.reported
                 }
-                None => Run::default(),
+                None => Reported::default(),
             };
-            kills += 1;
-            // Seed 0 loses all that was not synced, seed 1 nothing, the others at random.
-            let mut random = MultiplyWithCarry::new(seed * 1000 + dies_at);
-            let after = disk.after_crash(|| match seed {
+            crashes += 1;
+            // With seed 0 the crash loses all unsynced changes, with seed 1 none, with the other seeds a
+            // random part of each.
+            let mut random = MultiplyWithCarry::new(seed * 1000 + crash_at);
+            let disk_after_crash = disk.after_crash(|| match seed {
                 0 => 0.0,
                 1 => 1.0,
                 _ => random.next_f64(),
             });
-            let world =
-                World::start(&after).unwrap_or_else(|| panic!("no start after death at {dies_at}, {seed}"));
-            let place = |of: Version| all.iter().position(|version| *version == of);
-            match (world.node.in_effect(), run.good.last()) {
+            let node = SimulatedNode::start(&disk_after_crash)
+                .unwrap_or_else(|| panic!("no start after a crash at operation {crash_at}, seed {seed}"));
+            let position = |of: Version| good_versions.iter().position(|version| *version == of);
+            match (node.subscriber.in_effect(), reported.good.last()) {
                 (InEffect::LocalDocument, None) => {}
                 (InEffect::Good(version), last) => {
-                    // It may have crashed between storing it and reporting it.
-                    let least = last.map_or(0, |last| place(*last).expect("one of them") + 1);
-                    let now = place(version).expect("a good version") + 1;
+                    // The node may have crashed after it stored a version as good and before it reported the version.
+                    let reported_count =
+                        last.map_or(0, |last| position(*last).expect("the version should be a good one") + 1);
+                    let stored_count = position(version).expect("the version should be a good one") + 1;
                     assert!(
-                        (least..=least + 1).contains(&now),
-                        "at {dies_at}, {seed}: {version} after {last:?}"
+                        (reported_count..=reported_count + 1).contains(&stored_count),
+                        "operation {crash_at}, seed {seed}: {version} is in effect, {last:?} was reported"
                     );
                 }
-                (serving, last) => panic!("at {dies_at}, {seed}: {serving:?} after {last:?}"),
+                (in_effect, last) => {
+                    panic!("operation {crash_at}, seed {seed}: {in_effect:?}, {last:?} was reported")
+                }
             }
         }
     }
-    println!("{kills} deaths at {writes} writes, no good version lost");
-    assert!(writes > 40, "{writes} writes are fewer than the store makes");
+    println!("{crashes} crashes at {operations} disk operations, no good version lost");
+    assert!(operations > 40, "the scenario made only {operations} disk operations");
 }
 
 #[test]
 fn a_failed_write_rejects_the_version_or_is_retried() {
-    let writes = {
+    let operations = {
         let disk = SimulatedDisk::default();
-        let mut world = World::start(&disk).expect("a new disk");
-        world.play(&disk).expect("nothing dies");
+        let mut node = SimulatedNode::start(&disk).expect("a node should start on a new disk");
+        node.run_scenario(&disk).expect("the disk should not crash");
         disk.operations()
     };
-    for fails_at in 0..writes {
+    for fail_at in 0..operations {
         let disk = SimulatedDisk::default();
-        let Some(mut world) = World::start(&disk) else { panic!("a new disk") };
-        disk.set_plan(FaultPlan { fail_at: Some(fails_at), ..FaultPlan::default() });
-        world.play(&disk).expect("nothing dies");
-        // After the delay the write is retried.
-        world.now = world.now + Span::from_ms(60_000.0);
-        world.tell(Event::TimerFired, &disk).expect("nothing dies");
-        let (serving, good) = (world.node.in_effect(), world.run.good.clone());
-        drop(world);
-        let again = World::start(&disk.after_crash(|| 1.0)).expect("a start");
+        let Some(mut node) = SimulatedNode::start(&disk) else { panic!("a node should start on a new disk") };
+        disk.set_plan(FaultPlan { fail_at: Some(fail_at), ..FaultPlan::default() });
+        node.run_scenario(&disk).expect("the disk should not crash");
+        // A minute later the retry of the failed write is due.
+        node.now = node.now + Span::from_ms(60_000.0);
+        node.handle_event(Event::TimerFired, &disk).expect("the disk should not crash");
+        let (in_effect, good) = (node.subscriber.in_effect(), node.reported.good.clone());
+        drop(node);
+        let restarted = SimulatedNode::start(&disk.after_crash(|| 1.0)).expect("the node should restart");
         if let Some(last) = good.last() {
-            // What was stored late may not have been reported.
-            let InEffect::Good(found) = again.node.in_effect() else {
-                panic!("{fails_at}: {:?}", again.node.in_effect())
+            // A version that was stored late may not have been reported.
+            let InEffect::Good(found) = restarted.subscriber.in_effect() else {
+                panic!("operation {fail_at}: {:?}", restarted.subscriber.in_effect())
             };
             assert!(
                 found.number >= last.number
-                    && matches!(serving, InEffect::Good(of) | InEffect::OnTrial(of) if of.number >= found.number),
-                "{fails_at}: {found}, {serving:?}"
+                    && matches!(
+                        in_effect,
+                        InEffect::Good(of) | InEffect::OnTrial(of) if of.number >= found.number
+                    ),
+                "operation {fail_at}: {found} after the restart, {in_effect:?} before"
             );
         }
     }
 }
 
 #[test]
-fn a_full_disk_leaves_the_last_good_version() {
+fn a_full_disk_preserves_the_last_good_version() {
     for full_at in 0..60 {
         let disk = SimulatedDisk::default();
-        let Some(mut world) = World::start(&disk) else { panic!("a new disk") };
-        world.tell(full_offer(1, 1, 1), &disk);
-        world.now = world.now + Span::from_ms(1001.0);
-        world.tell(sampled(0.0, 1.0), &disk);
-        assert_eq!(world.node.in_effect(), InEffect::Good(version(1, 1)));
+        let Some(mut node) = SimulatedNode::start(&disk) else { panic!("a node should start on a new disk") };
+        node.handle_event(full_offer(1, 1, 1), &disk);
+        node.now = node.now + Span::from_ms(1001.0);
+        node.handle_event(sampled(0.0, 1.0), &disk);
+        assert_eq!(node.subscriber.in_effect(), InEffect::Good(version(1, 1)));
         disk.set_plan(FaultPlan { full_at: Some(full_at), ..FaultPlan::default() });
-        let _ = world.play(&disk);
-        let said = world.run.good.last().copied().unwrap_or(version(1, 1));
-        drop(world);
-        let again = World::start(&disk.after_crash(|| 1.0)).expect("a start");
-        let InEffect::Good(found) = again.node.in_effect() else { panic!("{:?}", again.node.in_effect()) };
-        assert!(found.number >= said.number, "{found} after {said}");
+        let _ = node.run_scenario(&disk);
+        let last_reported = node.reported.good.last().copied().unwrap_or(version(1, 1));
+        drop(node);
+        let restarted = SimulatedNode::start(&disk.after_crash(|| 1.0)).expect("the node should restart");
+        let InEffect::Good(found) = restarted.subscriber.in_effect() else {
+            panic!("{:?}", restarted.subscriber.in_effect())
+        };
+        assert!(
+            found.number >= last_reported.number,
+            "{found} is in effect after the restart, {last_reported} was reported"
+        );
     }
 }
--- a/crates/hazelgrade-stream/tests/publishing.rs
+++ b/crates/hazelgrade-stream/tests/publishing.rs
@@ -1,4 +1,5 @@
-//! The publisher: numbers, differences, rejections, admission, and two publishers that disagree.
+//! Tests of the publisher: version numbers, differences, rejections, admission, and two publishers of one lineage that
+//! disagree. Also tests of the backoff, the trial and the decoding of messages.
 
 #![allow(clippy::expect_used)]
 
@@ -15,23 +16,27 @@
 use hazelgrade_stream::trial::{Baseline, SAMPLES_PER_SPAN, Sample, Trial, Verdict};
 use quickcheck::{Gen, QuickCheck};
 
-struct Service {
+/// A publisher with the offers that it sent, the lines that it logged, and a simulated store of its counter.
+struct PublisherHarness {
     publisher: Publisher,
-    /// The stored counter; storing it fails while the disk is broken.
+    /// The stored counter.
     counter: Counter,
-    broken: bool,
+    /// Whether storing the counter fails.
+    disk_fails: bool,
+    /// The sent offers, each with its connection.
     offers: Vec<(u64, Offer)>,
-    log: Vec<String>,
+    log_lines: Vec<String>,
 }
 
-impl Service {
-    fn new(last: Option<Version>) -> Service {
+impl PublisherHarness {
+    fn new(last: Option<Version>) -> PublisherHarness {
         let counter = Counter { lineage: LINEAGE.into(), last };
         let publisher = Publisher::new(counter.clone(), Admission::new(1000.0, 1000.0));
-        Service { publisher, counter, broken: false, offers: Vec::new(), log: Vec::new() }
+        PublisherHarness { publisher, counter, disk_fails: false, offers: Vec::new(), log_lines: Vec::new() }
     }
 
-    fn tell(&mut self, event: Event) {
+    /// Passes an event to the publisher and performs the resulting actions.
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.publisher.handle(at(1000.0), event, &mut actions);
         for action in actions {
@@ -40,20 +45,21 @@
                     self.offers.push((connection, offer));
                 }
                 Action::StoreCounter(counter) => {
-                    let result = if self.broken { Err("full".to_owned()) } else { Ok(()) };
+                    let result = if self.disk_fails { Err("full".to_owned()) } else { Ok(()) };
                     if result.is_ok() {
                         self.counter = counter;
                     }
-                    self.tell(Event::CounterStored(result));
+                    self.handle(Event::CounterStored(result));
                 }
-                Action::Log(line) => self.log.push(line),
+                Action::Log(line) => self.log_lines.push(line),
                 _ => {}
             }
         }
     }
 
+    /// Connects and subscribes a node that has the version `in_effect`.
     fn subscribe(&mut self, connection: u64, in_effect: Option<Version>) {
-        self.tell(Event::Connected { connection });
+        self.handle(Event::Connected { connection });
         let (node, program) = (format!("n{connection}"), "p".to_owned());
         let message = SubscriberMessage::Subscribe {
             node,
@@ -64,120 +70,135 @@
             on_trial: false,
             latest_known: in_effect,
         };
-        self.tell(Event::Received { connection, message });
+        self.handle(Event::Received { connection, message });
     }
 
     fn last_offer(&self) -> &Offer {
-        &self.offers.last().expect("an offer").1
+        &self.offers.last().expect("an offer should have been sent").1
     }
 
+    /// Acknowledges the last offer on a connection; returns the offered version.
     fn acknowledge(&mut self, connection: u64) -> Version {
         let Offer { nonce, version, .. } = self.last_offer().clone();
         let message = SubscriberMessage::Acknowledged { nonce, version, on_trial: true, staged: vec![] };
-        self.tell(Event::Received { connection, message });
+        self.handle(Event::Received { connection, message });
         version
     }
 
+    /// Rejects the last offer on a connection.
     fn reject(&mut self, connection: u64, rejection: Rejection) {
         let Offer { nonce, version, .. } = self.last_offer().clone();
         let message = SubscriberMessage::Rejected { nonce, version, rejection };
-        self.tell(Event::Received { connection, message });
+        self.handle(Event::Received { connection, message });
     }
 
+    /// Returns the status of the first node.
     fn status(&self) -> NodeStatus {
-        self.publisher.nodes().next().expect("a node").status.clone()
+        self.publisher.nodes().next().expect("the publisher should know a node").status.clone()
     }
 }
 
-fn large(number: u64) -> Document {
+/// Returns a document so long that a difference is shorter than the full text; documents differ by `number`.
+fn large_document(number: u64) -> Document {
     let mut text = format!("[use_case.a]\ngoal_ms = {}\ncut_off_ms = 9000\n", 100 + number);
     (0..50).for_each(|tenant| text.push_str(&format!("[customer.c{tenant}]\nquota_per_s = 5\n")));
-    Document::read(&text, "a test").expect("it is right")
+    Document::read(&text, "a test").expect("the document should be valid")
 }
 
 #[test]
-fn a_version_is_offered_once_in_full_or_as_a_difference_against_the_one_before() {
-    let mut service = Service::new(None);
-    service.tell(Event::DocumentChanged(large(1)));
-    service.subscribe(1, None);
-    assert!(matches!(service.last_offer().content, Content::Full(_)));
-    let first = service.acknowledge(1);
-    assert_eq!((first.number, service.counter.last), (1, Some(first)));
-    service.tell(Event::DocumentChanged(large(1)));
-    assert_eq!(service.offers.len(), 1, "nothing changed");
-    service.tell(Event::DocumentChanged(large(2)));
-    let Content::Delta { base, difference } = &service.last_offer().content else { panic!("a whole one") };
+fn a_version_is_offered_once_in_full_or_as_a_difference_from_the_previous_version() {
+    let mut harness = PublisherHarness::new(None);
+    harness.handle(Event::DocumentChanged(large_document(1)));
+    harness.subscribe(1, None);
+    assert!(matches!(harness.last_offer().content, Content::Full(_)));
+    let first = harness.acknowledge(1);
+    assert_eq!((first.number, harness.counter.last), (1, Some(first)));
+    harness.handle(Event::DocumentChanged(large_document(1)));
+    assert_eq!(harness.offers.len(), 1, "an unchanged document is not offered again");
+    harness.handle(Event::DocumentChanged(large_document(2)));
+    let Content::Delta { base, difference } = &harness.last_offer().content else {
+        panic!("the offer should be a difference")
+    };
     assert_eq!((*base, difference.count()), (first, 1));
-    // A difference that can't be applied is followed by the full document, once.
-    service.reject(1, Rejection::UnknownBase);
-    assert!(matches!(service.last_offer().content, Content::Full(_)));
-    service.reject(1, Rejection::Invalid("no".into()));
-    assert_eq!(service.offers.len(), 3, "what is turned down is not pressed");
-    assert!(matches!(service.status(), NodeStatus::Rejected(Rejection::Invalid(_))));
-    service.tell(Event::DocumentChanged(large(3)));
-    assert_eq!(service.offers.len(), 4, "the next version is another matter");
+    // After the rejection of a difference that a node can't apply, the full document is offered once.
+    harness.reject(1, Rejection::UnknownBase);
+    assert!(matches!(harness.last_offer().content, Content::Full(_)));
+    harness.reject(1, Rejection::Invalid("no".into()));
+    assert_eq!(harness.offers.len(), 3, "a rejected full document is not offered again");
+    assert!(matches!(harness.status(), NodeStatus::Rejected(Rejection::Invalid(_))));
+    harness.handle(Event::DocumentChanged(large_document(3)));
+    assert_eq!(harness.offers.len(), 4, "the next version is offered after a rejection");
 }
 
 #[test]
-fn a_number_is_stored_before_it_is_offered_and_stays_with_its_document_over_restarts() {
-    let mut service = Service::new(None);
-    service.subscribe(1, None);
-    service.broken = true;
-    service.tell(Event::DocumentChanged(document(1)));
-    assert!(service.offers.is_empty(), "what can't be counted is not offered");
-    service.broken = false;
-    service.tell(Event::DocumentChanged(document(1)));
-    let version = service.acknowledge(1);
-    let mut again = Service::new(service.counter.last);
-    again.tell(Event::DocumentChanged(document(1)));
-    assert_eq!(again.publisher.current_version(), Some(version));
-    let mut changed = Service::new(service.counter.last);
-    changed.tell(Event::DocumentChanged(document(2)));
-    assert_eq!(changed.publisher.current_version().map(|version| version.number), Some(version.number + 1));
+fn a_version_number_is_stored_before_its_offer_and_kept_for_the_document_over_restarts() {
+    let mut harness = PublisherHarness::new(None);
+    harness.subscribe(1, None);
+    harness.disk_fails = true;
+    harness.handle(Event::DocumentChanged(document(1)));
+    assert!(harness.offers.is_empty(), "a version whose number is not stored is not offered");
+    harness.disk_fails = false;
+    harness.handle(Event::DocumentChanged(document(1)));
+    let version = harness.acknowledge(1);
+    let mut restarted = PublisherHarness::new(harness.counter.last);
+    restarted.handle(Event::DocumentChanged(document(1)));
+    assert_eq!(restarted.publisher.current_version(), Some(version));
+    let mut restarted_with_change = PublisherHarness::new(harness.counter.last);
+    restarted_with_change.handle(Event::DocumentChanged(document(2)));
+    assert_eq!(
+        restarted_with_change.publisher.current_version().map(|version| version.number),
+        Some(version.number + 1)
+    );
 }
 
 #[test]
-fn a_publisher_without_its_counter_goes_past_known_numbers_but_not_past_another_publisher() {
+fn a_publisher_without_its_counter_exceeds_known_numbers_but_does_not_outbid_another_publisher() {
     let known = version(40, 7);
-    let mut service = Service::new(None);
-    service.tell(Event::DocumentChanged(document(1)));
-    service.subscribe(1, Some(known));
-    service.reject(1, Rejection::Outdated { known });
-    assert_eq!(service.last_offer().version, version(41, 1));
-    service.acknowledge(1);
-    // Now a node comes that knows a later version: another publisher has published it.
+    let mut harness = PublisherHarness::new(None);
+    harness.handle(Event::DocumentChanged(document(1)));
+    harness.subscribe(1, Some(known));
+    harness.reject(1, Rejection::Outdated { known });
+    assert_eq!(harness.last_offer().version, version(41, 1));
+    harness.acknowledge(1);
+    // A node subscribes that knows a later version than this publisher's: another publisher published that version.
     let other = version(90, 8);
-    service.subscribe(2, Some(other));
-    let offers = service.offers.len();
-    service.reject(2, Rejection::Outdated { known: other });
-    assert_eq!(service.offers.len(), offers, "two that disagree don't outbid each other");
-    assert!(service.log.iter().any(|line| line.contains("another control service")), "{:?}", service.log);
+    harness.subscribe(2, Some(other));
+    let offers = harness.offers.len();
+    harness.reject(2, Rejection::Outdated { known: other });
+    assert_eq!(harness.offers.len(), offers, "publishers that disagree don't outbid each other");
+    assert!(
+        harness.log_lines.iter().any(|line| line.contains("another control service")),
+        "{:?}",
+        harness.log_lines
+    );
 }
 
 #[test]
-fn a_thousand_subscribers_at_once_are_admitted_at_the_rate_and_come_back_spread_out() {
+fn a_thousand_simultaneous_subscribers_are_admitted_at_the_configured_rate() {
     let mut admission = Admission::new(200.0, 50.0);
     let mut random = MultiplyWithCarry::new(3);
-    let mut due: Vec<(Time, Backoff)> = (0..1000).map(|_| (at(0.0), Backoff::default())).collect();
-    let mut taken = Vec::new();
-    while let Some(first) = (0..due.len()).min_by_key(|place| due[*place].0) {
-        let (now, mut backoff) = due.swap_remove(first);
+    let mut pending: Vec<(Time, Backoff)> = (0..1000).map(|_| (at(0.0), Backoff::default())).collect();
+    let mut admitted_at = Vec::new();
+    while let Some(first) = (0..pending.len()).min_by_key(|index| pending[*index].0) {
+        let (now, mut backoff) = pending.swap_remove(first);
         match admission.admit(now) {
-            Ok(()) => taken.push(now),
-            Err(after) => due.push((now + backoff.next_delay(&mut random, Some(after)), backoff)),
+            Ok(()) => admitted_at.push(now),
+            Err(retry_after) => {
+                pending.push((now + backoff.next_delay(&mut random, Some(retry_after)), backoff));
+            }
         }
     }
-    let most = taken
-        .iter()
-        .map(|from| taken.iter().filter(|at| **at >= *from && **at < *from + Span::from_ms(1000.0)).count());
-    assert!(most.max() <= Some(250), "in no second more than the pace and what may come together");
-    let last = taken.iter().max().expect("some").as_ms();
-    assert!(last < 9000.0, "all are back after {last} ms");
+    let admitted_per_second = admitted_at.iter().map(|from| {
+        admitted_at.iter().filter(|at| **at >= *from && **at < *from + Span::from_ms(1000.0)).count()
+    });
+    assert!(admitted_per_second.max() <= Some(250), "no second exceeds the sum of the rate and the burst");
+    let last = admitted_at.iter().max().expect("subscribers should be admitted").as_ms();
+    assert!(last < 9000.0, "the last subscriber was admitted after {last} ms");
 }
 
 #[test]
 fn full_jitter_spreads_attempts_that_coincide_without_jitter() {
-    let peak = |backoff: &dyn Fn() -> Backoff| {
+    let peak_attempts = |backoff: &dyn Fn() -> Backoff| {
         let attempts = (0..1000).flat_map(|node| {
             let (mut random, mut backoff, mut now) = (MultiplyWithCarry::new(node * 7919), backoff(), 0.0);
             std::iter::from_fn(move || {
@@ -185,53 +206,65 @@
                 (now < 30_000.0).then_some((now / 100.0) as usize)
             })
         });
-        let mut tenths = vec![0; 301];
-        attempts.for_each(|tenth| tenths[tenth] += 1);
-        // The first attempts follow the broken connections themselves.
-        tenths[4..].iter().copied().max().unwrap_or(0)
+        let mut attempts_per_100_ms = vec![0; 301];
+        attempts.for_each(|interval| attempts_per_100_ms[interval] += 1);
+        // The first 400 ms are left out: their attempts coincide because the connections broke at the same time.
+        attempts_per_100_ms[4..].iter().copied().max().unwrap_or(0)
     };
-    let (jitter, plain) = (peak(&Backoff::default), peak(&Backoff::without_jitter));
-    assert!(plain >= 1000 && jitter * 3 < plain, "{jitter} of {plain} in the worst tenth of a second");
+    let (with_jitter, without_jitter) =
+        (peak_attempts(&Backoff::default), peak_attempts(&Backoff::without_jitter));
+    assert!(
+        without_jitter >= 1000 && with_jitter * 3 < without_jitter,
+        "{with_jitter} attempts in the busiest 100 ms, {without_jitter} without jitter"
+    );
 }
 
 #[test]
-fn a_trial_fails_by_a_significant_fall_and_never_by_chance() {
+fn a_trial_fails_on_a_significant_drop_of_the_success_ratio_and_not_by_chance() {
     for seed in 0..2000 {
         let mut random = MultiplyWithCarry::new(seed * 7919);
-        let (part, jobs) = (0.3 + 0.7 * random.next_f64(), (200.0 * random.next_f64()) as u8);
-        let mut sample = |part: f64| {
-            let succeeded = (0..jobs).filter(|_| random.next_f64() < part).count() as f64;
+        let (success_ratio, jobs) = (0.3 + 0.7 * random.next_f64(), (200.0 * random.next_f64()) as u8);
+        let mut sample = |success_ratio: f64| {
+            let succeeded = (0..jobs).filter(|_| random.next_f64() < success_ratio).count() as f64;
             Sample { answered: f64::from(jobs), succeeded, executor_connected: true }
         };
         let mut baseline = Baseline::new(rules().span);
-        (0..20).for_each(|tick| baseline.record(at(50.0 * f64::from(tick)), sample(part)));
-        let mut run = |after: f64| {
+        (0..20).for_each(|tick| baseline.record(at(50.0 * f64::from(tick)), sample(success_ratio)));
+        let mut run_trial = |trial_success_ratio: f64| {
             let mut trial = Trial::start(rules(), at(1000.0), &baseline);
             (1..=20)
-                .map(|tick| trial.record(at(1000.0 + 50.0 * f64::from(tick)), &sample(after)))
+                .map(|tick| trial.record(at(1000.0 + 50.0 * f64::from(tick)), &sample(trial_success_ratio)))
                 .find(|verdict| *verdict != Verdict::Undecided)
         };
-        let (same, worse) = (run(part), run(part * 0.4));
-        assert_eq!(same, Some(Verdict::Passed), "seed {seed}: {part} of {jobs} a sample");
-        let told = f64::from(jobs) * SAMPLES_PER_SPAN >= 600.0;
-        assert!(!told || matches!(worse, Some(Verdict::Failed(_))), "seed {seed}: {part} of {jobs} a sample");
+        let (unchanged, degraded) = (run_trial(success_ratio), run_trial(success_ratio * 0.4));
+        assert_eq!(
+            unchanged,
+            Some(Verdict::Passed),
+            "seed {seed}: {success_ratio} of {jobs} jobs per sample succeed"
+        );
+        // With fewer jobs, the drop may be too small to be significant.
+        let is_detectable = f64::from(jobs) * SAMPLES_PER_SPAN >= 600.0;
+        assert!(
+            !is_detectable || matches!(degraded, Some(Verdict::Failed(_))),
+            "seed {seed}: {success_ratio} of {jobs} jobs per sample succeed"
+        );
     }
 }
 
 #[test]
-fn any_bytes_are_decoded_or_rejected_and_offers_read_back_the_same() {
-    fn any(text: Vec<u8>) -> bool {
-        // Whatever it is, it is decoded or rejected; it never panics.
+fn any_bytes_are_decoded_or_rejected_without_a_panic_and_offers_survive_a_round_trip() {
+    fn decodes_without_panic(text: Vec<u8>) -> bool {
+        // The results don't matter; the decoders must not panic on any input.
         let _ = (SubscriberMessage::decode(&text), PublisherMessage::decode(&text));
         true
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 16))
         .tests(2000)
-        .quickcheck(any as fn(Vec<u8>) -> bool);
+        .quickcheck(decodes_without_panic as fn(Vec<u8>) -> bool);
     let difference = document(1).fields().difference(document(2).fields());
-    let change = Content::Delta { base: version(1, 1), difference };
-    for content in [Content::Full(document(3).to_toml()), change] {
+    let delta = Content::Delta { base: version(1, 1), difference };
+    for content in [Content::Full(document(3).to_toml()), delta] {
         let offer = PublisherMessage::Offer(Offer {
             nonce: 5,
             lineage: LINEAGE.into(),
@@ -240,7 +273,7 @@
         });
         let text = offer.encode();
         assert_eq!(PublisherMessage::decode(text.as_bytes()), Ok(offer));
-        // Every cut of it is an error, and so is every single byte turned to another that matters.
+        // Every truncation of the encoded offer is an error.
         (0..text.len() - 1)
             .for_each(|cut| assert!(PublisherMessage::decode(&text.as_bytes()[..cut]).is_err(), "{cut}"));
     }
