--- a/crates/hazelgrade-stream/src/control_service/connections.rs
+++ b/crates/hazelgrade-stream/src/control_service/connections.rs
@@ -84,9 +84,9 @@
     /// Reports the end of a connection and removes the connection. The connection's reader task calls this function as
     /// its last step.
     fn on_connection_ended(&self, connection: ConnectionId) {
-        self.notify_publisher(self.followed_kind(connection), Event::Disconnected { connection });
+        self.notify_publisher(self.subscribed_kind(connection), Event::Disconnected { connection });
         self.notify_lessor_of_end(connection);
-        self.followed_kinds.borrow_mut().remove(&connection);
+        self.subscribed_kinds.borrow_mut().remove(&connection);
         // The reader task is running this function: dropping the task with the removed entry would cancel the task.
         if let Some(open) = self.connections.borrow_mut().remove(&connection) {
             open.reader.detach();
@@ -122,12 +122,12 @@
             drop((reader, writer));
         };
         self.executor.spawn(flush_and_close).detach();
-        if let Some(publisher) = self.publishers.get(&self.followed_kind(connection)) {
+        if let Some(publisher) = self.publishers.get(&self.subscribed_kind(connection)) {
             let event = Event::Disconnected { connection };
             publisher.borrow_mut().handle(self.now(), event, &mut Vec::new());
         }
-        // The reader task is dropped before its last step, so the lessor is notified here.
+        // The reader task is dropped without its last step, so the lessor is notified here.
         self.notify_lessor_of_end(connection);
-        self.followed_kinds.borrow_mut().remove(&connection);
+        self.subscribed_kinds.borrow_mut().remove(&connection);
     }
 }
--- a/crates/hazelgrade-stream/src/control_service/dispatch.rs
+++ b/crates/hazelgrade-stream/src/control_service/dispatch.rs
@@ -16,8 +16,8 @@
 impl ControlService {
     /// Returns the kind of document that a connection is subscribed to. A connection counts as subscribed to the
     /// serving document until it subscribes to another kind.
-    pub(super) fn followed_kind(&self, connection: ConnectionId) -> Kind {
-        self.followed_kinds.borrow().get(&connection).copied().unwrap_or_default()
+    pub(super) fn subscribed_kind(&self, connection: ConnectionId) -> Kind {
+        self.subscribed_kinds.borrow().get(&connection).copied().unwrap_or_default()
     }
 
     /// Handles a message that was received on a connection.
@@ -69,19 +69,19 @@
     /// Passes a message on a document to the publisher of the document's kind.
     fn on_document_message(&self, connection: ConnectionId, message: SubscriberMessage) {
         if let SubscriberMessage::Subscribe { kind, .. } = &message {
-            self.set_followed_kind(connection, *kind);
+            self.set_subscribed_kind(connection, *kind);
         }
-        self.notify_publisher(self.followed_kind(connection), Event::Received { connection, message });
+        self.notify_publisher(self.subscribed_kind(connection), Event::Received { connection, message });
     }
 
     /// Assigns a connection to the publisher of the kind of document that the connection subscribes to.
-    fn set_followed_kind(&self, connection: ConnectionId, kind: Kind) {
-        let previous = self.followed_kind(connection);
+    fn set_subscribed_kind(&self, connection: ConnectionId, kind: Kind) {
+        let previous = self.subscribed_kind(connection);
         if kind == previous {
             return;
         }
         self.notify_publisher(previous, Event::Disconnected { connection });
-        self.followed_kinds.borrow_mut().insert(connection, kind);
+        self.subscribed_kinds.borrow_mut().insert(connection, kind);
         self.notify_publisher(kind, Event::Connected { connection });
     }
 
--- a/crates/hazelgrade-stream/src/control_service/mod.rs
+++ b/crates/hazelgrade-stream/src/control_service/mod.rs
@@ -95,7 +95,7 @@
     publishers: BTreeMap<Kind, RefCell<Publisher>>,
     /// The kind of document that a connection is subscribed to. Connections without an entry count as subscribed to the
     /// serving document.
-    followed_kinds: RefCell<BTreeMap<ConnectionId, Kind>>,
+    subscribed_kinds: RefCell<BTreeMap<ConnectionId, Kind>>,
     connections: RefCell<BTreeMap<ConnectionId, OpenConnection>>,
     last_connection_id: Cell<ConnectionId>,
     /// The errors of the documents that can't be published, by kind.
@@ -128,7 +128,7 @@
         config,
         executor,
         publishers,
-        followed_kinds: RefCell::default(),
+        subscribed_kinds: RefCell::default(),
         connections: RefCell::default(),
         last_connection_id: Cell::new(0),
         document_errors: RefCell::default(),
--- a/crates/hazelgrade-stream/src/control_service/operator_client.rs
+++ b/crates/hazelgrade-stream/src/control_service/operator_client.rs
@@ -78,14 +78,14 @@
     message: &SubscriberMessage,
     timeout: Duration,
 ) -> Result<Value, RequestError> {
-    let failed = |source: io::Error| RequestError::Connection { control_service, source };
-    let stream = TcpStream::connect_timeout(&control_service, timeout).map_err(failed)?;
-    stream.set_read_timeout(Some(timeout)).map_err(failed)?;
-    (&stream).write_all(message.encode().as_bytes()).map_err(failed)?;
+    let connection_error = |source: io::Error| RequestError::Connection { control_service, source };
+    let stream = TcpStream::connect_timeout(&control_service, timeout).map_err(connection_error)?;
+    stream.set_read_timeout(Some(timeout)).map_err(connection_error)?;
+    (&stream).write_all(message.encode().as_bytes()).map_err(connection_error)?;
     let mut reader = io::BufReader::new(&stream);
     for _ in 0..MAX_LINES {
         let mut line = String::new();
-        reader.read_line(&mut line).map_err(failed)?;
+        reader.read_line(&mut line).map_err(connection_error)?;
         if let Some(result) = parse_answer(control_service, &line)? {
             return Ok(result);
         }
--- a/crates/hazelgrade-stream/src/lessor_service/mod.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/mod.rs
@@ -62,7 +62,7 @@
     /// The write queues of the connections to the other sites, by site name. Sites without a connection have no entry.
     site_connections: RefCell<BTreeMap<String, Rc<WriteQueue>>>,
     /// Notified when the times of the lessor's timers may have changed.
-    changed: Notify,
+    timers_changed: Notify,
     /// The longest time for which units of a lease may be in use under the document in effect, clock drift included.
     max_lease_and_use: Cell<Span>,
     /// Called in each round with the reports on the budgets.
@@ -97,7 +97,7 @@
             version: RefCell::default(),
             is_rolled_back: Cell::new(false),
             site_connections: RefCell::default(),
-            changed: Notify::default(),
+            timers_changed: Notify::default(),
             max_lease_and_use: Cell::new(Span::ZERO),
             metrics,
         };
@@ -105,8 +105,8 @@
         Ok(service)
     }
 
-    /// Stores the generation of this start. Without a stored generation, lease holders could not distinguish this start
-    /// from the previous one.
+    /// Stores the generation of this start. Without a stored generation, this start could not be distinguished from
+    /// the previous one.
     fn store_generation(&self, initial_action: lessor::Action) -> Result<(), LessorError> {
         let mut actions = VecDeque::from([initial_action]);
         while let Some(action) = actions.pop_front() {
@@ -146,7 +146,7 @@
                 }
             }
         }
-        self.changed.notify();
+        self.timers_changed.notify();
     }
 
     /// Performs actions of the ownership state machine, and passes the resulting terms, owned units and confirmations
@@ -207,9 +207,9 @@
         send: &mut impl FnMut(ConnectionId, &PublisherMessage),
     ) {
         let has_failed = rollout.failed > 0 && rollout.failed * 2 >= rollout.answered;
-        let is_known = self.version.borrow().is_some_and(|version| version == current.version);
-        let is_rolled_back = has_failed || (is_known && self.is_rolled_back.get());
-        if is_known && is_rolled_back == self.is_rolled_back.get() {
+        let is_unchanged = self.version.borrow().is_some_and(|version| version == current.version);
+        let is_rolled_back = has_failed || (is_unchanged && self.is_rolled_back.get());
+        if is_unchanged && is_rolled_back == self.is_rolled_back.get() {
             return;
         }
         self.is_rolled_back.set(is_rolled_back);
@@ -267,7 +267,7 @@
             let timer_fired = async {
                 Timer::after(Duration::from_secs_f64(wake_at.since(now).as_ms() / 1000.0)).await;
             };
-            or(self.changed.notified(), timer_fired).await;
+            or(self.timers_changed.notified(), timer_fired).await;
         }
     }
 
--- a/crates/hazelgrade-stream/src/lessor_service/sites.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/sites.rs
@@ -21,8 +21,7 @@
 
 /// The delay before a new connection is opened after the previous one ended.
 const RECONNECT_DELAY: Duration = Duration::from_millis(300);
-/// The time without a message after which a connection counts as broken. The other lessor answers each report, so a
-/// working connection is never silent for this long.
+/// A connection without any message for this time counts as broken, because the other lessor answers each report.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The most bytes that may be queued for writing on a connection.
 const WRITE_QUEUE_BYTES: usize = 256 * 1024;
--- a/crates/hazelgrade-stream/src/lessor_service/store.rs
+++ b/crates/hazelgrade-stream/src/lessor_service/store.rs
@@ -66,13 +66,13 @@
     if path.exists() {
         return Err(LessorError::StoreExists { path });
     }
-    let failed = |reason: StoreError| LessorError::NotCreated { path: path.clone(), reason };
-    let mut store = Store::open(&path, &store_owner(site, listen)).map_err(failed)?;
+    let not_created = |reason: StoreError| LessorError::NotCreated { path: path.clone(), reason };
+    let mut store = Store::open(&path, &store_owner(site, listen)).map_err(not_created)?;
     let record = initial_record(site, lost);
     let record = json!(record).to_string();
     let ledger = json!(SiteLedger::default()).to_string();
     let values = [(RECORD_KEY, Some(record.as_bytes())), (LEDGER_KEY, Some(ledger.as_bytes()))];
-    store.commit(&values).map_err(failed)?;
+    store.commit(&values).map_err(not_created)?;
     let delay_note = lost.map_or(String::new(), |lost| {
         format!("; it grants nothing new for {:.0} ms after its start", lost.max_grant_ms().ceil())
     });
