--- a/crates/hazelgrade-server/src/program/budgets.rs
+++ b/crates/hazelgrade-server/src/program/budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets: limits that hold for all nodes together, and this node's share of them.
+//! Starts this node's share of the budgets (limits that hold for all nodes together) and its budget subscription.
 
 use super::configuration::Deployment;
 use super::documents;
@@ -25,16 +25,16 @@
 use std::rc::Rc;
 use std::time::SystemTime;
 
-/// A subscription to documents of budgets that has started, and the host for it.
+/// A started subscription to budget documents, and the host that applies them.
 pub struct BudgetSubscription {
-    /// The subscription, not followed yet.
+    /// The started subscription, not yet connected to the control services.
     pub started: StartedSubscription,
-    /// Applies the documents.
+    /// Applies the received documents to the node.
     pub host: BudgetHost,
 }
 
-/// Enables budgets. Until a lessor grants a lease, the node may use what the configuration allows it without one.
-/// `clock_rate` is the rate of this node's clock: 1 except in tests.
+/// Enables budgets and starts the subscription to budget documents. Until a lessor grants a lease, the node may use the
+/// standalone units of its configuration. `clock_rate` is the rate of this node's clock, which is 1 except in tests.
 pub fn start(
     config: &BudgetConfig,
     stream: &StreamConfig,
@@ -57,7 +57,7 @@
         initial: document,
     };
     let started = subscription.start(context.driver.clock.now());
-    let host = BudgetHost { context: context.clone(), budget_share, store, counted: Cell::default() };
+    let host = BudgetHost { context: context.clone(), budget_share, store, last_sampled: Cell::default() };
     Ok(BudgetSubscription { started, host })
 }
 
@@ -67,7 +67,8 @@
     context: &RequestContext,
     clock_rate: f64,
 ) -> BudgetShare {
-    // Two processes with the same name are different holders, so the incarnation must not depend on name or seed.
+    // Two processes with the same node name are different lease holders, so the incarnation must not be derived from
+    // the name or the seed.
     let incarnation = RandomState::new().hash_one((SystemTime::now(), std::process::id()));
     let holder = LeaseHolder::new(
         Time::from_ms(0.0),
@@ -80,23 +81,23 @@
     BudgetShare::new(holder, config.call_budget.clone(), linger, clock_rate)
 }
 
-/// Applies documents of budgets and leases to the node.
+/// Applies budget documents and lease grants to the node.
 pub struct BudgetHost {
     context: Rc<RequestContext>,
     budget_share: Rc<BudgetShare>,
     store: SharedStore,
-    counted: Cell<CountedJobs>,
+    last_sampled: Cell<SampledCounters>,
 }
 
-/// Counters at the last sample.
+/// Job counters at the time of the last sample.
 #[derive(Clone, Copy, Default)]
-struct CountedJobs {
+struct SampledCounters {
     answered: u64,
     succeeded: u64,
 }
 
 impl BudgetHost {
-    /// Notifies the controller of the calls that this node may make now.
+    /// Notifies the controller of the call lease: the calls to the dependency that this node may make now.
     fn update_call_lease(&self) {
         let driver = &self.context.driver;
         if let Some(lease) = self.budget_share.call_lease(driver.clock.now()) {
@@ -122,21 +123,21 @@
 
     fn sample(&self) -> Sample {
         let counters = *self.context.counters.borrow();
-        let counted = CountedJobs {
+        let sampled = SampledCounters {
             answered: counters.succeeded + counters.rejected + counters.failed,
             succeeded: counters.succeeded,
         };
-        let before = self.counted.replace(counted);
+        let before = self.last_sampled.replace(sampled);
         Sample {
-            answered: counted.answered.saturating_sub(before.answered) as f64,
-            succeeded: counted.succeeded.saturating_sub(before.succeeded) as f64,
+            answered: sampled.answered.saturating_sub(before.answered) as f64,
+            succeeded: sampled.succeeded.saturating_sub(before.succeeded) as f64,
             executor_connected: self.context.executor.is_up(),
         }
     }
 
     fn next_message(&self) -> Option<SubscriberMessage> {
         let request = self.budget_share.due_request()?;
-        // The request of a draining node returns units.
+        // A lease request of a draining node returns units, so the call lease shrinks with the request.
         if request.draining {
             self.update_call_lease();
         }
@@ -162,7 +163,10 @@
                 if self.budget_share.apply_grant(grant) {
                     self.update_call_lease();
                 } else {
-                    tracing::debug!(count = grant.sequence, "outdated grant ignored");
+                    tracing::debug!(
+                        count = grant.sequence,
+                        "lease grant ignored: it answers an earlier request or is of an earlier generation"
+                    );
                 }
             }
             PublisherMessage::RequestLeases => self.budget_share.request_leases_now(),
--- a/crates/hazelgrade-server/src/program/configuration.rs
+++ b/crates/hazelgrade-server/src/program/configuration.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration file in JSON. Only this module knows its field names.
+//! Reads the platform's JSON configuration file. The field names of that file are defined in this module only.
 
 use crate::transport::database;
 use hazelgrade_config::serving::ResourceLimits;
@@ -7,79 +7,79 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// File descriptors reserved for all but clients and the dependency: log, executor, registry, signals, the event queue,
-/// a file that is read, one connection that was just accepted.
+/// File descriptors that client and dependency connections may not use: the log, the executor, the registry, signals,
+/// the event queue, a file being read, and one connection that was just accepted.
 const RESERVED_DESCRIPTORS: usize = 16;
 
-/// The share of the memory limit for cached results; the rest is for jobs in flight and connections.
+/// The share of the memory limit for the result cache. The rest is left for jobs in flight and connections.
 const RESULT_CACHE_RATIO: f64 = 0.125;
 
-/// The limit on file descriptors if the configuration sets none.
+/// The limit on open file descriptors if the configuration sets none.
 const DEFAULT_SOCKETS: usize = 1024;
 
-/// The least limit on file descriptors.
+/// The lowest limit on open file descriptors that a configuration may set.
 const MIN_SOCKETS: u64 = 32;
 
-/// The limit on memory if the configuration sets none, in MiB.
+/// The limit on the memory of the process if the configuration sets none, in MiB.
 const DEFAULT_MEMORY_MB: f64 = 192.0;
 
 /// Bytes per MiB.
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
-/// The addresses of the node's peers, which a reload may change.
+/// The addresses of the node's peers. A reload may change them.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// The executor.
+    /// The address of the executor.
     pub executor: SocketAddr,
-    /// The registry.
+    /// The address of the registry.
     pub registry: SocketAddr,
-    /// The database; `None` for a node without a dependency to call.
+    /// The address of the database, or `None` for a node that has no dependency to call.
     pub database: Option<SocketAddr>,
 }
 
-/// The platform's configuration of an instance.
+/// The platform's configuration of a service instance.
 #[derive(Debug)]
 pub struct Deployment {
     /// The name of the node.
     pub name: String,
-    /// The address to listen on.
+    /// The address on which the node listens for clients.
     pub listen: SocketAddr,
-    /// The addresses of its peers.
+    /// The addresses of the node's peers.
     pub addresses: Addresses,
-    /// Seeds all random numbers of decisions.
+    /// The seed of all random numbers that decisions use.
     pub seed: u64,
-    /// From SIGTERM until the platform kills the process.
+    /// The time from SIGTERM until the platform kills the process.
     pub stop: Duration,
-    /// File descriptors that the process may have open.
+    /// The number of file descriptors that the process may have open.
     pub sockets: usize,
-    /// Memory that the process may take, in MiB.
+    /// The memory that the process may use, in MiB.
     pub memory_mb: f64,
-    /// The settings of the controller, not decoded yet.
+    /// The settings of the controller, not yet decoded.
     pub settings: Value,
-    /// The fields that only a restart changes.
+    /// The fields whose changes take effect only after a restart.
     pub start_fields: StartFields,
 }
 
-/// The fields that only a restart changes, as they were at the start.
+/// The fields whose changes take effect only after a restart, with their values at the start of the process.
 #[derive(Clone, Debug)]
 pub struct StartFields(Vec<(&'static str, Option<Value>)>);
 
 impl StartFields {
-    /// Their names in the file.
+    /// The names of these fields in the configuration file.
     const NAMES: [&str; 6] = ["name", "listen", "seed", "stop_ms", "limits", "settings"];
 
     fn from_configuration(value: &Value) -> StartFields {
         StartFields(Self::NAMES.iter().map(|field| (*field, value.get(field).cloned())).collect())
     }
 
-    /// The names of the fields that differ in another configuration.
+    /// Returns the names of the fields whose values differ in another configuration.
     pub fn differing(&self, value: &Value) -> Vec<&'static str> {
         let differing = self.0.iter().filter(|(field, before)| value.get(field) != before.as_ref());
         differing.map(|(field, _)| *field).collect()
     }
 }
 
-/// A configuration that can't be used.
+/// A configuration file that can't be used, and the reason.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {reason}", path.display())]
 pub struct ConfigurationError {
@@ -93,43 +93,43 @@
     /// The file can't be read.
     #[error(transparent)]
     Unreadable(#[from] std::io::Error),
-    /// It is not JSON.
+    /// The file is not valid JSON.
     #[error(transparent)]
     InvalidJson(#[from] serde_json::Error),
-    /// It is JSON, but not an object.
+    /// The file holds a JSON value that is not an object.
     #[error("expected a JSON object")]
     NotAnObject,
-    /// A field is missing or wrong.
+    /// A field is missing or invalid.
     #[error(transparent)]
     Field(#[from] FieldError),
 }
 
 impl ErrorReason {
-    /// The error of the file at this path.
+    /// Returns the error for the configuration file at this path.
     pub fn of_file(self, path: &Path) -> ConfigurationError {
         ConfigurationError { path: path.to_owned(), reason: self }
     }
 }
 
-/// A field that is missing or wrong.
+/// A field that is missing or invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("field {field}: expected {expected}")]
 pub struct FieldError {
     /// The name of the field.
     pub field: &'static str,
-    /// What it must be.
+    /// A description of the valid values.
     pub expected: &'static str,
 }
 
-/// Reads the configuration.
+/// Reads and decodes the configuration file.
 ///
 /// # Errors
-/// A file that can't be read, or the first field that is wrong.
+/// Returns an error if the file can't be read or is not a JSON object, or for the first invalid field.
 pub fn read(path: &Path) -> Result<Deployment, ConfigurationError> {
     read_json(path).and_then(decode).map_err(|reason| reason.of_file(path))
 }
 
-/// Reads a file of JSON.
+/// Reads a JSON file.
 pub fn read_json(path: &Path) -> Result<Value, ErrorReason> {
     Ok(serde_json::from_slice(&std::fs::read(path)?)?)
 }
@@ -145,7 +145,7 @@
 }
 
 impl Addresses {
-    /// Decodes the addresses of a configuration.
+    /// Decodes the peer addresses of a configuration.
     pub fn decode(value: &Value) -> Result<Addresses, FieldError> {
         let database = match value.get("db") {
             None | Some(Value::Null) => None,
@@ -160,23 +160,24 @@
 }
 
 impl Deployment {
-    /// Connections to the dependency that may be open at once: at most half of the descriptors that are not reserved.
+    /// Returns how many connections to the dependency may be open at once: at most half of the file descriptors that
+    /// are not reserved, and at least one.
     pub fn max_dependency_connections(&self) -> usize {
         database::MAX_CONNECTIONS.min(self.sockets.saturating_sub(RESERVED_DESCRIPTORS) / 2).max(1)
     }
 
-    /// Client connections that may be open at once.
+    /// Returns how many client connections may be open at once.
     pub fn max_client_connections(&self) -> usize {
         let reserved = RESERVED_DESCRIPTORS + self.max_dependency_connections();
         self.sockets.saturating_sub(reserved).max(1)
     }
 
-    /// Bytes that cached results of keyed jobs may take.
+    /// Returns how many bytes the cached results of jobs with an idempotency key may take.
     pub fn max_result_cache_bytes(&self) -> usize {
         (self.memory_mb * RESULT_CACHE_RATIO * BYTES_PER_MB) as usize
     }
 
-    /// Lowers the limits of the process to those of a document, which can't raise them.
+    /// Lowers the limits of the process to those of a serving document. A document can't raise a limit.
     pub fn lower_limits(&mut self, limits: ResourceLimits) {
         if let Some(sockets) = limits.sockets {
             self.sockets = self.sockets.min(sockets as usize);
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Removes job classes and tenants from the settings: they come from documents instead.
+    /// Removes job classes and tenants from the settings, for a node that receives them in serving documents.
     pub fn remove_job_classes_and_tenants(&mut self) {
         if let Some(settings) = self.settings.as_object_mut() {
             settings.remove("classes");
@@ -195,10 +196,10 @@
     }
 }
 
-/// Decodes a configuration.
+/// Decodes the JSON value of a configuration file.
 ///
 /// # Errors
-/// The first field that is wrong.
+/// Returns an error for the first invalid field.
 fn decode(mut value: Value) -> Result<Deployment, ErrorReason> {
     if !value.is_object() {
         return Err(ErrorReason::NotAnObject);
@@ -233,7 +234,7 @@
     name.map(str::to_owned).ok_or_else(|| field_error("name", "a word"))
 }
 
-/// The seed, as a string of hex digits or a whole number.
+/// Decodes the seed, which is a string of hex digits or a non-negative integer.
 fn decode_seed(value: &Value) -> Option<u64> {
     match value.get("seed")? {
         Value::String(hex) => u64::from_str_radix(hex, 16).ok(),
--- a/crates/hazelgrade-server/src/program/documents.rs
+++ b/crates/hazelgrade-server/src/program/documents.rs
@@ -1,13 +1,13 @@
-//! Reads documents from files, with errors as text that names file, line and field.
+//! Reads documents from files. Errors are returned as text that names the file, the line and the field.
 
 use hazelgrade_config::{Document, Kind, error_summary};
 use hazelgrade_identity::AccessPolicy;
 use std::path::Path;
 
-/// Errors of one document that are shown.
+/// The number of errors of one document that an error text lists.
 pub const MAX_ERRORS_SHOWN: usize = 5;
 
-/// Reads a document of a kind; one of identities must also make a valid policy.
+/// Reads a document of the given kind. An identity document must also form a valid access policy.
 pub fn read(kind: Kind, path: &Path) -> Result<Document, String> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| format!("{file}: {error}"))?;
--- a/crates/hazelgrade-server/src/program/drain.rs
+++ b/crates/hazelgrade-server/src/program/drain.rs
@@ -1,4 +1,4 @@
-//! Shutdown, from the signal to the exit. [`drain`] lists the steps in order.
+//! Shuts the instance down, from the signal to the exit. [`drain`] runs the steps in order.
 
 use super::serve::Services;
 use crate::protocol::jsonrpc;
@@ -15,21 +15,22 @@
 
 /// The listener closes at least this long before the platform kills the process.
 const LISTENER_CLOSES_BEFORE_STOP: Duration = Duration::from_millis(150);
-/// After this long without a connected client, no more clients are expected.
+/// If no client has been connected for this long, the drain expects no more clients and ends early.
 const NO_CLIENTS_FOR: Duration = Duration::from_millis(1500);
-/// Once every answer is written, the process exits this long before it would be killed, even with connections open.
+/// Once every answer is written, the process exits this long before the platform would kill it, even if connections are
+/// still open.
 const EXITS_BEFORE_STOP: Duration = Duration::from_millis(20);
-/// How often the drain checks its progress.
+/// How often the drain checks whether clients have left and answers are written.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Notifies the subscriptions to documents that the node drains, one for each kind.
+/// Notifies the document subscriptions that the drain has started. Each kind of document has its own notifier.
 #[derive(Default)]
 pub struct DrainNotifiers {
-    /// For serving documents.
+    /// The notifier of the subscription to serving documents.
     pub serving: Rc<Notify>,
-    /// For identity documents.
+    /// The notifier of the subscription to identity documents.
     pub identity: Rc<Notify>,
-    /// For documents of budgets.
+    /// The notifier of the subscription to budget documents.
     pub budgets: Rc<Notify>,
 }
 
@@ -41,10 +42,10 @@
     }
 }
 
-/// Drains the node: keeps answering until the stop is near or all clients have left. Returns whether every answer was
-/// written.
+/// Drains the node: continues to accept and answer jobs until the stop time is near or all clients have left. Returns
+/// whether every answer was written.
 ///
-/// `requested_at` is when shutdown was requested; `stop` is how long after it the platform kills the process.
+/// `requested_at` is the time of the shutdown request, and the platform kills the process `stop` after that time.
 pub async fn drain(
     services: &Services,
     notifiers: &DrainNotifiers,
@@ -57,7 +58,8 @@
     let drain = Drain::new(&services.front_end, requested_at, stop);
     drain.notify_controller_and_clients(requested_at);
     drain.wait_for_clients_to_leave().await;
-    // Connections in the backlog may carry requests: all of them are accepted before the listener closes.
+    // Connections in the listen backlog may already carry requests, so all of them are accepted before the listener
+    // closes.
     accepting.cancel().await;
     drain.take_backlog(&listener).await;
     drop(listener);
@@ -66,7 +68,7 @@
     drain.is_settled()
 }
 
-/// Reports "not ready" to the registry, and the drain to control services and lessors.
+/// Reports "not ready" to the registry, and reports the drain to control services and lessors.
 fn announce(services: &Services, notifiers: &DrainNotifiers) {
     services.is_draining.set(true);
     notifiers.notify();
@@ -94,7 +96,7 @@
         self.started_at.elapsed()
     }
 
-    /// Whether every job is answered, and every answer was handed to the system.
+    /// Returns whether every job is answered and every answer was passed to the operating system.
     fn is_settled(&self) -> bool {
         self.front_end.context.in_flight.unanswered() == 0 && self.front_end.connections.all_idle()
     }
@@ -138,8 +140,8 @@
         }
     }
 
-    /// Waits for the last answers, which the controller gives shortly before the stop. Idle connections are closed
-    /// properly, so that no bytes in transit are lost when the process exits.
+    /// Waits until the last answers are written. The controller answers all remaining jobs shortly before the stop
+    /// time. Idle connections are closed properly, so that no bytes in transit are lost when the process exits.
     async fn write_last_answers(&self) {
         let clients = &self.front_end.connections;
         while clients.count() > 0 || !self.is_settled() {
--- a/crates/hazelgrade-server/src/program/identity.rs
+++ b/crates/hazelgrade-server/src/program/identity.rs
@@ -1,4 +1,5 @@
-//! Authentication in a serving node: signing keys, callers and rights come from a file, or as streamed documents.
+//! Authentication in a serving node. Signing keys, callers and rights come from an identity document, which is read
+//! from a file or received from control services.
 
 use super::configuration::Deployment;
 use super::documents;
@@ -20,11 +21,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often denied requests are logged, summed up.
+/// The interval at which denied requests are logged, as one summary for each caller and reason.
 const AUDIT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Applies an identity document to the node. With `is_rollback` it replaces a later version that failed, and what that
-/// one revoked stays revoked.
+/// Applies an identity document to the node. With `is_rollback`, the document replaces a later version that failed its
+/// trial, and all revocations of that later version stay in effect.
 fn apply(document: &Document, context: &RequestContext, is_rollback: bool) -> Result<(), String> {
     let policy = AccessPolicy::from_document(document).map_err(|error| error.to_string())?;
     let now = context.driver.clock.now();
@@ -34,16 +35,18 @@
         .map_err(|error| error.to_string())
 }
 
-/// Reads the identity document again, on SIGHUP; one that is wrong changes nothing.
+/// Reads the identity document again after SIGHUP. An invalid document leaves the current identities in effect.
 pub fn reload(path: &Path, context: &RequestContext) {
     let applied = documents::read(Kind::Identity, path).and_then(|document| apply(&document, context, false));
     match applied {
-        Ok(()) => tracing::info!(path = %path.display(), "identities reloaded"),
-        Err(error) => tracing::error!(error, "the new identities are wrong and change nothing"),
+        Ok(()) => tracing::info!(path = %path.display(), "identity document reloaded"),
+        Err(error) => {
+            tracing::error!(error, "identity document not reloaded; the previous one stays in effect")
+        }
     }
 }
 
-/// Logs denied requests until the future is dropped.
+/// Logs summaries of denied requests until the future is dropped.
 pub async fn log_denied_requests(context: &RequestContext) {
     loop {
         Timer::after(AUDIT_INTERVAL).await;
@@ -51,15 +54,16 @@
     }
 }
 
-/// A subscription to identity documents that has started, and the host for it.
+/// A started subscription to identity documents, and the host that applies them.
 pub struct IdentitySubscription {
-    /// The subscription, not followed yet.
+    /// The started subscription, not yet connected to the control services.
     pub started: StartedSubscription,
-    /// Applies the documents.
+    /// Applies the received documents to the node.
     pub host: IdentityHost,
 }
 
-/// Enables authentication. An identity document in a file applies at once; streamed ones apply through a subscription.
+/// Enables authentication. An identity document from a file is applied at once. If the configuration streams identity
+/// documents, a subscription is started instead and returned.
 pub fn start(
     config: &IdentityConfig,
     stream: Option<&StreamConfig>,
@@ -89,7 +93,7 @@
         initial: document,
     };
     let started = subscription.start(context.driver.clock.now());
-    let host = IdentityHost { context: context.clone(), store, counted: Cell::default() };
+    let host = IdentityHost { context: context.clone(), store, last_sampled: Cell::default() };
     Ok(Some(IdentitySubscription { started, host }))
 }
 
@@ -97,12 +101,12 @@
 pub struct IdentityHost {
     context: Rc<RequestContext>,
     store: SharedStore,
-    counted: Cell<CountedJobs>,
+    last_sampled: Cell<SampledCounters>,
 }
 
-/// Counters at the last sample.
+/// Request counters at the time of the last sample.
 #[derive(Clone, Copy, Default)]
-struct CountedJobs {
+struct SampledCounters {
     authenticated: u64,
     unverified: u64,
 }
@@ -126,17 +130,17 @@
         }
     }
 
-    /// Requests that fail verification count as failures. Those denied by rights or revocations do not: otherwise a
-    /// revocation would be rolled back for having its intended effect.
+    /// Counts requests that fail verification as failures. Requests denied by rights or revocations are not counted,
+    /// because a trial would otherwise roll a revocation back for its intended effect.
     fn sample(&self) -> Sample {
         let counters = *self.context.counters.borrow();
-        let counted = CountedJobs {
+        let sampled = SampledCounters {
             authenticated: counters.succeeded + counters.rejected + counters.failed,
             unverified: counters.unverified,
         };
-        let before = self.counted.replace(counted);
-        let authenticated = counted.authenticated.saturating_sub(before.authenticated) as f64;
-        let unverified = counted.unverified.saturating_sub(before.unverified) as f64;
+        let before = self.last_sampled.replace(sampled);
+        let authenticated = sampled.authenticated.saturating_sub(before.authenticated) as f64;
+        let unverified = sampled.unverified.saturating_sub(before.unverified) as f64;
         Sample { answered: authenticated + unverified, succeeded: authenticated, executor_connected: true }
     }
 }
--- a/crates/hazelgrade-server/src/program/mod.rs
+++ b/crates/hazelgrade-server/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! The program around the service instance: command line, configuration, start, signals, reload, shutdown and log.
+//! The program that runs the service instance: command line, configuration, start, signals, reload, shutdown and log.
 
 pub mod command;
 
--- a/crates/hazelgrade-server/src/program/reload.rs
+++ b/crates/hazelgrade-server/src/program/reload.rs
@@ -1,5 +1,5 @@
-//! Reads the configuration again on SIGHUP and connects to the new addresses. Fields that can't change while serving
-//! stay as they were, and a file that is wrong changes nothing.
+//! Reads the configuration file again on SIGHUP and connects to the new peer addresses. Fields that can't change while
+//! the node serves keep their values, and an invalid file leaves the configuration unchanged.
 
 use super::configuration::{Addresses, ConfigurationError, ErrorReason, FieldError, StartFields, read_json};
 use crate::routing::controller_driver::ControllerDriver;
@@ -12,36 +12,38 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// The peers whose addresses a reload or a serving document changes.
+/// The peers whose addresses a reload or a serving document may change.
 pub struct Reload {
-    /// The configuration file.
+    /// The path of the configuration file.
     pub configuration_path: PathBuf,
-    /// The fields that only a restart changes, as they were at the start.
+    /// The fields whose changes take effect only after a restart, with their values at the start.
     pub start_fields: StartFields,
     /// Whether the node has a dependency to call.
     pub calls_dependency: bool,
-    /// The addresses of the configuration file.
+    /// The addresses from the configuration file.
     pub file_addresses: Cell<Addresses>,
-    /// The addresses of the serving document, which take precedence.
+    /// The addresses from the serving document, which take precedence over those of the file.
     pub streamed_addresses: Cell<NodeAddresses>,
     /// The link to the executor.
     pub executor: Rc<ExecutorLink>,
-    /// Calls to the database.
+    /// Makes the calls to the database.
     pub dependency_calls: Rc<DependencyCalls>,
     /// Sends heartbeats to the registry.
     pub registry: Rc<Registry>,
-    /// Sends a heartbeat at once after a change of addresses.
+    /// Sends a heartbeat immediately after a change of addresses.
     pub driver: Rc<ControllerDriver>,
 }
 
 impl Reload {
-    /// Reads the configuration file again.
+    /// Reads the configuration file again, applies its addresses, and logs the result.
     pub fn reload(&self) {
         match self.read_again() {
             Ok(Addresses { executor, registry, database }) => {
                 tracing::info!(%executor, %registry, ?database, "configuration reloaded");
             }
-            Err(error) => tracing::error!(%error, "the new configuration is wrong and changes nothing"),
+            Err(error) => {
+                tracing::error!(%error, "configuration file not reloaded; the previous one stays in effect")
+            }
         }
     }
 
@@ -54,7 +56,7 @@
         if !differing.is_empty() {
             tracing::warn!(
                 fields = differing.join(", "),
-                "changed in the file, but in effect only after a restart"
+                "configuration fields changed in the file take effect only after a restart"
             );
         }
         Ok(addresses)
@@ -73,8 +75,8 @@
     /// Applies the addresses of a serving document, which take precedence over those of the file.
     ///
     /// # Errors
-    /// A database for a node that has no dependency to call, or a registry of another address family. Nothing changes
-    /// then.
+    /// Returns an error, and changes no address, if the document names a database for a node that has no dependency to
+    /// call, or a registry of another address family.
     pub fn set_streamed(&self, streamed: NodeAddresses) -> Result<(), FieldError> {
         if streamed.database.is_some() && !self.calls_dependency {
             return Err(FieldError { field: "database", expected: "none, as this node calls nothing below" });
@@ -88,7 +90,8 @@
             registry: streamed.registry.unwrap_or(file.registry),
             database: streamed.database.filter(|_| self.calls_dependency).or(file.database),
         };
-        // First, as this is the only step that may fail: nothing has changed yet.
+        // The registry comes first because setting its address is the only step that may fail: on an error no other
+        // address has changed yet.
         if !self.registry.set_address(addresses.registry) {
             let expected = "an address of the same family as at the start";
             return Err(FieldError { field: "registry", expected });
--- a/crates/hazelgrade-server/src/program/serve.rs
+++ b/crates/hazelgrade-server/src/program/serve.rs
@@ -1,6 +1,6 @@
-//! `serve`: one service instance, from its start to its exit.
+//! Runs one service instance from its start to its exit.
 //!
-//! [`serve`] starts the instance; [`super::drain`] shuts it down.
+//! [`serve`] starts the instance, and [`super::drain`] shuts it down.
 
 mod bind;
 mod reports;
@@ -33,35 +33,36 @@
 use std::rc::Rc;
 use tracing::level_filters::LevelFilter;
 
-/// The log of the program, whose level documents change.
+/// The log level of the program, which serving documents may change.
 pub struct LogLevel {
-    /// Changes the level while the program runs.
+    /// Changes the log level while the program runs.
     pub handle: LevelHandle,
-    /// The level of the command line.
+    /// The log level set on the command line.
     pub default: LevelFilter,
 }
 
-/// What the command line gives to an instance.
+/// The inputs of a service instance, taken from the command line and the files that it names.
 pub struct ServeOptions {
     /// The platform's configuration.
     pub deployment: Deployment,
-    /// The file that the deployment was read from, which SIGHUP reads again.
+    /// The file from which the deployment was read. SIGHUP reads the file again.
     pub configuration_path: PathBuf,
-    /// The operator's file.
+    /// The decoded operator's file.
     pub operator: OperatorConfig,
-    /// The log of the program.
+    /// The log level of the program.
     pub log_level: LogLevel,
-    /// Caught since before the configuration was read.
+    /// The signals received by the process, caught since before the configuration was read.
     pub signals: Signals,
 }
 
-/// Serves until SIGTERM or SIGINT, then drains; SIGHUP reloads until the exit. `Ok(true)` if every answer was written.
+/// Serves until SIGTERM or SIGINT, then drains. SIGHUP reloads files at any time until the exit. Returns `Ok(true)` if
+/// every answer was written.
 ///
-/// With `[stream]` in the operator's file, job classes, tenants, limits and addresses come as documents; the job
-/// classes and tenants of the deployment are ignored then.
+/// With `[stream]` in the operator's file, job classes, tenants, limits and addresses come from serving documents, and
+/// the job classes and tenants of the deployment are ignored.
 ///
 /// # Errors
-/// The field of a file or address that is wrong; nothing was served then.
+/// Returns an error that names the invalid field of a file, or the address that can't be used. No job was served.
 pub fn serve(options: ServeOptions) -> Result<bool, String> {
     let ServeOptions { mut deployment, configuration_path, operator, log_level, mut signals } = options;
     let initial = open_initial_configuration(&operator, &mut deployment)?;
@@ -70,7 +71,7 @@
     let (listener, reload_requested) = match bind::bind(deployment.listen, &mut signals)? {
         Bound::Listening { listener, reload_requested } => (listener, reload_requested),
         Bound::ShutdownRequested => {
-            tracing::info!("shutdown requested before listening");
+            tracing::info!("shutdown requested before the listening socket was open; exiting");
             return Ok(true);
         }
     };
@@ -112,7 +113,8 @@
     block_on(services.tasks.run(or(serve_and_drain, handle_signals)))
 }
 
-/// Opens the store of a node that subscribes to control services. Its document may lower the limits of the process.
+/// Opens the store of a node that subscribes to control services. The document that the node starts with may lower the
+/// limits of the process.
 fn open_initial_configuration(
     operator: &OperatorConfig,
     deployment: &mut Deployment,
@@ -125,7 +127,8 @@
     Ok(Some(initial))
 }
 
-/// An instance whose components exist. Each start step spawns tasks, which run once all steps are done.
+/// An instance whose components are created. Each `start_*` method spawns tasks, which run once all of these methods
+/// have returned.
 struct Instance {
     deployment: Deployment,
     services: Services,
@@ -133,7 +136,7 @@
 }
 
 impl Instance {
-    /// Starts heartbeats, the summary in the log, and the enforcement of client timeouts.
+    /// Starts the heartbeats, the periodic log summary, and the enforcement of client timeouts.
     fn start_reports(&self) {
         let Services { driver, registry, front_end, is_draining, .. } = &self.services;
         let readiness_follows_health = self.services.context.settings.borrow().readiness_follows_health;
@@ -221,7 +224,7 @@
         subscription.started.follow(subscription.host, stream, tasks, self.drain_notifiers.serving.clone());
     }
 
-    /// Starts the link to the executor, and the rounds of the controller.
+    /// Starts the link to the executor and the rounds of the controller.
     fn start_driver(&self, executor_events: ExecutorEvents) {
         let Services { driver, tasks, .. } = &self.services;
         let link_tasks = tasks.clone();
--- a/crates/hazelgrade-server/src/program/serve/bind.rs
+++ b/crates/hazelgrade-server/src/program/serve/bind.rs
@@ -1,4 +1,4 @@
-//! Opens the listening socket. Signals are handled while another process still holds the address.
+//! Opens the listening socket. Signals are handled while the address is still in use by another process.
 
 use crate::transport::listener;
 use async_io::{Async, block_on};
@@ -9,30 +9,31 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// How long to wait for the address: an earlier process that is about to exit may still hold it.
+/// How long to retry while the address is in use: an earlier process that is about to exit may still listen on it.
 const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The pause between two attempts.
+/// The pause between two attempts to listen on the address.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How listening ended.
+/// The result of [`bind`].
 pub enum Bound {
-    /// The socket listens.
+    /// The socket is listening.
     Listening {
-        /// The socket.
+        /// The listening socket.
         listener: Async<TcpListener>,
-        /// Whether SIGHUP came meanwhile.
+        /// Whether SIGHUP was received before the socket was listening.
         reload_requested: bool,
     },
-    /// SIGTERM or SIGINT came before the socket listened.
+    /// SIGTERM or SIGINT was received before the socket was listening.
     ShutdownRequested,
 }
 
-/// Listens on an address, with retries while another process holds it.
+/// Listens on an address, with retries while the address is in use by another process.
 ///
 /// # Errors
-/// The address and the reason: after [`ADDRESS_IN_USE_TIMEOUT`] if the address is in use, otherwise at once.
+/// Returns an error with the address and the cause: after [`ADDRESS_IN_USE_TIMEOUT`] if the address is in use, and at
+/// once for any other cause.
 pub fn bind(address: SocketAddr, signals: &mut Signals) -> Result<Bound, String> {
-    let give_up_at = Instant::now() + ADDRESS_IN_USE_TIMEOUT;
+    let retry_until = Instant::now() + ADDRESS_IN_USE_TIMEOUT;
     let mut reload_requested = false;
     loop {
         while let Some(Some(Ok(signal))) = block_on(poll_once(signals.next())) {
@@ -43,7 +44,7 @@
         }
         match listener::bind(address) {
             Ok(listener) => return Ok(Bound::Listening { listener, reload_requested }),
-            Err(error) if error.kind() == ErrorKind::AddrInUse && Instant::now() < give_up_at => {
+            Err(error) if error.kind() == ErrorKind::AddrInUse && Instant::now() < retry_until => {
                 std::thread::sleep(RETRY_INTERVAL);
             }
             Err(error) => return Err(format!("field listen: {address}: {error}")),
--- a/crates/hazelgrade-server/src/program/serve/reports.rs
+++ b/crates/hazelgrade-server/src/program/serve/reports.rs
@@ -1,4 +1,4 @@
-//! What an instance reports: heartbeats to the registry, and a summary in the log.
+//! Periodic reports of an instance: heartbeats to the registry, and a summary in the log.
 
 use crate::protocol::registry;
 use crate::routing::controller_driver::ControllerDriver;
@@ -10,27 +10,28 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The registry unlists an instance after three seconds without a heartbeat. Single datagrams may be lost.
+/// The interval between heartbeats. The registry unlists an instance after three seconds without a heartbeat, and
+/// single datagrams may be lost.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// How often the summary is logged while jobs arrive.
+/// The interval at which the summary is logged while jobs arrive.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Sends heartbeats to the registry.
 pub struct Heartbeat {
-    /// Where heartbeats go.
+    /// The registry that receives the heartbeats.
     pub registry: Rc<Registry>,
     /// The name of this node.
     pub node: String,
-    /// Tells whether the instance is healthy.
+    /// The controller driver, which knows whether the instance is healthy.
     pub driver: Rc<ControllerDriver>,
-    /// Whether shutdown was requested: heartbeats report "not ready" then.
+    /// Whether shutdown was requested. Heartbeats report "not ready" from then on.
     pub is_draining: Rc<Cell<bool>>,
     /// Whether heartbeats report "not ready" while the instance is unhealthy.
     pub readiness_follows_health: bool,
 }
 
 impl Heartbeat {
-    /// Sends a heartbeat at each interval, and at once when health changes or a heartbeat is requested.
+    /// Sends a heartbeat at each interval, and immediately when the health changes or a heartbeat is requested.
     pub async fn run(&self) {
         loop {
             let is_ready =
@@ -45,7 +46,7 @@
     }
 }
 
-/// Logs the counters after each interval in which jobs arrived.
+/// Logs a summary of the counters after each interval in which jobs arrived.
 pub async fn log_summaries(front_end: &FrontEnd) {
     let mut arrived_before = 0;
     loop {
--- a/crates/hazelgrade-server/src/program/serve/services.rs
+++ b/crates/hazelgrade-server/src/program/serve/services.rs
@@ -1,4 +1,4 @@
-//! Creates the components of an instance and connects them. No task runs yet.
+//! Creates the components of an instance and connects them to each other, without running any task.
 
 use crate::program::configuration::Deployment;
 use crate::routing::callers::Callers;
@@ -23,23 +23,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Idle connections to the dependency are closed after this. The dependency closes idle ones early itself, and opening
-/// one costs little.
+/// Connections to the dependency are closed after being idle for this long. The timeout can be short because the
+/// dependency itself closes idle connections early, and opening a connection costs little.
 const DEPENDENCY_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The components of an instance.
 pub struct Services {
-    /// The executor of all tasks.
+    /// The async executor that runs all tasks of the instance.
     pub tasks: Rc<LocalExecutor<'static>>,
     /// Sends heartbeats to the registry.
     pub registry: Rc<Registry>,
     /// Runs the controller.
     pub driver: Rc<ControllerDriver>,
-    /// What all jobs and connections share.
+    /// The components and settings that all jobs and connections share.
     pub context: Rc<RequestContext>,
-    /// The connections of clients.
+    /// Serves the client connections.
     pub front_end: Rc<FrontEnd>,
-    /// Set once shutdown is requested; heartbeats report "not ready" from then on.
+    /// Whether shutdown was requested. Heartbeats report "not ready" from then on.
     pub is_draining: Rc<Cell<bool>>,
 }
 
@@ -47,7 +47,7 @@
     /// Creates the components of an instance.
     ///
     /// # Errors
-    /// The address of the registry, if no socket can be opened for it.
+    /// Returns an error that names the address of the registry if no socket can be opened for that address.
     pub fn new(
         deployment: &Deployment,
         settings: DecodedSettings,
@@ -70,7 +70,7 @@
             executor.clone(),
         ));
         if let Some(test_faults) = test_faults {
-            tracing::warn!(?test_faults, "this node has faults injected, for tests");
+            tracing::warn!(?test_faults, "test faults are injected into this node");
             driver.clock.skew(test_faults.clock_offset_ms, test_faults.clock_rate);
         }
         let max_connections = deployment.max_dependency_connections();
@@ -99,7 +99,7 @@
         Ok(Services { tasks, registry: Rc::new(registry), driver, context, front_end, is_draining })
     }
 
-    /// The handler of the executor's events.
+    /// Returns a handler of the executor's events.
     pub fn executor_events(&self) -> ExecutorEvents {
         let RequestContext { driver, in_flight, executor, settings, .. } = &*self.context;
         ExecutorEvents::new(
@@ -110,7 +110,7 @@
         )
     }
 
-    /// Runs a task until the exit.
+    /// Spawns a task that runs until the process exits or the task completes.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.tasks.spawn(task).detach();
     }
--- a/crates/hazelgrade-server/src/program/serve/signals.rs
+++ b/crates/hazelgrade-server/src/program/serve/signals.rs
@@ -1,4 +1,4 @@
-//! Signals of an instance: SIGTERM and SIGINT request shutdown, SIGHUP a reload.
+//! Handles the signals of an instance: SIGTERM and SIGINT request shutdown, and SIGHUP requests a reload.
 
 use super::services::Services;
 use crate::program::reload::Reload;
@@ -15,7 +15,8 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Catches the signals from now on. Call it before anything that may wait: an uncaught signal ends the process.
+/// Starts to catch signals. Must be called before any operation that may block, because an uncaught signal would end
+/// the process.
 pub fn install() -> Result<Signals, String> {
     Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(|error| format!("signals: {error}"))
 }
@@ -28,34 +29,35 @@
 }
 
 impl ShutdownRequest {
-    /// Requests shutdown; only the first request counts.
+    /// Requests shutdown. Requests after the first one have no effect.
     fn request(&self, driver: &ControllerDriver) {
         if self.requested_at.get().is_some() {
             return;
         }
-        // If the process was suspended, the signal came during the pause: assume the earliest time, its beginning.
+        // If the process was suspended, the signal may have been sent at any time during the suspension. The request
+        // takes the earliest possible time, which is the start of the suspension.
         self.requested_at.set(Some(driver.record_liveness()));
         self.notify.notify();
     }
 
-    /// Waits for the request and returns its time.
+    /// Waits for the shutdown request and returns the time of the request.
     pub async fn requested(&self, driver: &ControllerDriver) -> Time {
         self.notify.notified().await;
         self.requested_at.get().unwrap_or_else(|| driver.record_liveness())
     }
 }
 
-/// Reads the configuration, certificates and identity document again on SIGHUP.
+/// Reads the configuration file, the certificates and the identity document again on SIGHUP.
 pub struct Reloader {
     configuration: Rc<Reload>,
     tls: Option<TlsConfig>,
-    /// The identity document, if it is not streamed.
+    /// The path of the identity document, unless identity documents are received from control services.
     identity_document: Option<PathBuf>,
     front_end: Rc<FrontEnd>,
 }
 
 impl Reloader {
-    /// A reloader for the files that the operator's file names.
+    /// Returns a reloader for the configuration file and the files named in the operator's file.
     pub fn new(operator: &OperatorConfig, configuration: Rc<Reload>, services: &Services) -> Reloader {
         let identity = operator.identity.as_ref().filter(|identity| !identity.streamed);
         Reloader {
@@ -66,13 +68,15 @@
         }
     }
 
-    /// Reads the files. A file that is wrong changes nothing, and its error is logged.
+    /// Reads the files again. An invalid file is logged and leaves the state of the node unchanged.
     fn reload(&self) {
         let FrontEnd { context, tls, .. } = &*self.front_end;
         self.configuration.reload();
         match self.tls.as_ref().map(|config| tls::load(config, tls, context)) {
-            Some(Ok(())) => tracing::info!("certificates reloaded"),
-            Some(Err(error)) => tracing::error!(error, "the new certificates are wrong and change nothing"),
+            Some(Ok(())) => tracing::info!("TLS certificates reloaded"),
+            Some(Err(error)) => {
+                tracing::error!(error, "TLS certificates not reloaded; the previous ones stay in effect")
+            }
             None => {}
         }
         if let Some(path) = &self.identity_document {
@@ -81,7 +85,7 @@
     }
 }
 
-/// Handles signals until the future is dropped. `reload_requested` tells that a SIGHUP came before.
+/// Handles signals until the future is dropped. `reload_requested` is set if SIGHUP was received before this call.
 pub async fn handle<Output>(
     mut signals: Signals,
     reload_requested: bool,
--- a/crates/hazelgrade-server/src/program/serving_document.rs
+++ b/crates/hazelgrade-server/src/program/serving_document.rs
@@ -1,4 +1,4 @@
-//! Serving documents: the version that a node starts from, and its subscription to new ones.
+//! Serving documents of a node: the version with which the node starts, and the subscription to new versions.
 
 mod host;
 mod slot_table;
@@ -15,32 +15,33 @@
 use hazelgrade_store::{Store, StoreError};
 use hazelgrade_stream::stored::{self, StoredState};
 
-/// What a node that subscribes to control services starts from.
+/// The store and the serving document with which a node that subscribes to control services starts.
 pub struct InitialConfiguration {
     /// The node's store.
     pub store: SharedStore,
-    /// What is stored of serving documents.
+    /// The stored state of serving documents.
     stored: StoredState,
-    /// The stored bytes, if they can't be decoded.
+    /// The stored bytes of the serving state, if the bytes can't be decoded.
     unreadable: Option<Vec<u8>>,
-    /// The document to start with if nothing is stored.
+    /// The document with which the node starts if the store has none.
     document: Option<Document>,
 }
 
-/// A subscription to serving documents that has started, and the host for it.
+/// A started subscription to serving documents, and the host that applies them.
 pub struct ServingSubscription {
-    /// The subscription, not followed yet.
+    /// The started subscription, not yet connected to the control services.
     pub started: StartedSubscription,
-    /// Applies the documents.
+    /// Applies the received documents to the node.
     pub host: ServingHost,
 }
 
 impl InitialConfiguration {
-    /// Opens the store and reads the document. A store that can't be used is left as it is, and the node starts with
-    /// its document. In tests, the process kills itself at change number `kill_at` of the store.
+    /// Opens the store and reads the document. A store that can't be used is left unmodified, and the node starts with
+    /// the document from the file. In tests, the process kills itself at change number `kill_at` of the store.
     ///
     /// # Errors
-    /// A document that is wrong, and a store of another owner or in use: both are mistakes of the operator.
+    /// Returns an error for an invalid document, and for a store that is in use or belongs to another owner. These are
+    /// mistakes of the operator, so the node doesn't start.
     pub fn open(
         stream: &StreamConfig,
         owner: &str,
@@ -65,7 +66,7 @@
                     Ok(state) => stored = state.unwrap_or_default(),
                     Err(error) => {
                         tracing::error!(
-                            "field stream.store: {path}: the stored configuration can't be read: {error}"
+                            "field stream.store: {path}: the stored document can't be decoded: {error}"
                         );
                         unreadable = bytes;
                     }
@@ -77,14 +78,14 @@
                 Err(format!("field stream.store: {path}: {error}"))
             }
             Err(error) => {
-                tracing::error!("field stream.store: {path}: {error}; nothing can be stored");
+                tracing::error!("field stream.store: {path}: {error}; documents can't be stored");
                 let store = SharedStore::unusable(format!("{path}: {error}"));
                 Ok(InitialConfiguration { store, stored: StoredState::default(), unreadable: None, document })
             }
         }
     }
 
-    /// The process limits of the document that the node starts with.
+    /// Returns the process limits of the document with which the node starts.
     pub fn resource_limits(&self) -> ResourceLimits {
         let stored = self.stored.last_good.as_ref().map(|good| &good.document);
         stored.or(self.document.as_ref()).map(Document::resource_limits).unwrap_or_default()
--- a/crates/hazelgrade-server/src/program/serving_document/host.rs
+++ b/crates/hazelgrade-server/src/program/serving_document/host.rs
@@ -1,4 +1,4 @@
-//! Applies a serving document to the node, and measures how the node serves under it.
+//! Applies serving documents to the node, and samples the job counters by which a version on trial is judged.
 
 use super::slot_table::{RevisedTable, SlotTable};
 use crate::program::logging::LevelHandle;
@@ -19,25 +19,26 @@
 use std::rc::Rc;
 use tracing::level_filters::LevelFilter;
 
-/// Stored state that can't be read is preserved under this name when its own name is written again.
-const UNREADABLE_NAME: &str = "configuration.unread";
+/// The store key under which stored state that can't be decoded is preserved when its original key is overwritten.
+const UNREADABLE_KEY: &str = "configuration.unread";
 
-/// A removed name's slot is quarantined for this many times the longest time in which a job or a retry may refer to it.
+/// A removed name's slot is quarantined for this multiple of the longest time in which a job or a retry may refer to
+/// the slot.
 const QUARANTINE_FACTOR: f64 = 2.0;
 
 /// The components that a serving document changes.
 pub struct ServingContext {
     /// The name of this node.
     pub node: String,
-    /// What all jobs and connections share.
+    /// The components and settings that all jobs and connections share.
     pub request_context: Rc<RequestContext>,
-    /// Takes the addresses of a document.
+    /// Applies the peer addresses of a document.
     pub reload: Rc<Reload>,
     /// Changes the log level.
     pub log_level: LevelHandle,
-    /// The level of the command line, for documents that have none.
+    /// The log level of the command line, for documents that set none.
     pub default_log_level: LevelFilter,
-    /// The limits of the settings, for what a document leaves open.
+    /// The limits of the settings, for the limits that a document doesn't set.
     pub default_limits: ServiceLimits,
     /// Whether the node has a dependency to call.
     pub calls_dependency: bool,
@@ -47,22 +48,22 @@
 pub struct ServingHost {
     context: ServingContext,
     store: SharedStore,
-    /// Stored state that can't be read, until it is preserved under [`UNREADABLE_NAME`].
+    /// Stored state that can't be decoded, until the state is preserved under [`UNREADABLE_KEY`].
     unreadable: Rc<RefCell<Option<Vec<u8>>>>,
     job_classes: RefCell<SlotTable<JobClass>>,
     tenants: RefCell<SlotTable<Tenant>>,
-    counted: Cell<CountedJobs>,
+    last_sampled: Cell<SampledCounters>,
 }
 
-/// Counters at the last sample.
+/// Job counters at the time of the last sample.
 #[derive(Clone, Copy, Default)]
-struct CountedJobs {
+struct SampledCounters {
     answered: u64,
     succeeded: u64,
 }
 
 impl ServingHost {
-    /// `unreadable` is stored state that can't be read and must be preserved.
+    /// Creates a host. `unreadable` is stored state that can't be decoded and must be preserved.
     pub fn new(context: ServingContext, store: SharedStore, unreadable: Option<Vec<u8>>) -> ServingHost {
         ServingHost {
             context,
@@ -70,12 +71,12 @@
             unreadable: Rc::new(RefCell::new(unreadable)),
             job_classes: RefCell::default(),
             tenants: RefCell::default(),
-            counted: Cell::default(),
+            last_sampled: Cell::default(),
         }
     }
 
-    /// Applies a document to the controller, the settings and the peers' addresses. Without one, no job class is
-    /// served. An error changes nothing.
+    /// Applies a document to the controller, the settings and the peers' addresses. Without a document, no job class is
+    /// served. On an error, the previous document stays in effect.
     fn apply(&self, document: Option<&Document>) -> Result<(), String> {
         let context = &self.context;
         let request_context = &context.request_context;
@@ -83,8 +84,8 @@
         let settings = self.settings_of(document);
         let job_classes = self.revised_job_classes(now, &settings)?;
         let tenants = self.revised_tenants(now, &settings)?;
-        // The addresses are the last step that may fail: the controller accepts all settings that remove no slot, and
-        // slots are never removed.
+        // Setting the addresses is the last step that may fail: the controller accepts all settings that remove no
+        // slot, and slots are never removed.
         let addresses = document.map(|document| document.addresses_for(&context.node)).unwrap_or_default();
         context.reload.set_streamed(addresses).map_err(|error| error.to_string())?;
         if !request_context.driver.update_settings(settings_update(settings.limits, &job_classes, &tenants)) {
@@ -146,12 +147,14 @@
         let level = document.and_then(Document::log_level).and_then(|level| level.parse().ok());
         let level = level.unwrap_or(self.context.default_log_level);
         if self.context.log_level.modify(|current| *current = level).is_err() {
-            tracing::debug!("the log level can't be changed");
+            tracing::debug!(
+                "log level of the serving document not applied: the log has ended or was never installed"
+            );
         }
     }
 }
 
-/// How long a retry may refer to a job class after its removal, with a margin.
+/// Returns how long a retry may refer to a job class after the removal of the class, with a margin.
 fn quarantine(class: &JobClass) -> Span {
     (class.deadline + class.retry_window) * QUARANTINE_FACTOR
 }
@@ -200,7 +203,7 @@
         async move {
             let mut values = vec![NamedValue { name: stored::store_key(Kind::Serving), bytes }];
             let preserved = unreadable.borrow().clone();
-            values.extend(preserved.map(|bytes| NamedValue { name: UNREADABLE_NAME, bytes }));
+            values.extend(preserved.map(|bytes| NamedValue { name: UNREADABLE_KEY, bytes }));
             let written = store.write(values).await;
             if written.is_ok() {
                 unreadable.replace(None);
@@ -217,7 +220,7 @@
     fn sample(&self) -> Sample {
         let request_context = &self.context.request_context;
         let counters = *request_context.counters.borrow();
-        let counted = CountedJobs {
+        let sampled = SampledCounters {
             answered: counters.succeeded
                 + counters.rejected
                 + counters.failed
@@ -225,10 +228,10 @@
                 + counters.unverified,
             succeeded: counters.succeeded,
         };
-        let before = self.counted.replace(counted);
+        let before = self.last_sampled.replace(sampled);
         Sample {
-            answered: counted.answered.saturating_sub(before.answered) as f64,
-            succeeded: counted.succeeded.saturating_sub(before.succeeded) as f64,
+            answered: sampled.answered.saturating_sub(before.answered) as f64,
+            succeeded: sampled.succeeded.saturating_sub(before.succeeded) as f64,
             executor_connected: request_context.executor.is_up(),
         }
     }
--- a/crates/hazelgrade-server/src/program/serving_document/slot_table.rs
+++ b/crates/hazelgrade-server/src/program/serving_document/slot_table.rs
@@ -1,16 +1,17 @@
-//! Assigns names to slots of the controller, and stores the last settings of each slot.
+//! Assigns the names of job classes or tenants to slots of the controller, and holds the last settings of each slot.
 
 use hazelgrade::time::{Span, Time};
 use hazelgrade_settings::slots::{NameRequest, Slots, SlotsExhausted};
 
-/// Slots for each name that a document may have: removed names occupy theirs for a while.
+/// The number of slots for each name that a document may have. A removed name occupies its slot for a while, so the
+/// table needs more slots than names.
 const SLOTS_PER_NAME: usize = 4;
 
-/// Names, their slots, and the settings by slot.
+/// The slots of all names, and the settings by slot.
 pub struct SlotTable<T> {
-    /// The slots of the names.
+    /// The slots, with their names.
     pub slots: Slots,
-    /// The settings by slot; a removed name's slot has the last ones.
+    /// The settings by slot. The slot of a removed name has the last settings of that name.
     pub settings: Vec<T>,
 }
 
@@ -18,7 +19,7 @@
 pub struct RevisedTable<T> {
     /// The revised table.
     pub table: SlotTable<T>,
-    /// Slots that were assigned to another name.
+    /// The slots that were assigned to another name than before.
     pub reused: Vec<usize>,
 }
 
@@ -29,8 +30,8 @@
 }
 
 impl<T: Clone> SlotTable<T> {
-    /// The table for new names and settings. `quarantine` gives how long a name's slot is not reused after the name was
-    /// removed, `is_busy` whether a job in flight refers to a slot.
+    /// Returns the table for new names and settings. `quarantine` returns how long a name's slot is not reused after
+    /// the name is removed, and `is_busy` returns whether a job in flight refers to a slot.
     pub fn revised(
         &self,
         now: Time,
@@ -45,7 +46,7 @@
             .collect();
         let assignment = self.slots.assign(now, &requests, max_names * SLOTS_PER_NAME, is_busy)?;
         let mut settings = self.settings.clone();
-        // New slots are at the end, in the order of their names.
+        // New slots are at the end, in the order of the names that they were assigned to.
         for (slot, (_, new_settings)) in assignment.slot_of_name.iter().zip(named) {
             match settings.get_mut(*slot) {
                 Some(settings) => *settings = new_settings.clone(),
@@ -56,12 +57,12 @@
         Ok(RevisedTable { table, reused: assignment.reused })
     }
 
-    /// Whether the name of a slot is in use.
+    /// Returns whether the name of a slot is in use.
     pub fn is_in_use(&self, slot: usize) -> bool {
         self.slots.name(slot).is_some_and(|name| name.in_use)
     }
 
-    /// The name of a slot, in use or removed; empty if there is no such slot.
+    /// Returns the name of a slot, whether in use or removed, or an empty string if there is no such slot.
     pub fn name(&self, slot: usize) -> String {
         self.slots.name(slot).map(|slot| slot.name.to_owned()).unwrap_or_default()
     }
--- a/crates/hazelgrade-server/src/program/subscription.rs
+++ b/crates/hazelgrade-server/src/program/subscription.rs
@@ -1,4 +1,4 @@
-//! The subscription of a node to one kind of document, which the control services publish.
+//! The subscription of a node to one kind of document that the control services publish.
 
 use super::configuration::Deployment;
 use async_executor::LocalExecutor;
@@ -13,30 +13,30 @@
 use hazelgrade_stream::subscriber::{Action, Subscriber, SubscriberConfig};
 use std::rc::Rc;
 
-/// What a subscription starts from.
+/// The settings and the stored state from which a subscription starts.
 pub struct Subscription<'a> {
-    /// The kind of document.
+    /// The kind of the documents.
     pub kind: Kind,
-    /// The node's name and seed.
+    /// The deployment, for the node's name and seed.
     pub deployment: &'a Deployment,
-    /// The control services.
+    /// The operator's settings of the stream: the lineage and the control services.
     pub stream: &'a StreamConfig,
-    /// How a new version is tried.
+    /// The rules for the trial of a new version.
     pub trial: Trial,
-    /// The stored state for this kind.
+    /// The stored state for this kind of document.
     pub stored: StoredState,
-    /// The document to start with if nothing is stored.
+    /// The document with which the node starts if none is stored.
     pub initial: Option<Document>,
 }
 
-/// A subscription that has started, and its first actions.
+/// A started subscription and the first actions of its subscriber.
 pub struct StartedSubscription {
     subscriber: Subscriber,
     first_actions: Vec<Action>,
 }
 
 impl Subscription<'_> {
-    /// Starts the subscription; [`StartedSubscription::follow`] connects it.
+    /// Starts the subscription. [`StartedSubscription::follow`] connects it to the control services.
     pub fn start(self, now: Time) -> StartedSubscription {
         let Subscription { kind, deployment, stream, trial, stored, initial } = self;
         let start = SubscriberConfig {
@@ -57,7 +57,8 @@
     }
 }
 
-/// The number of bits by which the node's seed is rotated, so that each subscription has its own random numbers.
+/// Returns the number of bits by which the node's seed is rotated, so that each subscription has its own sequence of
+/// random numbers.
 fn seed_rotation(kind: Kind) -> u32 {
     match kind {
         Kind::Serving => 32,
@@ -67,8 +68,7 @@
 }
 
 impl StartedSubscription {
-    /// Spawns a task that receives documents from the control services. `draining` notifies it of
-    /// the drain.
+    /// Spawns a task that receives documents from the control services. `draining` notifies the task of the drain.
     pub fn follow<H: Host + 'static>(
         self,
         host: H,
--- a/crates/hazelgrade-server/src/program/tls.rs
+++ b/crates/hazelgrade-server/src/program/tls.rs
@@ -1,4 +1,4 @@
-//! The files of TLS: the node's certificate and key, the authorities of client certificates, and revocation lists.
+//! Reads the TLS files: the node's certificate and key, the authorities of client certificates, and revocation lists.
 
 use crate::routing::context::RequestContext;
 use crate::transport::tls::Tls;
@@ -16,10 +16,10 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Reads the files again. Their content applies to new connections, revocations to open ones too.
+/// Reads the TLS files and applies their content to new connections. Revocations apply to open connections too.
 ///
 /// # Errors
-/// The first file that is wrong, with its field; nothing is changed then.
+/// Returns an error for the first invalid file, with the field that names the file. TLS settings stay unchanged.
 pub fn load(config: &TlsConfig, tls: &Tls, context: &RequestContext) -> Result<(), String> {
     let LoadedTls { server, revoked_serials } = read(config)?;
     context.callers.set_revoked_certificates(revoked_serials);
@@ -66,7 +66,8 @@
     Ok(certificates)
 }
 
-/// Builds the verifier of client certificates. Certificates are optional: clients may authenticate by a token instead.
+/// Builds the verifier of client certificates. A client certificate is optional, because clients may authenticate by a
+/// token instead.
 fn client_verifier(
     authorities: &Path,
     revocations: Option<&Path>,
@@ -99,8 +100,9 @@
         revoked_serials.extend(list.serials);
         let now_s = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs() as i64);
         if list.next_update_s.is_some_and(|next_update_s| next_update_s < now_s) {
-            // An outdated list is still used: without it revoked clients would be accepted, or all clients rejected.
-            tracing::warn!(path = %path.display(), "the list of revoked certificates is past its next update");
+            // An outdated list is still used. Without the list, either revoked clients would be accepted or all clients
+            // would be rejected.
+            tracing::warn!(path = %path.display(), "revocation list past its next update is still used");
         }
     }
     Ok(lists)
