--- a/crates/hazelgrade-server/tests/group/main.rs
+++ b/crates/hazelgrade-server/tests/group/main.rs
@@ -1,5 +1,5 @@
-//! Groups of nodes as processes, with edges between all of them and faults on these: the four rules hold for the whole
-//! group, versions go on, and all is well again when the faults are over.
+//! Groups of node processes with a fault proxy on each of their links. The four rules must hold for the whole group,
+//! versions must still be published, and the group must recover when the faults end.
 
 #![allow(clippy::expect_used)]
 
@@ -16,15 +16,15 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// What ought to come has come by then, on a machine that is busy with all other tests too.
-const SOON: Duration = Duration::from_secs(30);
+/// The limit on every wait for an expected event, long enough for a machine that runs all other tests at the same time.
+const TIMEOUT: Duration = Duration::from_secs(30);
 const NODES: usize = 5;
-const RATE: f64 = 40.0;
+const JOBS_PER_S: f64 = 40.0;
 
-/// One group at a time: five nodes and their callers keep a small machine busy.
-fn alone() -> MutexGuard<'static, ()> {
-    static ONE: Mutex<()> = Mutex::new(());
-    ONE.lock().unwrap_or_else(PoisonError::into_inner)
+/// Lets only one group run at a time, because five nodes and their callers keep a small machine busy.
+fn lock_group() -> MutexGuard<'static, ()> {
+    static LOCK: Mutex<()> = Mutex::new(());
+    LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 fn program() -> &'static Path {
@@ -32,28 +32,28 @@
 }
 
 fn group() -> Group {
-    Group::start(program(), &[], NODES, RATE).expect("it starts")
+    Group::start(program(), &[], NODES, JOBS_PER_S).expect("the group starts")
 }
 
-fn cause(group: &mut Group, fault: Fault) {
-    group.inject(fault).expect("it comes about");
+fn inject(group: &mut Group, fault: Fault) {
+    group.inject(fault).expect("the fault is injected");
 }
 
-/// Node by node, whether it has the latest version and stands so with it.
-fn stand(group: &Group, word: &str) -> Vec<bool> {
+/// Returns for each node whether the node has the latest version, with this standing.
+fn has_standing(group: &Group, standing: &str) -> Vec<bool> {
     let digest = &group.published_digest;
     group
         .standings
         .iter()
-        .map(|node| node.version.ends_with(digest.as_str()) && node.standing == word)
+        .map(|node| node.version.ends_with(digest.as_str()) && node.standing == standing)
         .collect()
 }
 
-fn count(of: &[bool]) -> usize {
-    of.iter().filter(|one| **one).count()
+fn count(flags: &[bool]) -> usize {
+    flags.iter().filter(|flag| **flag).count()
 }
 
-fn kept(history: &History) {
+fn assert_no_violations(history: &History) {
     let violations = history.violations();
     assert!(
         violations.is_empty(),
@@ -62,28 +62,28 @@
     );
 }
 
-/// Plays steps, and on failure shows the plan to play again.
-fn plays(steps: &[(Trigger, Fault)]) -> History {
-    let step = steps.iter().map(|(trigger, fault)| Step { trigger: *trigger, fault: *fault }).collect();
-    played(&FaultPlan { seed: 0, nodes: NODES, rate: RATE, shared: None, soak: None, steps: step })
+/// Runs a plan of these steps. A failure shows the plan, so that it can be run again.
+fn run_steps(steps: &[(Trigger, Fault)]) -> History {
+    let steps = steps.iter().map(|(trigger, fault)| Step { trigger: *trigger, fault: *fault }).collect();
+    run_and_check(&FaultPlan { seed: 0, nodes: NODES, rate: JOBS_PER_S, shared: None, soak: None, steps })
 }
 
-fn played(plan: &FaultPlan) -> History {
-    let played = run_plan(plan, program(), &[]).expect("it can be played");
-    let violations: Vec<String> = played.violations.iter().map(ToString::to_string).collect();
+fn run_and_check(plan: &FaultPlan) -> History {
+    let run = run_plan(plan, program(), &[]).expect("the plan runs");
+    let violations: Vec<String> = run.violations.iter().map(ToString::to_string).collect();
     assert!(
         violations.is_empty(),
         "{}\n\nthe plan, for `hazelgrade-demo trouble --plan`:\n{}",
         violations.join("\n"),
         plan.to_toml()
     );
-    played.history
+    run.history
 }
 
 #[test]
-fn drawn_plans_break_no_rule() {
-    let _alone = alone();
+fn randomly_drawn_plans_break_no_rule() {
+    let _group_lock = lock_group();
     for seed in [3, 8] {
-        played(&FaultPlan::draw(seed, NODES, 10));
+        run_and_check(&FaultPlan::draw(seed, NODES, 10));
     }
 }
--- a/crates/hazelgrade-server/tests/group/nodes.rs
+++ b/crates/hazelgrade-server/tests/group/nodes.rs
@@ -1,21 +1,21 @@
-//! Nodes in trouble: cut off from what they stand on, stopped, killed and replaced, while the others go on.
+//! Faults of single nodes: cut off from their peers, suspended, killed and replaced, while the other nodes continue.
 
 use super::*;
 use hazelgrade_fault_injection::plan::{Directions, Disk, Link};
 use hazelgrade_fault_injection::proxy::{ms, now};
 use std::time::Instant;
 
-/// By how much the part of jobs served in their latency objective may differ between the nodes that nothing was done to.
-const WITHIN: f64 = 0.05;
-const GOAL_MS: f64 = 1000.0;
+/// How far the ratio of jobs served within their latency objective may fall below 1 on nodes without faults.
+const MAX_RATIO_LOSS: f64 = 0.05;
+const LATENCY_OBJECTIVE_MS: f64 = 1000.0;
 
-/// One node of five without its executor, its database, the registry, one after the other and two together; under load,
-/// while a version arrives, and in a drain.
+/// Guards against faults of one node that reach the others. One node of five is cut off from its executor, its database
+/// and the registry, one after the other and two together, under load, while a version is published, and in a drain.
 #[test]
-fn what_one_node_is_cut_off_from_costs_the_others_nothing() {
-    let _alone = alone();
+fn links_cut_on_one_node_do_not_affect_the_others() {
+    let _group_lock = lock_group();
     let mut group = group();
-    let began = now();
+    let started_at = now();
     let cut = |node, link| Fault::Cut { node, link, directions: Directions::Both };
     for links in [
         vec![Link::Executor],
@@ -23,134 +23,154 @@
         vec![Link::Registry],
         vec![Link::Executor, Link::Database],
     ] {
-        links.iter().for_each(|link| cause(&mut group, cut(4, *link)));
-        cause(&mut group, Fault::Publish { harmful: false });
-        assert!(group.wait_until(SOON, |group| count(&stand(group, "good")[..4]) == 4), "{}", group.status());
+        links.iter().for_each(|link| inject(&mut group, cut(4, *link)));
+        inject(&mut group, Fault::Publish { harmful: false });
+        assert!(
+            group.wait_until(TIMEOUT, |group| count(&has_standing(group, "good")[..4]) == 4),
+            "{}",
+            group.status()
+        );
         let before: Vec<usize> = group.nodes.iter().map(|member| member.job_count()).collect();
         let others =
             |group: &mut Group| (0..4).all(|node| group.nodes[node].job_count() >= before[node] + 40);
-        assert!(group.wait_until(SOON, others));
-        links.iter().for_each(|link| cause(&mut group, Fault::Heal { node: 4, link: *link }));
+        assert!(group.wait_until(TIMEOUT, others));
+        links.iter().for_each(|link| inject(&mut group, Fault::Heal { node: 4, link: *link }));
     }
-    // In a drain: its executor and its database are out of reach when the notice comes.
-    cause(&mut group, cut(4, Link::Database));
-    cause(&mut group, cut(4, Link::Executor));
-    cause(&mut group, Fault::Term { node: 4 });
-    assert!(group.wait_until(SOON, |group| !group.nodes[4].is_running()), "it does not leave");
-    let over = now();
-    // Runs that it could not stop are answered for; it leaves with 0.
+    // In a drain: the executor and the database are unreachable when shutdown is requested.
+    inject(&mut group, cut(4, Link::Database));
+    inject(&mut group, cut(4, Link::Executor));
+    inject(&mut group, Fault::Term { node: 4 });
+    assert!(
+        group.wait_until(TIMEOUT, |group| !group.nodes[4].is_running()),
+        "the draining node doesn't exit"
+    );
+    let ended_at = now();
+    // Jobs whose runs the node couldn't stop are answered too, so the node exits with status 0.
     let history = group.finish();
-    kept(&history);
+    assert_no_violations(&history);
     for node in 0..4 {
-        let part = history.served_ratio(node, began, over, ms(GOAL_MS)).expect("it had jobs");
-        assert!(part >= 1.0 - WITHIN, "node {node} served {part}");
+        let ratio = history
+            .served_ratio(node, started_at, ended_at, ms(LATENCY_OBJECTIVE_MS))
+            .expect("the node had jobs");
+        assert!(ratio >= 1.0 - MAX_RATIO_LOSS, "node {node} served a ratio of {ratio}");
     }
 }
 
 #[test]
-fn signals_to_all_at_once_lose_nothing_that_they_need_not() {
-    let _alone = alone();
+fn signals_to_all_nodes_at_once_break_no_rule() {
+    let _group_lock = lock_group();
     let mut group = group();
     for node in 0..NODES {
-        cause(&mut group, Fault::Hup { node });
-        cause(&mut group, if node < 2 { Fault::Kill { node } } else { Fault::Term { node } });
+        inject(&mut group, Fault::Hup { node });
+        inject(&mut group, if node < 2 { Fault::Kill { node } } else { Fault::Term { node } });
     }
-    assert!(group.wait_until(SOON, |group| group.nodes.iter().all(|member| !member.is_running())));
+    assert!(group.wait_until(TIMEOUT, |group| group.nodes.iter().all(|member| !member.is_running())));
     for node in 0..NODES {
-        cause(&mut group, Fault::Start { node, disk: Disk::Own });
+        inject(&mut group, Fault::Start { node, disk: Disk::Own });
     }
-    kept(&group.finish());
+    assert_no_violations(&group.finish());
 }
 
-/// All are replaced one after the other; the new one of the third can't start, as its configuration is wrong, and says so.
+/// All nodes are replaced one after the other. The first replacement of the third node can't start because of an
+/// invalid configuration, and must name the file in its error.
 #[test]
-fn a_rolling_replacement_goes_on_past_one_that_refuses_to_start() {
-    let _alone = alone();
+fn a_rolling_replacement_continues_after_a_node_that_fails_to_start() {
+    let _group_lock = lock_group();
     let mut group = group();
-    let began = now();
+    let started_at = now();
     for node in 0..NODES {
-        cause(&mut group, Fault::Term { node });
-        assert!(group.wait_until(SOON, |group| !group.nodes[node].is_running()));
+        inject(&mut group, Fault::Term { node });
+        assert!(group.wait_until(TIMEOUT, |group| !group.nodes[node].is_running()));
         if node == 2 {
-            let at = group.folder.path().join("n2.json");
-            let right = std::fs::read(&at).expect("it was started by it");
-            std::fs::write(&at, &right[..right.len() / 2]).expect("a file");
-            let refused = std::process::Command::new(program())
+            let path = group.folder.path().join("n2.json");
+            let valid_configuration = std::fs::read(&path).expect("the node was started with this file");
+            std::fs::write(&path, &valid_configuration[..valid_configuration.len() / 2])
+                .expect("the configuration file is written");
+            let output = std::process::Command::new(program())
                 .args(["serve", "--config"])
-                .arg(&at)
+                .arg(&path)
                 .output()
-                .expect("it starts");
-            let said = String::from_utf8_lossy(&refused.stderr).into_owned();
+                .expect("the command starts");
+            let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
             assert!(
-                refused.status.code() == Some(2) && said.contains("n2.json"),
-                "{:?}: {said}",
-                refused.status
+                output.status.code() == Some(2) && stderr.contains("n2.json"),
+                "{:?}: {stderr}",
+                output.status
             );
-            std::fs::write(&at, &right).expect("a file");
+            std::fs::write(&path, &valid_configuration).expect("the configuration file is written");
         }
-        cause(&mut group, Fault::Start { node, disk: Disk::Own });
-        assert!(group.wait_until(SOON, |group| group.nodes[node].is_ready()));
+        inject(&mut group, Fault::Start { node, disk: Disk::Own });
+        assert!(group.wait_until(TIMEOUT, |group| group.nodes[node].is_ready()));
     }
-    let over = now();
+    let ended_at = now();
     let history = group.finish();
-    kept(&history);
-    // Each was away for some of the time, and served at all others.
+    assert_no_violations(&history);
+    // Each node was down for part of the time and served otherwise.
     for node in 0..NODES {
         assert!(
-            history.served_ratio(node, began, over, ms(GOAL_MS)).is_some_and(|part| part > 0.5),
+            history
+                .served_ratio(node, started_at, ended_at, ms(LATENCY_OBJECTIVE_MS))
+                .is_some_and(|ratio| ratio > 0.5),
             "node {node}"
         );
     }
 }
 
 #[test]
-fn a_machine_that_stalls_for_two_seconds_goes_on_where_it_was() {
-    let _alone = alone();
+fn a_group_continues_after_its_machine_stalls_for_two_seconds() {
+    let _group_lock = lock_group();
     let mut group = group();
-    cause(&mut group, Fault::Publish { harmful: false });
-    cause(&mut group, Fault::Stall { ms: 2000 });
+    inject(&mut group, Fault::Publish { harmful: false });
+    inject(&mut group, Fault::Stall { ms: 2000 });
     let before: Vec<usize> = group.nodes.iter().map(|member| member.job_count()).collect();
-    let began = Instant::now();
+    let started_at = Instant::now();
     let all = |group: &mut Group| {
         group.nodes.iter().zip(&before).all(|(member, before)| member.job_count() > before + 60)
     };
-    assert!(group.wait_until(SOON, all), "not all answer again after {:?}", began.elapsed());
-    assert!(group.wait_until(SOON, |group| group.nodes.iter().all(|member| member.is_ready())));
-    kept(&group.finish());
+    assert!(group.wait_until(TIMEOUT, all), "not all nodes answer again after {:?}", started_at.elapsed());
+    assert!(group.wait_until(TIMEOUT, |group| group.nodes.iter().all(|member| member.is_ready())));
+    assert_no_violations(&group.finish());
 }
 
-/// The clock of one node is an hour off, and that of another runs fast, by an operator's setting for tests only.
+/// The clock of one node is off by an hour and that of another runs fast, set by test-only fields of the operator's
+/// file.
 #[test]
-fn a_clock_that_is_off_or_runs_fast_loses_no_job() {
-    let _alone = alone();
+fn a_clock_that_is_off_or_runs_fast_breaks_no_rule() {
+    let _group_lock = lock_group();
     let mut group = group();
     for (node, clock) in [(1, "clock_off_ms = -3600000"), (2, "clock_rate = 1.5")] {
-        cause(&mut group, Fault::Term { node });
-        assert!(group.wait_until(SOON, |group| !group.nodes[node].is_running()));
-        group.nodes[node].set_operator_settings(&format!("[for_tests_only]\n{clock}\n")).expect("a file");
-        cause(&mut group, Fault::Start { node, disk: Disk::Own });
-        assert!(group.wait_until(SOON, |group| group.nodes[node].is_ready()));
+        inject(&mut group, Fault::Term { node });
+        assert!(group.wait_until(TIMEOUT, |group| !group.nodes[node].is_running()));
+        group.nodes[node]
+            .set_operator_settings(&format!("[for_tests_only]\n{clock}\n"))
+            .expect("the operator's file is written");
+        inject(&mut group, Fault::Start { node, disk: Disk::Own });
+        assert!(group.wait_until(TIMEOUT, |group| group.nodes[node].is_ready()));
     }
-    cause(&mut group, Fault::Publish { harmful: false });
-    assert!(group.wait_until(SOON, |group| count(&stand(group, "good")) == NODES), "{}", group.status());
-    kept(&group.finish());
+    inject(&mut group, Fault::Publish { harmful: false });
+    assert!(
+        group.wait_until(TIMEOUT, |group| count(&has_standing(group, "good")) == NODES),
+        "{}",
+        group.status()
+    );
+    assert_no_violations(&group.finish());
 }
 
 #[test]
-fn settings_for_tests_are_refused_where_the_platform_starts_it() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn test_settings_are_rejected_when_the_platform_starts_the_node() {
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let (config, operator) = (folder.path().join("n.json"), folder.path().join("operator.toml"));
     let text = r#"{"name": "n", "listen": "127.0.0.1:9", "executor": "127.0.0.1:9", "registry": "127.0.0.1:9",
         "seed": "00", "stop_ms": 100, "settings": {}}"#;
-    std::fs::write(&config, text).expect("a file");
-    std::fs::write(&operator, "[for_tests_only]\nclock_rate = 2\n").expect("a file");
+    std::fs::write(&config, text).expect("the file is written");
+    std::fs::write(&operator, "[for_tests_only]\nclock_rate = 2\n").expect("the file is written");
     let mut command = std::process::Command::new(program());
     command.arg("serve").arg("--operator").arg(&operator).env("PROXY_CONFIG", &config);
-    let refused = command.output().expect("it starts");
-    let said = String::from_utf8_lossy(&refused.stderr).into_owned();
-    assert!(refused.status.code() == Some(2) && said.contains("field for_tests_only"), "{said}");
-    std::fs::write(&operator, "[for_tests_only]\nclock_rate = 20\n").expect("a file");
+    let output = command.output().expect("the command starts");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(output.status.code() == Some(2) && stderr.contains("field for_tests_only"), "{stderr}");
+    std::fs::write(&operator, "[for_tests_only]\nclock_rate = 20\n").expect("the file is written");
     let checked = std::process::Command::new(program()).args(["check", "--operator"]).arg(&operator).output();
-    let said = String::from_utf8_lossy(&checked.expect("it starts").stderr).into_owned();
-    assert!(said.contains("operator.toml:2:") && said.contains("clock_rate"), "{said}");
+    let stderr = String::from_utf8_lossy(&checked.expect("the command starts").stderr).into_owned();
+    assert!(stderr.contains("operator.toml:2:") && stderr.contains("clock_rate"), "{stderr}");
 }
--- a/crates/hazelgrade-server/tests/group/store.rs
+++ b/crates/hazelgrade-server/tests/group/store.rs
@@ -1,58 +1,59 @@
-//! A real node that dies at each write of its store in turn, while versions come, and the disk it finds then.
+//! A node process that is killed at each write to its store in turn while versions are published, and nodes that
+//! restart with an old or empty disk.
 
 use super::*;
 use hazelgrade_fault_injection::plan::Disk;
 use std::collections::BTreeSet;
 
-/// Whatever write of its store kills it, a node starts again by a version that was good or that it had acknowledged, takes
-/// the latest, and no job is lost but by the death.
+/// Guards against a store that a crash during a write leaves unusable. After a crash at any write, the node must
+/// restart with a good or acknowledged version and accept the latest one, and no job may be lost except by the crash.
 #[test]
-fn a_node_killed_at_each_write_of_its_store_in_turn_comes_back_by_a_good_version() {
-    let _alone = alone();
-    let mut group = Group::start(program(), &[], 1, RATE).expect("it starts");
-    let mut died_at = BTreeSet::new();
-    let mut beyond = 0;
+fn a_node_killed_at_each_write_to_its_store_in_turn_restarts_with_a_good_version() {
+    let _group_lock = lock_group();
+    let mut group = Group::start(program(), &[], 1, JOBS_PER_S).expect("the group starts");
+    let mut crashed_at = BTreeSet::new();
+    let mut survived_starts = 0;
     for write in 0.. {
-        cause(&mut group, Fault::Term { node: 0 });
-        assert!(group.wait_until(SOON, |group| !group.nodes[0].is_running()));
+        inject(&mut group, Fault::Term { node: 0 });
+        assert!(group.wait_until(TIMEOUT, |group| !group.nodes[0].is_running()));
         let operator = format!("[for_tests_only]\nstore_dies_at = {write}\n");
-        group.nodes[0].set_operator_settings(&operator).expect("a file");
-        // It may die as it opens the store, or when a version comes, or not at all.
-        group.start_node_that_may_exit(0).expect("it starts");
-        cause(&mut group, Fault::Publish { harmful: false });
-        let settled = |group: &mut Group| !group.nodes[0].is_running() || stand(group, "good")[0];
-        assert!(group.wait_until(SOON, settled), "at {write}: {}", group.status());
-        let dead = !group.nodes[0].is_running();
-        group.nodes[0].set_operator_settings("").expect("a file");
-        if dead {
-            died_at.insert(write);
-            cause(&mut group, Fault::Start { node: 0, disk: Disk::Own });
-            // A version with which it died once is offered again; with twice it would be suspect.
+        group.nodes[0].set_operator_settings(&operator).expect("the operator's file is written");
+        // The node may crash when it opens the store, when it accepts a version, or not at all.
+        group.start_node_that_may_exit(0).expect("the node process is spawned");
+        inject(&mut group, Fault::Publish { harmful: false });
+        let settled = |group: &mut Group| !group.nodes[0].is_running() || has_standing(group, "good")[0];
+        assert!(group.wait_until(TIMEOUT, settled), "set to be killed at write {write}: {}", group.status());
+        let crashed = !group.nodes[0].is_running();
+        group.nodes[0].set_operator_settings("").expect("the operator's file is written");
+        if crashed {
+            crashed_at.insert(write);
+            inject(&mut group, Fault::Start { node: 0, disk: Disk::Own });
+            // A version on trial in one crash is offered again. A version on trial in two crashes would be rejected.
             assert!(
-                group.wait_until(SOON, |group| group.nodes[0].is_ready()),
-                "after a death at {write}: {}",
+                group.wait_until(TIMEOUT, |group| group.nodes[0].is_ready()),
+                "not ready after a crash at write {write}: {}",
                 group.status()
             );
         } else {
             group.confirm_survival(0);
-            beyond += 1;
+            survived_starts += 1;
         }
-        if beyond == 2 {
+        if survived_starts == 2 {
             break;
         }
     }
-    cause(&mut group, Fault::Term { node: 0 });
-    assert!(group.wait_until(SOON, |group| !group.nodes[0].is_running()));
-    cause(&mut group, Fault::Start { node: 0, disk: Disk::Own });
-    assert!(died_at.len() >= 10, "it died at {died_at:?} only");
-    println!("{} deaths, the last at write {:?}", died_at.len(), died_at.last());
-    kept(&group.finish());
+    inject(&mut group, Fault::Term { node: 0 });
+    assert!(group.wait_until(TIMEOUT, |group| !group.nodes[0].is_running()));
+    inject(&mut group, Fault::Start { node: 0, disk: Disk::Own });
+    assert!(crashed_at.len() >= 10, "the node crashed only at writes {crashed_at:?}");
+    println!("{} crashes, the last at write {:?}", crashed_at.len(), crashed_at.last());
+    assert_no_violations(&group.finish());
 }
 
 #[test]
-fn with_an_old_disk_or_an_empty_one_a_node_takes_the_latest_version_again() {
-    let _alone = alone();
-    plays(&[
+fn a_node_with_an_old_or_empty_disk_accepts_the_latest_version_again() {
+    let _group_lock = lock_group();
+    run_steps(&[
         (Trigger::Now, Fault::Publish { harmful: false }),
         (Trigger::Acknowledged(NODES), Fault::Publish { harmful: false }),
         (Trigger::Acknowledged(NODES), Fault::Kill { node: 0 }),
--- a/crates/hazelgrade-server/tests/streaming/main.rs
+++ b/crates/hazelgrade-server/tests/streaming/main.rs
@@ -1,5 +1,5 @@
-//! Streamed configuration through real sockets: a node as a process, and what may go wrong with versions, the control
-//! service, the store and the node itself.
+//! Streamed configuration over real sockets. A node runs as a process, and the tests inject faults in versions, the
+//! control service, the store and the node itself.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -18,45 +18,51 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// All that a node needs round it.
+/// The peers of a node: executor, registry, and a fake control service.
 struct TestEnvironment {
     executor: Executor,
     registry: Registry,
     control: FakeControlService,
-    world: test_environment::TestEnvironment,
+    base: test_environment::TestEnvironment,
 }
 
-const QUICK: Workload = Workload { cores: 4, job_duration: Duration::from_millis(4), makes_call: false };
+const FAST_WORKLOAD: Workload =
+    Workload { cores: 4, job_duration: Duration::from_millis(4), makes_call: false };
 
-/// Trials as short as they may be, and that fail only by what a test does.
+/// The shortest trial that the settings allow. Such a trial fails only by an action of the test.
 const SHORT_TRIAL: &str = "[stream.trial]\nspan_ms = 100\nleast_jobs = 20\n";
-/// Longer than a test.
+/// A trial that doesn't end during a test.
 const LONG_TRIAL: &str = "[stream.trial]\nspan_ms = 600000\n";
 
 impl TestEnvironment {
-    fn new(work: Workload) -> TestEnvironment {
-        let world = test_environment::TestEnvironment::new(work).expect("ports");
-        let (executor, registry) = (world.executor.clone(), world.registry.clone());
-        TestEnvironment { world, executor, registry, control: FakeControlService::start().expect("a port") }
+    fn new(workload: Workload) -> TestEnvironment {
+        let base = test_environment::TestEnvironment::new(workload).expect("ports are free");
+        let (executor, registry) = (base.executor.clone(), base.registry.clone());
+        TestEnvironment {
+            base,
+            executor,
+            registry,
+            control: FakeControlService::start().expect("a port is free"),
+        }
     }
 
-    fn plan(&self, stream: &str) -> NodeConfig {
+    fn node_config(&self, stream: &str) -> NodeConfig {
         let program = Path::new(env!("CARGO_BIN_EXE_hazelgrade"));
         let stream = format!("lineage = \"test\"\n{stream}");
-        self.world.node_config("n1", program, &[], self.control.address, &stream)
+        self.base.node_config("n1", program, &[], self.control.address, &stream)
     }
 
     fn node(&self, stream: &str) -> NodeProcess {
-        self.plan(stream).start().expect("it starts")
+        self.node_config(stream).start().expect("the node starts")
     }
 
-    /// The next subscriber, and the version that it has.
+    /// Waits for the next subscriber. Returns the subscriber and the version that it has in effect.
     fn subscriber(&self) -> (Subscriber, Option<Version>) {
-        let subscriber = self.control.accept_subscriber().expect("a subscriber in time");
-        let SubscriberMessage::Subscribe { in_effect: have, .. } = subscriber.subscribed.clone() else {
-            panic!("{:?}", subscriber.subscribed)
+        let subscriber = self.control.accept_subscriber().expect("a subscriber connects in time");
+        let SubscriberMessage::Subscribe { in_effect, .. } = subscriber.subscribed.clone() else {
+            panic!("expected a subscription, got {:?}", subscriber.subscribed)
         };
-        (subscriber, have)
+        (subscriber, in_effect)
     }
 
     fn callers(&self, node: &NodeProcess, rate: f64, job_classes: &[&str]) -> Callers {
@@ -64,35 +70,35 @@
     }
 }
 
-fn doc(cases: &[JobClassEntry], rest: &str) -> Document {
-    document(cases, 1, rest).expect("it is right")
+fn doc(job_classes: &[JobClassEntry], rest: &str) -> Document {
+    document(job_classes, 1, rest).expect("the document is valid")
 }
 
-fn acknowledged(said: Option<SubscriberMessage>) -> Version {
-    match said {
+fn acknowledged_version(message: Option<SubscriberMessage>) -> Version {
+    match message {
         Some(SubscriberMessage::Acknowledged { version, .. }) => version,
-        said => panic!("not acknowledged: {said:?}"),
+        message => panic!("expected an acknowledgement, got {message:?}"),
     }
 }
 
-fn turned_down(said: Option<SubscriberMessage>) -> Rejection {
-    match said {
-        Some(SubscriberMessage::Rejected { rejection: refusal, .. }) => refusal,
-        said => panic!("not turned down: {said:?}"),
+fn rejection_reason(message: Option<SubscriberMessage>) -> Rejection {
+    match message {
+        Some(SubscriberMessage::Rejected { rejection, .. }) => rejection,
+        message => panic!("expected a rejection, got {message:?}"),
     }
 }
 
-/// How a trial ended: nothing if the version stays.
-fn settled(said: Option<SubscriberMessage>) -> Option<String> {
-    match said {
+/// Returns why a trial failed, or `None` if the version stays in effect.
+fn trial_failure(message: Option<SubscriberMessage>) -> Option<String> {
+    match message {
         Some(SubscriberMessage::TrialEnded { failure, .. }) => failure,
-        said => panic!("not settled: {said:?}"),
+        message => panic!("expected the end of a trial, got {message:?}"),
     }
 }
 
-/// Offers a document and sees it become good.
-fn made_good(subscriber: &mut Subscriber, number: u64, document: &Document) {
+/// Offers a document and checks that its trial succeeds.
+fn complete_trial(subscriber: &mut Subscriber, number: u64, document: &Document) {
     subscriber.offer_full(number, document);
-    assert_eq!(acknowledged(subscriber.receive()).number, number);
-    assert_eq!(settled(subscriber.receive()), None);
+    assert_eq!(acknowledged_version(subscriber.receive()).number, number);
+    assert_eq!(trial_failure(subscriber.receive()), None);
 }
