--- a/crates/hazelgrade-server/tests/streaming/node.rs
+++ b/crates/hazelgrade-server/tests/streaming/node.rs
@@ -137,8 +137,8 @@
     let callers = environment.callers(&node, 40.0, &["book"]);
     assert!(wait_until(Duration::from_secs(5), || environment.executor.running() >= 4));
     // A version offered during a trial waits for the end of that trial, except one with the previous content, which
-    // takes effect at once. The second part of the test therefore uses a new node with short trials; the jobs in flight
-    // on the first node are lost to that node.
+    // takes effect at once. The second part of the test therefore uses a new node with short trials, which has no jobs in
+    // flight from the first part.
     let CallersReport { results, .. } = callers.stop();
     assert!(results.iter().all(|result| result.outcome != JobOutcome::Lost), "{results:?}");
     drop(node);
