--- a/crates/hazelgrade-server/src/program/command.rs
+++ b/crates/hazelgrade-server/src/program/command.rs
@@ -1,4 +1,4 @@
-//! The command line: one module for each sub-command.
+//! The command line of the program, with one module for each sub-command.
 
 mod budget;
 mod check;
@@ -12,7 +12,7 @@
 use pico_args::Arguments;
 use std::process::ExitCode;
 
-/// The usage text; `{KEYS}` and `{BUDGETS}` stand for those of the sub-commands.
+/// The usage text. `{KEYS}` and `{BUDGETS}` are placeholders for the usage texts of `keys` and `budget`.
 const USAGE: &str = "\
 hazelgrade: decides what one service instance takes, runs and turns away
 
@@ -39,21 +39,21 @@
   --log LEVEL       off, error, warn, info (the usual level), debug or trace
 ";
 
-/// Exit code for wrong usage, a wrong configuration, or an address that can't be used.
-const EXIT_WRONG_USAGE: u8 = 2;
+/// Exit code for invalid arguments, an invalid configuration, or an address that cannot be bound.
+const EXIT_INVALID_USAGE: u8 = 2;
 
-/// Runs the program by its command line.
+/// Runs the program with the command line of this process.
 pub fn main() -> ExitCode {
     main_with(Arguments::from_env())
 }
 
-/// Runs the program by arguments that are not those of this process.
+/// Runs the program with the given arguments instead of those of this process.
 pub fn main_with(arguments: Arguments) -> ExitCode {
     match run(arguments) {
         Ok(code) => code,
         Err(message) => {
             eprintln!("hazelgrade: {message}");
-            ExitCode::from(EXIT_WRONG_USAGE)
+            ExitCode::from(EXIT_INVALID_USAGE)
         }
     }
 }
@@ -72,7 +72,7 @@
         return Ok(ExitCode::SUCCESS);
     }
     let name = arguments.subcommand().map_err(usage_error)?;
-    let name = name.ok_or_else(|| usage_error("a command is missing"))?;
+    let name = name.ok_or_else(|| usage_error("missing command"))?;
     let command = Command::parse(&name, &mut arguments).map_err(usage_error)?;
     if let Some(unknown) = arguments.finish().first() {
         return Err(usage_error(format_args!("unknown argument {}", unknown.to_string_lossy())));
@@ -95,7 +95,7 @@
 }
 
 impl Command {
-    /// Parses a sub-command's arguments; returns `None` if there is no such sub-command.
+    /// Parses the arguments of a sub-command. Returns `None` if no sub-command has this name.
     fn parse(name: &str, arguments: &mut Arguments) -> Result<Option<Command>, pico_args::Error> {
         Ok(Some(match name {
             "serve" => Command::Serve(serve::ServeCommand::parse(arguments)?),
--- a/crates/hazelgrade-server/src/program/command/budget.rs
+++ b/crates/hazelgrade-server/src/program/command/budget.rs
@@ -1,4 +1,4 @@
-//! `budget`: creates the store of a site's lessor, and sends it an operator's requests.
+//! `budget`: creates the store of a site's lessor, and sends requests of an operator to a lessor.
 
 mod report;
 
@@ -23,40 +23,40 @@
                                      move units to another site; declare a site lost for good
 ";
 
-/// How long to wait for the answer of the control service.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// Time-out of a request to the control service.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The arguments of `budget`.
+/// The parsed arguments of `budget`.
 pub enum BudgetCommand {
     /// Creates the store of a site's lessor.
     CreateStore {
-        /// The folder of documents.
+        /// The folder of the documents, in which the store is created.
         documents: PathBuf,
-        /// The site whose budgets it grants.
+        /// The site whose budgets the lessor grants.
         site: String,
         /// The address that the control service will listen on.
         listen: SocketAddr,
-        /// The store that there was before, if there was one.
+        /// Describes the lost store that the new one replaces; `None` if the site never had a store.
         lost: Option<LostStore>,
     },
     /// Sends a request to a lessor.
     Request {
-        /// The address of the control service.
+        /// The address of the control service that runs the lessor.
         control_service: SocketAddr,
-        /// The request.
+        /// The request to the lessor.
         request: OperatorCommand,
-        /// How to print the answer.
+        /// The format in which the answer is printed.
         output: Output,
     },
 }
 
-/// How an answer is printed.
+/// The format in which the answer of a lessor is printed.
 pub enum Output {
-    /// Tables of sites, budgets and holders.
+    /// Tables of sites, budgets and lease holders.
     Tables,
     /// Metrics in the text format of Prometheus.
     Metrics,
-    /// Events, one a line.
+    /// One event per line.
     History,
     /// One line of text.
     Line,
@@ -84,7 +84,7 @@
             "retire" => (parse_retire(arguments)?, Output::Line),
             _ => {
                 let expected = "found, show, history, metrics, move, retire or open";
-                let cause = format!("budget: expected one of {expected}");
+                let cause = format!("budget: expected a sub-command, one of {expected}");
                 return Err(pico_args::Error::ArgumentParsingFailed { cause });
             }
         };
@@ -100,7 +100,7 @@
                 Ok(format!("{message}\n"))
             }
             BudgetCommand::Request { control_service, request, output } => {
-                let answer = control_service::send_budget_command(control_service, request, TIMEOUT)
+                let answer = control_service::send_budget_command(control_service, request, REQUEST_TIMEOUT)
                     .map_err(|error| error.to_string())?;
                 Ok(output.format(&answer))
             }
@@ -111,12 +111,14 @@
 fn parse_lost_store(arguments: &mut Arguments) -> Result<Option<LostStore>, pico_args::Error> {
     let is_lost = arguments.contains("--lost");
     let longest_ms: Option<f64> = arguments.opt_value_from_str("--longest-ms")?;
-    let problem = match longest_ms {
-        Some(_) if !is_lost => Some("--longest-ms: goes with --lost"),
-        Some(longest_ms) if !LostStore::accepts(longest_ms) => Some("--longest-ms: expected 210 to 70000"),
+    let error = match longest_ms {
+        Some(_) if !is_lost => Some("--longest-ms: only allowed together with --lost"),
+        Some(longest_ms) if !LostStore::accepts(longest_ms) => {
+            Some("--longest-ms: expected a number from 210 to 70000")
+        }
         _ => None,
     };
-    match problem {
+    match error {
         Some(cause) => Err(pico_args::Error::ArgumentParsingFailed { cause: cause.into() }),
         None => Ok(is_lost.then_some(LostStore { longest_ms })),
     }
@@ -135,10 +137,11 @@
     Ok(OperatorCommand::Retire { site: arguments.value_from_str("--site")?, id: parse_id(arguments)? })
 }
 
-/// The id of a change, so that a retry of it does nothing; random if none is given.
+/// Parses `--id`, the idempotency key of a change: the lessor applies a change once per id. The id is random if
+/// `--id` is not given.
 fn parse_id(arguments: &mut Arguments) -> Result<String, pico_args::Error> {
-    let random = || format!("w{:016x}", RandomState::new().hash_one(SystemTime::now()));
-    Ok(arguments.opt_value_from_str("--id")?.unwrap_or_else(random))
+    let random_id = || format!("w{:016x}", RandomState::new().hash_one(SystemTime::now()));
+    Ok(arguments.opt_value_from_str("--id")?.unwrap_or_else(random_id))
 }
 
 impl Output {
--- a/crates/hazelgrade-server/src/program/command/budget/report.rs
+++ b/crates/hazelgrade-server/src/program/command/budget/report.rs
@@ -1,4 +1,4 @@
-//! The report of a lessor, as tables, as a history and as metrics.
+//! Formats the report of a lessor as tables, as a history and as metrics.
 
 use crate::program::command::table;
 use hazelgrade_budget::lessor::BudgetReport;
@@ -6,7 +6,8 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-fn text(value: &Value) -> String {
+/// Formats a JSON value as a table cell: strings without quotes, and `-` for null.
+fn cell_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".into(),
@@ -14,14 +15,15 @@
     }
 }
 
-/// Milliseconds in JSON as seconds; 0 if it is no number.
-fn seconds(value: &Value) -> String {
+/// Formats a JSON number of milliseconds as seconds. A value that is not a number counts as 0.
+fn format_seconds(value: &Value) -> String {
     format!("{:.1} s", value.as_f64().unwrap_or(0.0) / 1000.0)
 }
 
-/// The report as tables: sites, then each budget with its holders.
+/// Formats the report as text: one line per site, then each budget with a table of its lease holders.
 pub fn tables(report: &Value) -> String {
-    let mut tables = format!("keeper of {}, start {}\n", text(&report["site"]), text(&report["generation"]));
+    let mut tables =
+        format!("keeper of {}, start {}\n", cell_text(&report["site"]), cell_text(&report["generation"]));
     if let Some(reason) = report["held_up"].as_str() {
         tables.push_str(&format!("nothing new is granted: {reason}\n"));
     }
@@ -38,12 +40,12 @@
 fn site_line(site: &Value) -> String {
     let last_report = match &site["heard_ms_ago"] {
         Value::Null => "not heard of since the start".into(),
-        heard_ms_ago => format!("heard {} ago", seconds(heard_ms_ago)),
+        heard_ms_ago => format!("heard {} ago", format_seconds(heard_ms_ago)),
     };
     let lost = if site["lost"] == true { ", declared lost" } else { "" };
-    let safe = seconds(&site["safe_in_ms"]);
-    let name = text(&site["site"]);
-    format!("site {name}: {last_report}{lost}; if it is gone, nothing of it is in use in {safe}\n")
+    let safe_in = format_seconds(&site["safe_in_ms"]);
+    let name = cell_text(&site["site"]);
+    format!("site {name}: {last_report}{lost}; if it is gone, nothing of it is in use in {safe_in}\n")
 }
 
 fn budget_line(name: &str, budget: &Value) -> String {
@@ -60,7 +62,7 @@
     )
 }
 
-/// The columns of the table of holders, as [`holder_row`] fills them.
+/// The header of the table of lease holders, in the order of the cells that [`holder_row`] returns.
 const HOLDER_COLUMNS: [&str; 11] = [
     "holder", "run", "granted", "at most", "used", "wants", "to have", "alone", "heard", "back in",
     "here for",
@@ -73,23 +75,23 @@
 }
 
 fn holder_row(holder: &Value) -> [String; HOLDER_COLUMNS.len()] {
-    let last_report = seconds(&holder["heard_ms_ago"]);
+    let last_report = format_seconds(&holder["heard_ms_ago"]);
     [
-        text(&holder["holder"]),
-        text(&holder["run"]).chars().take(8).collect(),
-        text(&holder["granted"]),
-        text(&holder["most"]),
-        text(&holder["used"]),
-        text(&holder["wants"]),
-        text(&holder["target"]),
-        text(&holder["alone"]),
+        cell_text(&holder["holder"]),
+        cell_text(&holder["run"]).chars().take(8).collect(),
+        cell_text(&holder["granted"]),
+        cell_text(&holder["most"]),
+        cell_text(&holder["used"]),
+        cell_text(&holder["wants"]),
+        cell_text(&holder["target"]),
+        cell_text(&holder["alone"]),
         if holder["connected"] == true { last_report } else { format!("{last_report}, gone") },
-        seconds(&holder["back_in_ms"]),
-        seconds(&holder["since_ms"]),
+        format_seconds(&holder["back_in_ms"]),
+        format_seconds(&holder["since_ms"]),
     ]
 }
 
-/// The history of a lessor, one event a line.
+/// Formats the history of a lessor, one event per line.
 pub fn history(events: &Value) -> String {
     let line = |event: &Value| {
         let seconds_ago = event[0].as_f64().unwrap_or(0.0) / 1000.0;
@@ -98,7 +100,8 @@
     events.as_array().into_iter().flatten().map(line).collect()
 }
 
-/// The report in the text format of Prometheus.
+/// Formats the budgets of the report as gauges in the text format of Prometheus. Budgets that cannot be decoded are
+/// left out.
 pub fn metrics_text(report: &Value) -> String {
     let recorder = PrometheusBuilder::new().build_recorder();
     let handle = recorder.handle();
--- a/crates/hazelgrade-server/src/program/command/check.rs
+++ b/crates/hazelgrade-server/src/program/command/check.rs
@@ -1,4 +1,4 @@
-//! `check`: says what is wrong with files, or what they would do.
+//! `check`: validates configuration files and documents, and prints the effect that they would have.
 
 use super::operator_file;
 use super::serve::{NO_CONFIGURATION, configuration_path};
@@ -9,7 +9,7 @@
 use pico_args::Arguments;
 use std::path::{Path, PathBuf};
 
-/// The files to check.
+/// The parsed arguments of `check`: the files to validate.
 pub struct CheckCommand {
     operator: Option<PathBuf>,
     document: Option<PathBuf>,
@@ -30,7 +30,7 @@
         })
     }
 
-    /// Prints what the files would do; stops at the first file that is wrong.
+    /// Validates the files in turn and prints a summary of each. Returns the error of the first invalid file.
     pub fn run(self) -> Result<(), String> {
         if let Some(path) = &self.operator {
             check_operator_file(path)?;
@@ -81,7 +81,7 @@
     Ok(())
 }
 
-/// Reads a document and prints its digest.
+/// Reads and validates a document, and prints its digest.
 fn read_document(kind: Kind, path: &Path) -> Result<Document, String> {
     let document = documents::read(kind, path)?;
     println!("{}: digest {}", path.display(), document.digest());
--- a/crates/hazelgrade-server/src/program/command/control.rs
+++ b/crates/hazelgrade-server/src/program/command/control.rs
@@ -1,4 +1,4 @@
-//! `control`: runs a control service, which publishes documents and may be the lessor of a site's budgets.
+//! `control`: runs a control service, which publishes documents and can also be the lessor of a site's budgets.
 
 use super::serve::log_level;
 use crate::program::logging;
@@ -14,13 +14,15 @@
 use std::rc::Rc;
 use tracing::level_filters::LevelFilter;
 
-/// Subscribers admitted per second. A fleet of a thousand reconnects within seconds, and one core is not fully used.
+/// Subscribers admitted per second unless `--admit` is given. A thousand nodes reconnect within seconds at this rate,
+/// and the control service does not saturate one core.
 const DEFAULT_ADMITTED_PER_S: f64 = 200.0;
 
-/// Subscribers admitted at once after a quiet period, as a ratio of those admitted per second.
+/// Burst of the admission rate limit: subscribers admitted at once after an idle period, as a ratio of the subscribers
+/// admitted per second.
 const ADMISSION_BURST_RATIO: f64 = 0.25;
 
-/// The arguments of `control`.
+/// The parsed arguments of `control`.
 pub struct ControlCommand {
     config: ControlServiceConfig,
     log_level: LevelFilter,
@@ -43,19 +45,19 @@
         Ok(ControlCommand { config, log_level: log_level(arguments)? })
     }
 
-    /// Runs until SIGTERM or SIGINT. Nodes continue with their last documents after that.
+    /// Runs the control service until SIGTERM or SIGINT. Nodes keep their last documents when the service has stopped.
     pub fn run(self) -> Result<(), String> {
         let log = logging::start(self.log_level);
-        let ended = run_until_signal(self.config);
+        let result = run_until_signal(self.config);
         drop(log);
-        ended
+        result
     }
 }
 
 fn parse_lessor(arguments: &mut Arguments) -> Result<Option<lessor_service::LessorConfig>, pico_args::Error> {
     let Some(site) = arguments.opt_value_from_str("--keeper")? else { return Ok(None) };
     let peers = arguments.values_from_fn("--peer", |text: &str| {
-        let expected = || "expected SITE=ADDRESS".to_owned();
+        let expected = || "expected SITE=ADDRESS for --peer".to_owned();
         let (site, address) = text.split_once('=').ok_or_else(expected)?;
         let address = address.parse().map_err(|_| expected())?;
         Ok::<_, String>((site.to_owned(), address))
@@ -66,35 +68,41 @@
 
 fn run_until_signal(config: ControlServiceConfig) -> Result<(), String> {
     let signals = Signals::new([Signal::Term, Signal::Int]);
-    let mut signals = signals.map_err(|error| format!("signals: {error}"))?;
+    let mut signals = signals.map_err(|error| format!("cannot install signal handlers: {error}"))?;
     let tasks = Rc::new(LocalExecutor::new());
     let serving = control_service::serve(tasks.clone(), config, log_granted_units());
     let serving = async { serving.await.map_err(|error| error.to_string()) };
-    let signalled = async {
+    let until_signal = async {
         signals.next().await;
         Ok(())
     };
-    async_io::block_on(tasks.run(or(serving, signalled)))
+    async_io::block_on(tasks.run(or(serving, until_signal)))
 }
 
-/// Units of all budgets together.
+/// Units of a lessor, each summed over all budgets.
 #[derive(Clone, Copy, PartialEq)]
 struct GrantedUnits {
     granted: u32,
+    /// Units booked beyond what is granted, which are waiting to be returned or to expire.
     in_doubt: u32,
 }
 
-/// Logs the granted units whenever they change. `budget metrics` prints all figures.
+/// Returns a callback that logs the granted units whenever they change. `budget metrics` prints all figures of each
+/// budget.
 fn log_granted_units() -> Metrics {
-    let before = Cell::new(None);
+    let last_logged = Cell::new(None);
     Box::new(move |budgets| {
         let sum = |units: fn(&BudgetReport) -> u32| budgets.values().map(units).fold(0, u32::saturating_add);
-        let now = GrantedUnits {
+        let current = GrantedUnits {
             granted: sum(|figures| figures.granted),
             in_doubt: sum(|figures| figures.unreturned),
         };
-        if before.replace(Some(now)) != Some(now) {
-            tracing::debug!(granted = now.granted, in_doubt = now.in_doubt, "budgets");
+        if last_logged.replace(Some(current)) != Some(current) {
+            tracing::debug!(
+                granted = current.granted,
+                in_doubt = current.in_doubt,
+                "granted units of all budgets changed"
+            );
         }
     })
 }
--- a/crates/hazelgrade-server/src/program/command/keys.rs
+++ b/crates/hazelgrade-server/src/program/command/keys.rs
@@ -1,5 +1,6 @@
 //! `keys`: creates and rotates the signing keys of an identity document, and signs tokens. The document is replaced
-//! atomically, and only by one that is valid; its comments stay. Private keys are in files that only their owner reads.
+//! atomically and only by a valid document, and its comments are preserved. Private keys are stored in files that only
+//! their owner can read.
 
 use crate::program::documents::{self, MAX_ERRORS_SHOWN};
 use base64::Engine;
@@ -27,28 +28,28 @@
                                      make and rotate the keys of an identity document, and sign tokens
 ";
 
-/// How long a key signs unless it is rotated: 30 days.
+/// Signing period of a key that is not rotated: 30 days.
 const SIGNING_PERIOD_S: f64 = 30.0 * 86_400.0;
 
-/// How long a token is valid unless the command line sets it.
+/// Lifetime of a token unless `--for` is given.
 const DEFAULT_TOKEN_LIFETIME_S: f64 = 600.0;
 
-/// At a rotation keys overlap for the longest token lifetime divided by this, unless the command line sets it.
+/// Unless `--overlap` is given, the overlap of keys at a rotation is the maximum token lifetime divided by this number.
 const DEFAULT_OVERLAP_DIVISOR: f64 = 10.0;
 
-/// The mode of files with private keys.
+/// File mode of private keys: only the owner can read and write them.
 const PRIVATE_FILE_MODE: u32 = 0o600;
 
-/// The arguments of `keys`. Each sub-command accepts all of them.
+/// The parsed arguments of `keys`. Each sub-command accepts all of them.
 pub struct KeysCommand {
     subcommand: String,
     document: PathBuf,
     private_folder: Option<PathBuf>,
     audience: Option<String>,
     algorithm: String,
-    /// How long after now a new key starts to sign.
+    /// Time from now until a new key starts to sign.
     lead_s: f64,
-    /// How long the earlier keys continue to sign after that.
+    /// Time for which the earlier keys continue to sign after the new key has started.
     overlap_s: Option<f64>,
     caller: Option<String>,
     token_lifetime_s: f64,
@@ -95,8 +96,8 @@
         Ok(format!("key {} signs from now on\n", key.id))
     }
 
-    /// Adds a key that signs after the lead, and retires the others after the overlap. Their tokens stay valid until
-    /// they expire.
+    /// Adds a key that starts to sign after the lead time, and ends the signing period of the other keys after the
+    /// overlap. Tokens that the other keys have signed stay valid until they expire.
     fn rotate(&self) -> Result<String, String> {
         let mut document = self.read_editable()?;
         let max_token_lifetime_s = max_token_lifetime_s(&document);
@@ -126,20 +127,21 @@
         Ok(text)
     }
 
-    /// Signs a token with the active key whose signing period ends last.
+    /// Signs a token with the key whose signing period ends last, of the active keys with a private key file.
     fn sign_token(&self) -> Result<String, String> {
         let document = documents::read(Kind::Identity, &self.document)?;
         let fields = document.fields();
         let file = self.document.display();
-        let caller = self.caller.as_deref().ok_or("keys: --caller is missing")?;
+        let caller = self.caller.as_deref().ok_or("keys token: --caller is missing")?;
         if !fields.names("caller").contains(&caller) {
-            return Err(format!("{file}: field caller.{caller}: there is no such caller"));
+            return Err(format!("{file}: field caller.{caller}: the document has no such caller"));
         }
         let keys = fields.names("key").into_iter().map(|id| PublishedKey { fields, id });
-        let signing = keys.filter(|key| key.signs_now() && self.has_private_key(key.id));
-        let key = signing
-            .max_by(|one, other| one.signs_until_s().total_cmp(&other.signs_until_s()))
-            .ok_or_else(|| format!("{file}: no key that signs now has its private half there"))?;
+        let signing_keys = keys.filter(|key| key.signs_now() && self.has_private_key(key.id));
+        let key =
+            signing_keys.max_by(|a, b| a.signs_until_s().total_cmp(&b.signs_until_s())).ok_or_else(|| {
+                format!("{file}: no key in its signing period has its private key in the folder of --private")
+            })?;
         let signer = read_private_key(&self.private_key_path(key.id)?)?;
         let issued_s = now_s();
         let claims = Claims {
@@ -155,7 +157,7 @@
 
     fn private_folder(&self) -> Result<&Path, String> {
         let folder = self.private_folder.as_deref();
-        folder.ok_or_else(|| "keys: --private is missing: where private keys lie".into())
+        folder.ok_or_else(|| "keys: --private, the folder of the private keys, is missing".into())
     }
 
     fn private_key_path(&self, key: &str) -> Result<PathBuf, String> {
@@ -166,7 +168,7 @@
         self.private_key_path(key).is_ok_and(|path| path.exists())
     }
 
-    /// The document with its comments; an empty one if there is none yet.
+    /// Reads the document with its comments. Returns an empty document if the file does not exist.
     fn read_editable(&self) -> Result<DocumentMut, String> {
         let file = self.document.display();
         let text = match std::fs::read_to_string(&self.document) {
@@ -177,12 +179,13 @@
         text.parse().map_err(|error| format!("{file}: {error}"))
     }
 
-    /// Replaces the document atomically, if the new one is valid.
+    /// Replaces the document atomically if the new document is valid.
     fn replace_document(&self, document: &DocumentMut) -> Result<(), String> {
         let text = document.to_string();
         let file = self.document.display().to_string();
-        Document::read_as(Kind::Identity, &text, &file)
-            .map_err(|errors| format!("{}\n{file} is as it was", error_summary(&errors, MAX_ERRORS_SHOWN)))?;
+        Document::read_as(Kind::Identity, &text, &file).map_err(|errors| {
+            format!("{}\n{file} was not changed", error_summary(&errors, MAX_ERRORS_SHOWN))
+        })?;
         let io_error = |error: std::io::Error| format!("{file}: {error}");
         let folder = self.document.parent().filter(|folder| !folder.as_os_str().is_empty());
         let folder = folder.unwrap_or(Path::new("."));
@@ -193,7 +196,7 @@
         Ok(())
     }
 
-    /// Generates a key and writes its private half to a file.
+    /// Generates a key pair and writes the private key to a file.
     fn generate_key(
         &self,
         document: &DocumentMut,
@@ -219,13 +222,13 @@
     }
 }
 
-/// A generated key: its id, and its table for the identity document.
+/// A generated key: its id, and its table in the identity document.
 struct NewKey {
     id: String,
     table: Table,
 }
 
-/// A key of an identity document.
+/// A public key of an identity document.
 struct PublishedKey<'a> {
     fields: &'a Fields,
     id: &'a str,
@@ -258,7 +261,7 @@
         has_started && now_s() < self.signs_until_s() && !self.is_revoked()
     }
 
-    /// The key as one line of `keys show`.
+    /// Formats the key as one line of the output of `keys show`.
     fn line(&self) -> String {
         let seconds_left = |field: &str| match self.number(field) {
             Some(at_s) => format!("{:.0} s", at_s - now_s()),
@@ -275,7 +278,7 @@
         )
     }
 
-    /// The key as a JSON Web Key (RFC 7517).
+    /// Returns the key as a JSON Web Key (RFC 7517).
     fn jwk(&self) -> Value {
         let algorithm = self.text("algorithm").unwrap_or_default();
         let (key_type, curve) = if algorithm == "EdDSA" { ("OKP", "Ed25519") } else { ("EC", "P-256") };
@@ -289,7 +292,7 @@
     }
 }
 
-/// Seconds since 1970.
+/// Returns the current Unix time in seconds.
 fn now_s() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64())
 }
@@ -316,7 +319,7 @@
     keys[&key.id] = Item::Table(key.table.clone());
 }
 
-/// Ends the signing period of all keys that would sign after a time, and returns their ids.
+/// Ends at `signs_until_s` the signing period of all keys that would sign longer, and returns the ids of these keys.
 fn retire_keys(document: &mut DocumentMut, signs_until_s: f64, max_token_lifetime_s: f64) -> Vec<String> {
     let mut retired = Vec::new();
     let Some(keys) = document.get_mut("key").and_then(Item::as_table_mut) else { return retired };
@@ -331,7 +334,7 @@
     retired
 }
 
-/// Writes the private half of a key to a new file. Never overwrites a file, as the key in it could not be recovered.
+/// Writes a private key to a new file. Fails if the file exists, as an overwritten key could not be recovered.
 fn write_private_key(path: &Path, signer: &Signer) -> Result<(), String> {
     let io_error = |error: std::io::Error| format!("{}: {error}", path.display());
     let text = Zeroizing::new(STANDARD.encode(signer.pkcs8()));
@@ -345,7 +348,8 @@
 fn read_private_key(path: &Path) -> Result<Signer, String> {
     let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
     let text = Zeroizing::new(text);
-    let pkcs8 =
-        STANDARD.decode(text.trim()).map_err(|_| format!("{}: not a key of this program", path.display()))?;
+    let pkcs8 = STANDARD
+        .decode(text.trim())
+        .map_err(|_| format!("{}: not a private key in base64", path.display()))?;
     Signer::from_pkcs8(Zeroizing::new(pkcs8)).map_err(|error| error.to_string())
 }
--- a/crates/hazelgrade-server/src/program/command/status.rs
+++ b/crates/hazelgrade-server/src/program/command/status.rs
@@ -1,4 +1,4 @@
-//! `status`: a table of the nodes that a control service knows.
+//! `status`: prints a table of the nodes that a control service knows.
 
 use super::table;
 use hazelgrade_stream::control_service;
@@ -7,10 +7,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long to wait for the answer of the control service.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// Time-out of a request to the control service.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The arguments of `status`.
+/// The parsed arguments of `status`.
 pub struct StatusCommand {
     control_service: SocketAddr,
 }
@@ -21,9 +21,9 @@
         Ok(StatusCommand { control_service: arguments.value_from_str("--control")? })
     }
 
-    /// Requests the status and returns the table to print.
+    /// Requests the status from the control service and returns the table to print.
     pub fn run(self) -> Result<String, String> {
-        let report = control_service::request_status(self.control_service, TIMEOUT)
+        let report = control_service::request_status(self.control_service, REQUEST_TIMEOUT)
             .map_err(|error| error.to_string())?;
         let mut text = format!(
             "lineage {}, version {}\n",
--- a/crates/hazelgrade-server/src/program/command/table.rs
+++ b/crates/hazelgrade-server/src/program/command/table.rs
@@ -1,6 +1,7 @@
-//! Text in columns.
+//! Formats tables as plain text.
 
-/// Rows with columns as wide as their longest cell, two spaces between them, each line after `indent`.
+/// Formats rows as lines of text. Each column is as wide as its longest cell, columns are separated by two spaces, and
+/// each line starts with `indent`.
 pub fn format<const COLUMNS: usize>(rows: &[[String; COLUMNS]], indent: &str) -> String {
     let width = |column: usize| rows.iter().map(|row| row[column].chars().count()).max().unwrap_or(0);
     let widths: Vec<usize> = (0..COLUMNS).map(width).collect();
