--- a/crates/hazelgrade-server/tests/identity/main.rs
+++ b/crates/hazelgrade-server/tests/identity/main.rs
@@ -1,5 +1,5 @@
-//! Authentication and authorization of callers through real sockets: the operators' tool makes keys and tokens, a node goes by
-//! a file or by what a control service streams.
+//! Tests of authentication and authorization of callers over real sockets. The command `keys` creates keys and
+//! tokens, and a node reads its identity document from a file or from a control service.
 
 #![allow(clippy::expect_used, clippy::panic)]
 
@@ -21,102 +21,109 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const SOON: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 const DEADLINE: Duration = Duration::from_secs(3);
 const GRACE: Duration = Duration::from_millis(250);
-const QUICK: Workload = Workload { cores: 4, job_duration: Duration::from_millis(4), makes_call: false };
+const SHORT_JOBS: Workload = Workload { cores: 4, job_duration: Duration::from_millis(4), makes_call: false };
 
 const CALLERS: &str = "audience = \"agenda\"\nlongest_token_s = 60\nskew_s = 0\n\n\
     [caller.front]\nuse_cases = [\"read\"]\ncustomers = [\"c0\"]\n\n\
     [caller.desk]\nuse_cases = [\"read\", \"book\"]\ncustomers = [\"c0\"]\n";
 
-/// The operators' tool; what it prints.
-fn keys(arguments: &[&str], set: &Path, private: &Path) -> String {
+/// Runs the command `keys` and returns its output.
+fn keys(arguments: &[&str], document: &Path, private: &Path) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hazelgrade"));
-    command.arg("keys").args(arguments).arg("--set").arg(set).arg("--private").arg(private);
-    let output = command.output().expect("it starts");
+    command.arg("keys").args(arguments).arg("--set").arg(document).arg("--private").arg(private);
+    let output = command.output().expect("process starts");
     assert!(output.status.success(), "{arguments:?}: {}", String::from_utf8_lossy(&output.stderr));
     String::from_utf8_lossy(&output.stdout).trim().to_owned()
 }
 
-struct Setting {
-    world: TestEnvironment,
-    control: SocketAddr,
+struct TestSetup {
+    environment: TestEnvironment,
+    control_address: SocketAddr,
     control_service: Child,
     documents: PathBuf,
     private: PathBuf,
 }
 
 fn serving() -> Document {
-    document(&[READ, BOOK], 2, "").expect("it is right")
+    document(&[READ, BOOK], 2, "").expect("valid document")
 }
 
-impl Setting {
-    /// A control service with a serving document and an identity document with one key.
-    fn new() -> Setting {
-        let world = TestEnvironment::new(QUICK).expect("ports");
+impl TestSetup {
+    /// Starts a control service with a serving document and an identity document with one key.
+    fn new() -> TestSetup {
+        let environment = TestEnvironment::new(SHORT_JOBS).expect("free ports");
         let (documents, private) =
-            (world.directory.path().join("documents"), world.directory.path().join("private"));
-        std::fs::create_dir(&documents).expect("a folder");
+            (environment.directory.path().join("documents"), environment.directory.path().join("private"));
+        std::fs::create_dir(&documents).expect("folder");
         std::fs::write(documents.join(control_service::SERVING_DOCUMENT_FILE), serving().to_toml())
-            .expect("a file");
-        let set = documents.join("identity.toml");
-        std::fs::write(&set, CALLERS).expect("a file");
-        keys(&["new"], &set, &private);
-        let control = free_address();
+            .expect("file operation");
+        let identity_document = documents.join("identity.toml");
+        std::fs::write(&identity_document, CALLERS).expect("file operation");
+        keys(&["new"], &identity_document, &private);
+        let control_address = free_address();
         let mut command = Command::new(env!("CARGO_BIN_EXE_hazelgrade"));
         command.args(["control", "--lineage", "test", "--log", "error", "--documents"]).arg(&documents);
-        let child =
-            command.args(["--listen", &control.to_string()]).stdin(Stdio::null()).spawn().expect("it starts");
-        Setting { world, control, control_service: child, documents, private }
+        let child = command
+            .args(["--listen", &control_address.to_string()])
+            .stdin(Stdio::null())
+            .spawn()
+            .expect("process starts");
+        TestSetup { environment, control_address, control_service: child, documents, private }
     }
 
-    fn set(&self) -> PathBuf {
+    fn identity_document(&self) -> PathBuf {
         self.documents.join("identity.toml")
     }
 
     fn node(&self, identity: &str) -> NodeProcess {
         let program = Path::new(env!("CARGO_BIN_EXE_hazelgrade"));
         let stream = format!("lineage = \"test\"\n[stream.trial]\nspan_ms = 100\n{identity}");
-        let plan = self.world.node_config("n1", program, &[], self.control, &stream);
-        let node = NodeConfig { log: "error".into(), ..plan }.start().expect("it starts");
+        let config = self.environment.node_config("n1", program, &[], self.control_address, &stream);
+        let node = NodeConfig { log: "error".into(), ..config }.start().expect("process starts");
         assert!(node.wait_until_ready(true));
         node
     }
 
-    fn token(&self, caller: &str, lasts: &str) -> String {
-        keys(&["token", "--caller", caller, "--for", lasts], &self.set(), &self.private)
+    fn token(&self, caller: &str, lifetime_s: &str) -> String {
+        keys(&["token", "--caller", caller, "--for", lifetime_s], &self.identity_document(), &self.private)
     }
 
-    /// Changes the identity document in one step.
-    fn change(&self, change: impl FnOnce(String) -> String) {
+    /// Replaces the identity document atomically.
+    fn edit_document(&self, edit: impl FnOnce(String) -> String) {
         let next = self.documents.join("next");
-        std::fs::write(&next, change(std::fs::read_to_string(self.set()).expect("a file"))).expect("a file");
-        std::fs::rename(next, self.set()).expect("a file");
+        std::fs::write(
+            &next,
+            edit(std::fs::read_to_string(self.identity_document()).expect("file operation")),
+        )
+        .expect("file operation");
+        std::fs::rename(next, self.identity_document()).expect("file operation");
     }
 }
 
-impl Drop for Setting {
+impl Drop for TestSetup {
     fn drop(&mut self) {
         let _ = self.control_service.kill();
         let _ = self.control_service.wait();
     }
 }
 
-/// A connection, line by line.
+/// A client connection that sends and receives one JSON message per line.
 struct Connection(BufReader<TcpStream>);
 
 impl Connection {
     fn connect(node: &NodeProcess) -> Connection {
-        let stream = TcpStream::connect(node.config.listen).expect("it listens");
-        stream.set_read_timeout(Some(SOON)).expect("a time-out");
+        let stream = TcpStream::connect(node.config.listen).expect("connects");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("time-out is set");
         Connection(BufReader::new(stream))
     }
 
     fn request(&mut self, message: &Value) -> Value {
-        self.0.get_mut().write_all(format!("{message}\n").as_bytes()).expect("it takes bytes");
+        self.0.get_mut().write_all(format!("{message}\n").as_bytes()).expect("sends");
         let mut line = String::new();
-        self.0.read_line(&mut line).expect("a line in time");
+        self.0.read_line(&mut line).expect("answer before the time-out");
         serde_json::from_str(&line).unwrap_or_else(|_| panic!("not JSON: {line:?}"))
     }
 
@@ -131,6 +138,7 @@
     }
 }
 
+/// Asserts that the answer denies the job for good, and returns the reason.
 fn denied(answer: &Value) -> &str {
     let data = &answer["error"]["data"];
     assert_eq!(
@@ -147,19 +155,19 @@
 
 #[test]
 fn a_caller_gets_the_jobs_that_it_may_request_and_one_denial_for_any_other() {
-    let setting = Setting::new();
-    let file = setting.set();
-    let node = setting.node(&format!("[identity]\ndocument = {file:?}\n"));
+    let setup = TestSetup::new();
+    let file = setup.identity_document();
+    let node = setup.node(&format!("[identity]\ndocument = {file:?}\n"));
     let mut connection = Connection::connect(&node);
     assert_eq!(
         denied(&connection.job(2, "read", Some("c0"), None)),
         "no token or certificate names the caller"
     );
-    // Once for a connection.
-    let front = setting.token("front", "30");
+    // A token in `hello` names the caller of all later jobs of the connection.
+    let front = setup.token("front", "30");
     assert_eq!(connection.hello(&front)["result"]["caller"], "front");
     assert!(succeeded(&connection.job(3, "read", Some("c0"), None)));
-    assert!(succeeded(&connection.job(4, "read", None, None)), "its only tenant needs no name");
+    assert!(succeeded(&connection.job(4, "read", None, None)), "a caller with one tenant need not name it");
     assert_eq!(
         denied(&connection.job(5, "book", Some("c0"), None)),
         "the caller may not ask for this use case"
@@ -168,8 +176,8 @@
         denied(&connection.job(6, "read", Some("c1"), None)),
         "the caller may not ask for this customer"
     );
-    // With a job: another caller on the same connection.
-    let desk = setting.token("desk", "30");
+    // A token in a job names the caller of this job only.
+    let desk = setup.token("desk", "30");
     assert!(succeeded(&connection.job(7, "book", Some("c0"), Some(&desk))));
     assert_eq!(
         denied(&connection.job(8, "book", Some("c0"), None)),
@@ -181,39 +189,48 @@
     let bad = format!("{}{other_letter}{}", &desk[..signature], &desk[signature + 1..]);
     assert_eq!(other.hello(&bad)["error"]["message"], "the signature is wrong");
     assert_eq!(denied(&other.job(2, "read", Some("c0"), Some(&bad))), "the signature is wrong");
-    assert!(setting.world.executor.runs().len() == 3, "what was denied never ran");
+    assert!(setup.environment.executor.runs().len() == 3, "denied jobs never run");
 
-    // From the file, on SIGHUP: the desk is revoked, on the connection that it has.
+    // The caller `desk` is revoked in the file. After SIGHUP the node denies its jobs on open connections.
     assert!(succeeded(&connection.job(9, "book", Some("c0"), Some(&desk))));
-    setting.change(|text| text.replace("[caller.desk]\n", "[caller.desk]\nrevoked = true\n"));
+    setup.edit_document(|text| text.replace("[caller.desk]\n", "[caller.desk]\nrevoked = true\n"));
     assert!(node.signal("HUP"));
     let mut call = 10;
-    assert!(wait_until(SOON, || {
+    assert!(wait_until(WAIT_TIMEOUT, || {
         call += 1;
         !succeeded(&connection.job(call, "book", Some("c0"), Some(&desk)))
     }));
     assert_eq!(denied(&connection.job(900, "book", Some("c0"), Some(&desk))), "revoked");
-    assert!(succeeded(&connection.job(901, "read", Some("c0"), None)), "the front goes on");
-    // A file that is wrong changes nothing.
-    setting.change(|text| text.replace("audience", "audiences"));
+    assert!(
+        succeeded(&connection.job(901, "read", Some("c0"), None)),
+        "jobs of the caller front are still admitted"
+    );
+    // The node ignores an invalid file and keeps the identity document in effect.
+    setup.edit_document(|text| text.replace("audience", "audiences"));
     assert!(node.signal("HUP"));
     assert!(succeeded(&connection.job(902, "read", Some("c0"), None)));
 }
 
 #[test]
 fn a_token_that_expires_on_an_open_connection_lets_its_job_end_and_no_other_begin() {
-    let setting = Setting::new();
-    let file = setting.set();
-    setting.world.executor.set_workload(Workload { job_duration: Duration::from_millis(2500), ..QUICK });
-    let patient = document(&[("read", 6000, 8000, 1)], 2, "").expect("it is right");
-    std::fs::write(setting.documents.join(control_service::SERVING_DOCUMENT_FILE), patient.to_toml())
-        .expect("a file");
-    let node = setting.node(&format!("[identity]\ndocument = {file:?}\n"));
+    let setup = TestSetup::new();
+    let file = setup.identity_document();
+    setup
+        .environment
+        .executor
+        .set_workload(Workload { job_duration: Duration::from_millis(2500), ..SHORT_JOBS });
+    let long_deadlines = document(&[("read", 6000, 8000, 1)], 2, "").expect("valid document");
+    std::fs::write(setup.documents.join(control_service::SERVING_DOCUMENT_FILE), long_deadlines.to_toml())
+        .expect("file operation");
+    let node = setup.node(&format!("[identity]\ndocument = {file:?}\n"));
     let mut connection = Connection::connect(&node);
-    let token = setting.token("front", "2");
+    let token = setup.token("front", "2");
     assert_eq!(connection.hello(&token)["result"]["caller"], "front");
     let began = Instant::now();
-    assert!(succeeded(&connection.job(2, "read", None, None)), "a job that was admitted goes on");
+    assert!(
+        succeeded(&connection.job(2, "read", None, None)),
+        "a job that was admitted before the token expired succeeds"
+    );
     assert!(began.elapsed() > Duration::from_millis(2400));
     assert_eq!(denied(&connection.job(3, "read", None, None)), "the token has expired");
 }
@@ -221,70 +238,74 @@
 #[test]
 fn key_rotation_each_second_under_load_denies_no_valid_job_and_a_revoked_caller_gets_nothing_after_the_bound()
 {
-    let setting = Setting::new();
-    let node = setting.node("[identity]\nstreamed = true\ntrial_ms = 100\n");
-    let (front, leaves): (Token, Token) = Default::default();
+    let setup = TestSetup::new();
+    let node = setup.node("[identity]\nstreamed = true\ntrial_ms = 100\n");
+    let (front, desk): (Token, Token) = Default::default();
     let sign =
-        |into: &Arc<Mutex<String>>, caller: &str| *into.lock().expect("a lock") = setting.token(caller, "5");
+        |token: &Arc<Mutex<String>>, caller: &str| *token.lock().expect("lock") = setup.token(caller, "5");
     sign(&front, "front");
-    sign(&leaves, "desk");
+    sign(&desk, "desk");
     let mut connection = Connection::connect(&node);
-    let ready = wait_until(SOON, || {
+    let ready = wait_until(WAIT_TIMEOUT, || {
         succeeded(&connection.job(
             unix_ms() % 1_000_000,
             "read",
             Some("c0"),
-            Some(&front.lock().expect("a lock")),
+            Some(&front.lock().expect("lock")),
         ))
     });
-    assert!(ready, "the first set arrives");
+    assert!(ready, "the first identity document arrives");
     let load = start_callers_with_token(node.config.listen, 100.0, &["read"], Some(front.clone()));
-    let load_of_desk = start_callers_with_token(node.config.listen, 100.0, &["book"], Some(leaves.clone()));
+    let load_of_desk = start_callers_with_token(node.config.listen, 100.0, &["book"], Some(desk.clone()));
     for second in 0..5 {
-        // The key signs from when it was sent; the node has it within the bound. Old ones sign on for a while.
-        keys(&["rotate", "--lead", "0.3", "--overlap", "1"], &setting.set(), &setting.private);
+        // The new key signs after a lead of 0.3 s, by when the node has received it. Older keys sign for 1 s more.
+        keys(&["rotate", "--lead", "0.3", "--overlap", "1"], &setup.identity_document(), &setup.private);
         std::thread::sleep(Duration::from_millis(600));
         sign(&front, "front");
         if second < 3 {
-            sign(&leaves, "desk");
+            sign(&desk, "desk");
         }
         if second == 3 {
-            setting.change(|text| text.replace("[caller.desk]\n", "[caller.desk]\nrevoked = true\n"));
+            setup.edit_document(|text| text.replace("[caller.desk]\n", "[caller.desk]\nrevoked = true\n"));
         }
         std::thread::sleep(Duration::from_millis(400));
     }
-    let revoked_for = Duration::from_millis(1000);
-    let CallersReport { results: told, unmatched_answers: twice } = load.stop();
-    let of_desk = load_of_desk.stop().results;
-    let verdict = rule_check::check(&told, twice, &setting.world.executor.runs(), DEADLINE, GRACE);
+    let revoked_period = Duration::from_millis(1000);
+    let CallersReport { results, unmatched_answers } = load.stop();
+    let desk_results = load_of_desk.stop().results;
+    let verdict =
+        rule_check::check(&results, unmatched_answers, &setup.environment.executor.runs(), DEADLINE, GRACE);
     assert!(verdict.passed() && verdict.count > 300, "{verdict}");
-    let denials: Vec<&JobResult> = told.iter().filter(|told| told.outcome == JobOutcome::Denied).collect();
+    let denials: Vec<&JobResult> =
+        results.iter().filter(|result| result.outcome == JobOutcome::Denied).collect();
     assert!(denials.is_empty(), "a valid job was denied: {denials:?}");
-    // Of the desk, the last ones: all denied, and none of them ran.
-    let last = of_desk.iter().map(|told| told.sent).max().expect("some");
-    let late: Vec<&JobResult> =
-        of_desk.iter().filter(|told| told.sent > last - revoked_for + Duration::from_millis(400)).collect();
-    assert!(late.len() > 20 && late.iter().all(|told| told.outcome == JobOutcome::Denied), "{late:?}");
-    let runs = setting.world.executor.runs();
+    // The last jobs of the revoked caller `desk` are all denied, and no denied job ran.
+    let last = desk_results.iter().map(|result| result.sent).max().expect("at least one result");
+    let late: Vec<&JobResult> = desk_results
+        .iter()
+        .filter(|result| result.sent > last - revoked_period + Duration::from_millis(400))
+        .collect();
+    assert!(late.len() > 20 && late.iter().all(|result| result.outcome == JobOutcome::Denied), "{late:?}");
+    let runs = setup.environment.executor.runs();
     assert!(
-        of_desk
+        desk_results
             .iter()
-            .filter(|told| told.outcome == JobOutcome::Denied)
-            .all(|told| !runs.contains_key(&told.id))
+            .filter(|result| result.outcome == JobOutcome::Denied)
+            .all(|result| !runs.contains_key(&result.id))
     );
-    let served = of_desk.iter().filter(|told| told.outcome == JobOutcome::Succeeded).count();
-    assert!(served > 100, "{served} served before");
+    let served = desk_results.iter().filter(|result| result.outcome == JobOutcome::Succeeded).count();
+    assert!(served > 100, "{served} jobs succeeded before the revocation");
 }
 
 #[test]
 fn a_flood_of_bad_tokens_is_denied_while_others_are_served() {
-    let setting = Setting::new();
-    let file = setting.set();
-    let node = setting.node(&format!("[identity]\ndocument = {file:?}\n"));
-    let token: Token = Arc::new(Mutex::new(setting.token("front", "50")));
+    let setup = TestSetup::new();
+    let file = setup.identity_document();
+    let node = setup.node(&format!("[identity]\ndocument = {file:?}\n"));
+    let token: Token = Arc::new(Mutex::new(setup.token("front", "50")));
     let load = start_callers_with_token(node.config.listen, 100.0, &["read"], Some(token.clone()));
-    assert!(wait_until(SOON, || load.count() >= 20));
-    let good = token.lock().expect("a lock").clone();
+    assert!(wait_until(WAIT_TIMEOUT, || load.count() >= 20));
+    let good = token.lock().expect("lock").clone();
     let flood: Vec<_> = (0..4)
         .map(|thread| {
             let (listen, good) = (node.config.listen, good.clone());
@@ -305,14 +326,15 @@
             })
         })
         .collect();
-    let sent: u64 = flood.into_iter().map(|thread| thread.join().expect("it ends")).sum();
-    let CallersReport { results: told, unmatched_answers: twice } = load.stop();
-    let verdict = rule_check::check(&told, twice, &setting.world.executor.runs(), DEADLINE, GRACE);
-    assert!(sent > 200, "{sent} is no flood");
+    let sent: u64 = flood.into_iter().map(|thread| thread.join().expect("thread ends")).sum();
+    let CallersReport { results, unmatched_answers } = load.stop();
+    let verdict =
+        rule_check::check(&results, unmatched_answers, &setup.environment.executor.runs(), DEADLINE, GRACE);
+    assert!(sent > 200, "only {sent} bad tokens were sent");
     assert!(
         verdict.passed() && verdict.count_of(JobOutcome::Succeeded) == verdict.count,
-        "{sent} bad ones: {verdict}"
+        "{sent} bad tokens: {verdict}"
     );
-    let slowest = told.iter().map(|told| told.latency).max().expect("some");
-    assert!(slowest < Duration::from_millis(1000), "{slowest:?}, within the latency objective");
+    let slowest = results.iter().map(|result| result.latency).max().expect("at least one result");
+    assert!(slowest < Duration::from_millis(1000), "latency {slowest:?} exceeds the latency objective");
 }
