--- a/crates/hazelgrade-demo/src/main.rs
+++ b/crates/hazelgrade-demo/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays the parts of hazelgrade together on loopback: scenes that end with a table, and measurements.
+//! Runs the components of hazelgrade together on loopback: scenes that end with a table, fault plans, and measurements.
 
 mod fault_campaign;
 mod measure;
@@ -26,25 +26,26 @@
   streaming    a control service, two nodes, and callers; a good version, a wrong one and a harmful one
 ";
 
-/// Counts allocations, for the measurements.
+/// Global allocator that counts allocations for the measurements.
 #[global_allocator]
 pub static ALLOCATIONS: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Under this word it is the program `hazelgrade` itself, so that a scene needs no other file.
+/// First argument that makes the demo binary run as the program `hazelgrade`, so that a scene needs no second binary.
 pub const SELF: &str = "hazelgrade";
 
 fn main() -> ExitCode {
-    let mut words: Vec<_> = std::env::args_os().skip(1).collect();
-    if words.first().is_some_and(|word| word == SELF) {
-        words.remove(0);
-        return hazelgrade_server::program::command::main_with(Arguments::from_vec(words));
+    let mut arguments: Vec<_> = std::env::args_os().skip(1).collect();
+    if arguments.first().is_some_and(|argument| argument == SELF) {
+        arguments.remove(0);
+        return hazelgrade_server::program::command::main_with(Arguments::from_vec(arguments));
     }
-    let words: Vec<String> = words.into_iter().map(|word| word.to_string_lossy().into_owned()).collect();
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let done = match words[..] {
-        [] | ["streaming"] => scenes::streaming::play(),
-        ["trouble", ..] => fault_campaign::play(&words[1..]),
-        ["budgets"] => scenes::budgets::play(),
+    let arguments: Vec<String> =
+        arguments.into_iter().map(|argument| argument.to_string_lossy().into_owned()).collect();
+    let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+    let result = match arguments[..] {
+        [] | ["streaming"] => scenes::streaming::run_scene(),
+        ["trouble", ..] => fault_campaign::play(&arguments[1..]),
+        ["budgets"] => scenes::budgets::run_scene(),
         ["measure", "budgets"] => measure::budgets::all(),
         ["measure"] => measure::streaming::all(),
         ["measure", "identity"] => measure::identity::all(),
@@ -52,10 +53,10 @@
         ["measure", what] => measure::streaming::one(what),
         _ => {
             print!("{USAGE}");
-            return ExitCode::from(if words == ["help"] { 0 } else { 2 });
+            return ExitCode::from(if arguments == ["help"] { 0 } else { 2 });
         }
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(message) => {
--- a/crates/hazelgrade-demo/src/scenes/budgets.rs
+++ b/crates/hazelgrade-demo/src/scenes/budgets.rs
@@ -1,5 +1,6 @@
-//! Budgets: three nodes share calls below; one is killed and its part moves, it comes back, the whole is halved in use, and
-//! the keeper dies. What is in hand is counted at the dependency.
+//! Scene of a shared budget: three nodes share a budget of calls to a dependency. A node is killed and its grant moves
+//! to the others, the node restarts, the total is halved while in use, and the control service is killed and restarted.
+//! The dependency counts the calls in flight.
 
 use crate::SELF;
 use crate::processes::{program, to_message};
@@ -9,67 +10,76 @@
 use hazelgrade_fault_injection::shared_budget::SharedBudgetConfig;
 use std::time::{Duration, Instant};
 
-const TIMEOUT: Duration = Duration::from_secs(20);
-const WHOLE: u32 = 12;
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
+const BUDGET_TOTAL_UNITS: u32 = 12;
 
-fn parts(group: &Group) -> Vec<u64> {
+/// Returns the units that the control service has granted to each node.
+fn granted_units(group: &Group) -> Vec<u64> {
     let calls = group.control_service.budget_status()["budgets"]["calls"].clone();
-    let of = |node: usize| {
+    let granted = |node: usize| {
         let holders = calls["holders"].as_array().into_iter().flatten();
-        let named = holders.filter(|one| one["holder"] == format!("n{node}").as_str());
-        named.filter_map(|one| one["granted"].as_u64()).sum()
+        let node_grants = holders.filter(|holder| holder["holder"] == format!("n{node}").as_str());
+        node_grants.filter_map(|holder| holder["granted"].as_u64()).sum()
     };
-    (0..group.nodes.len()).map(of).collect()
+    (0..group.nodes.len()).map(granted).collect()
 }
 
-pub fn play() -> Result<bool, String> {
-    let setting = SharedBudgetConfig {
-        total: WHOLE,
+/// Runs the scene. Returns `true` if no rule was broken and every step reached its expected state in time.
+pub fn run_scene() -> Result<bool, String> {
+    let budget_config = SharedBudgetConfig {
+        total: BUDGET_TOTAL_UNITS,
         call_duration: Duration::from_millis(150),
         ..SharedBudgetConfig::default()
     };
-    let mut group = Group::start_with(&program()?, &[SELF], 3, 60.0, Some(setting)).map_err(to_message)?;
+    let mut group =
+        Group::start_with(&program()?, &[SELF], 3, 60.0, Some(budget_config)).map_err(to_message)?;
     let mut table = Table::new();
     table.load_style(ASCII_MARKDOWN);
-    table.set_header(["act", "came after", "parts of n0, n1, n2", "whole", "in hand at the dependency"]);
-    let mut good = true;
-    let mut act = |group: &mut Group, name: &str, whole: u32, so: &dyn Fn(&[u64]) -> bool| {
-        let began = Instant::now();
-        let came = group.wait_until(TIMEOUT, |group| so(&parts(group)));
-        good &= came;
-        let (after, shown) = (began.elapsed().as_secs_f64(), parts(group));
-        let in_hand = group.shared_budget.as_ref().map_or(0, |shared| shared.dependency.in_flight());
-        println!("{name}: {shown:?}");
+    table.set_header(["step", "reached after", "grants of n0, n1, n2", "total", "calls in flight"]);
+    let mut all_reached = true;
+    let mut run_step = |group: &mut Group, name: &str, total: u32, is_expected: &dyn Fn(&[u64]) -> bool| {
+        let started_at = Instant::now();
+        let reached = group.wait_until(STEP_TIMEOUT, |group| is_expected(&granted_units(group)));
+        all_reached &= reached;
+        let (elapsed_s, grants) = (started_at.elapsed().as_secs_f64(), granted_units(group));
+        let in_flight = group.shared_budget.as_ref().map_or(0, |shared| shared.dependency.in_flight());
+        println!("{name}: {grants:?}");
         table.add_row([
             name.to_owned(),
-            if came { format!("{after:.1} s") } else { "not".into() },
-            format!("{shown:?}"),
-            whole.to_string(),
-            in_hand.to_string(),
+            if reached { format!("{elapsed_s:.1} s") } else { "timed out".into() },
+            format!("{grants:?}"),
+            total.to_string(),
+            in_flight.to_string(),
         ]);
     };
-    let sum = |parts: &[u64]| parts.iter().sum::<u64>();
-    act(&mut group, "three nodes have the whole", WHOLE, &|parts| {
-        sum(parts) == 12 && parts.iter().all(|part| *part >= 3)
+    let sum = |grants: &[u64]| grants.iter().sum::<u64>();
+    run_step(&mut group, "three nodes hold the whole budget", BUDGET_TOTAL_UNITS, &|grants| {
+        sum(grants) == 12 && grants.iter().all(|grant| *grant >= 3)
     });
     group.inject(Fault::Kill { node: 0 }).map_err(to_message)?;
-    act(&mut group, "n0 is killed: its part moves", WHOLE, &|parts| parts[1] + parts[2] == 12);
+    run_step(&mut group, "n0 is killed: its grant moves to n1 and n2", BUDGET_TOTAL_UNITS, &|grants| {
+        grants[1] + grants[2] == 12
+    });
     group.inject(Fault::Start { node: 0, disk: Disk::Own }).map_err(to_message)?;
-    act(&mut group, "n0 is back: it gets a share", WHOLE, &|parts| parts[0] >= 3);
-    group.inject(Fault::SetBudgetTotal { units: WHOLE / 2 }).map_err(to_message)?;
-    act(&mut group, "the whole is halved in use", WHOLE / 2, &|parts| sum(parts) == 6);
+    run_step(&mut group, "n0 restarts: it receives a grant", BUDGET_TOTAL_UNITS, &|grants| grants[0] >= 3);
+    group.inject(Fault::SetBudgetTotal { units: BUDGET_TOTAL_UNITS / 2 }).map_err(to_message)?;
+    run_step(&mut group, "the total is halved while in use", BUDGET_TOTAL_UNITS / 2, &|grants| {
+        sum(grants) == 6
+    });
     group.inject(Fault::KillControl).map_err(to_message)?;
     group.inject(Fault::StartControl { disk: Disk::Own }).map_err(to_message)?;
-    act(&mut group, "the keeper died and is back", WHOLE / 2, &|parts| sum(parts) == 6);
-    let peak = group.shared_budget.as_ref().map_or(0, |shared| shared.dependency.peak());
-    let account = group.finish();
+    run_step(&mut group, "the control service is killed and restarted", BUDGET_TOTAL_UNITS / 2, &|grants| {
+        sum(grants) == 6
+    });
+    let peak_in_flight = group.shared_budget.as_ref().map_or(0, |shared| shared.dependency.peak());
+    let history = group.finish();
     println!("\n{table}\n");
     println!(
-        "calls at the dependency at once: {peak} at most; past the whole: {:?}",
-        account.budget_overloads
+        "peak calls in flight at the dependency: {peak_in_flight}; overloads (count, largest): {:?}",
+        history.budget_overloads
     );
-    let breaks = account.violations();
-    breaks.iter().for_each(|broken| println!("BROKEN {broken}"));
-    println!("rules: {}", if breaks.is_empty() { "all kept" } else { "BROKEN" });
-    Ok(good && breaks.is_empty())
+    let violations = history.violations();
+    violations.iter().for_each(|violation| println!("BROKEN {violation}"));
+    println!("rules: {}", if violations.is_empty() { "all kept" } else { "BROKEN" });
+    Ok(all_reached && violations.is_empty())
 }
